--- a/core/request/route/choose.go
+++ b/core/request/route/choose.go
@@ -10,159 +10,164 @@
 	"hawthornferry/core/process/trail"
 )
 
-// The rules that make a choice.
+// The rules by which a target is chosen.
 const (
-	ReasonPrefix Reason = "prefix"
-	ReasonLoad   Reason = "lessLoadedOfTwo"
-	ReasonOnly   Reason = "onlyCandidate"
+	ReasonPrefix        Reason = "prefix"
+	ReasonLessLoaded    Reason = "lessLoadedOfTwo"
+	ReasonOnlyCandidate Reason = "onlyCandidate"
 )
 
-// The reasons for leaving a candidate out; a standing other than ready is
-// its own reason.
+// The reasons for excluding a candidate. A candidate whose standing isn't ready is
+// excluded with its standing as the reason.
 const (
-	leftVersion = "otherVersion"
-	leftAvoided = "failedThisCall"
-	leftZone    = "otherZone"
-	leftLoad    = "moreLoaded"
-	leftSlow    = "slow"
-	leftPrefix  = "lessOfPrefix"
-	leftUndrawn = "notDrawn"
+	excludedVersion    = "otherVersion"
+	excludedAvoided    = "failedThisCall"
+	excludedZone       = "otherZone"
+	excludedLoad       = "moreLoaded"
+	excludedSlow       = "slow"
+	excludedPrefix     = "lessOfPrefix"
+	excludedNotSampled = "notDrawn"
 )
 
-// Defaults of a Chooser's settings.
+// Default settings of a Chooser.
 const (
-	DefaultSubset     = 16
-	DefaultLoadFactor = 1.25
-	DefaultFreeShare  = 0.75
-	DefaultSpill      = 1.0
-	DefaultReportAge  = 5 * time.Second
-	DefaultSpeedAge   = 5 * time.Minute
-	DefaultPrefixAge  = 10 * time.Minute
-	DefaultPrefixes   = 1 << 16
-	DefaultTargets    = 1 << 12
-	DefaultCapacity   = 8
+	DefaultSubset          = 16
+	DefaultLoadFactor      = 1.25
+	DefaultMinAffinityLoad = 0.75
+	DefaultSpillThreshold  = 1.0
+	DefaultReportMaxAge    = 5 * time.Second
+	DefaultPaceMaxAge      = 5 * time.Minute
+	DefaultPrefixMaxAge    = 10 * time.Minute
+	DefaultPrefixes        = 1 << 16
+	DefaultMaxTargets      = 1 << 12
+	DefaultAssumedCapacity = 8
 )
 
-// Chooser chooses targets for one entry. Set the exported fields before the
-// first call; zero values stand for the defaults, but for Entry and Rand,
-// which must be set. It is not safe for concurrent use. The same calls in the
-// same order with the same source make the same choices.
+// Chooser chooses targets for the calls of one entry. Set the exported fields before
+// the first call. Entry and Rand are required; a zero value in any other field
+// selects its default.
+//
+// A Chooser isn't safe for concurrent use. It is deterministic: the same sequence of
+// calls with the same random source makes the same choices.
 type Chooser struct {
-	// Entry is the VM of this entry; its zone comes first.
+	// Entry is the VM of this entry. Targets of its zone are preferred.
 	Entry fleet.VM
-	// Rand draws the two targets to compare.
+	// Rand samples the two targets whose load is compared.
 	Rand *rand.Rand
-	// LoadFactor bounds affinity: a target that holds the prefix is taken up
-	// to this many times the mean load.
+	// LoadFactor bounds prefix affinity: a target that holds the prefix is chosen
+	// while its load is at most this multiple of the mean load.
 	LoadFactor float64
-	// FreeShare is the share of a target's capacity up to which affinity
-	// holds whatever the mean, for a prompt that the target holds whole. It
-	// falls with the square of the part that is held.
-	FreeShare float64
-	// Spill is the load per capacity of a zone above which the next zone is
-	// asked too.
-	Spill float64
-	// ReportAge is how old a load report may be and still count.
-	ReportAge time.Duration
-	// SpeedAge is how long a target's speed is remembered without a sample.
-	SpeedAge time.Duration
-	// PrefixAge is how long a prefix is remembered.
-	PrefixAge time.Duration
-	// Prefixes and Targets bound the tables.
-	Prefixes int
-	Targets  int
-	// Capacity stands for a target's capacity until it reports one.
-	Capacity int
+	// MinAffinityLoad is the load, as a share of the target's capacity, up to which
+	// affinity applies whatever the mean load, for a target that holds the whole
+	// prompt. It is scaled by the square of the share of the prompt that the target
+	// holds.
+	MinAffinityLoad float64
+	// SpillThreshold is the load, as a share of a zone's capacity, above which
+	// targets of the next larger area (region, then all) are considered too.
+	SpillThreshold float64
+	// ReportMaxAge is the age up to which a load report is used.
+	ReportMaxAge time.Duration
+	// PaceMaxAge is how long a target's speed is remembered without a new sample.
+	PaceMaxAge time.Duration
+	// PrefixMaxAge is how long a target is assumed to hold a prefix after it was last
+	// stored there.
+	PrefixMaxAge time.Duration
+	// MaxPrefixes and MaxTargets bound the number of entries in the tables.
+	MaxPrefixes int
+	MaxTargets  int
+	// AssumedCapacity is the capacity assumed for a target that has not reported one.
+	AssumedCapacity int
 
-	prefixes prefixes
-	loads    loads
-	speeds   speeds
-	ready    bool
+	prefixes      prefixTable
+	loadEstimates loadEstimator
+	paces         paceTracker
+	initialized   bool
 }
 
-// Sizes are the numbers of entries in a Chooser's tables.
-type Sizes struct {
+// TableSizes holds the number of entries in each of a Chooser's tables.
+type TableSizes struct {
 	Prefixes int
 	Targets  int
 	Speeds   int
 }
 
-// NoTarget is the error of Choose when every candidate is left out.
+// NoTarget is the error of Choose when every candidate is excluded. Left holds the
+// reason for each.
 type NoTarget struct {
 	Service string
 	Left    []trail.Left
 }
 
-// Error names the service and how many candidates were left out.
+// Error names the service and the number of excluded candidates.
 func (e *NoTarget) Error() string {
 	return fmt.Sprintf("no target of service %s: %d candidates left out", e.Service, len(e.Left))
 }
 
-// Choose returns the target for r among candidates, which are those of the
-// entry's subset. It takes the chosen target as holding r's prefixes from now
-// on. The error is a *NoTarget when all candidates are left out.
+// Choose returns the target for r among the candidates, which are the targets of the
+// entry's subset. From then on it assumes that the chosen target holds r's prefixes.
+// If all candidates are excluded, the error is a *NoTarget.
 func (c *Chooser) Choose(now time.Time, r Request, candidates []Candidate) (Choice, error) {
-	c.prepare()
-	s := selection{left: make([]trail.Left, 0, len(candidates))}
-	eligible := c.eligible(now, r, candidates, &s)
+	c.init()
+	ex := exclusions{list: make([]trail.Left, 0, len(candidates))}
+	eligible := c.eligible(now, r, candidates, &ex)
 	if len(eligible) == 0 {
-		return Choice{}, &NoTarget{Service: r.Service, Left: s.left}
+		return Choice{}, &NoTarget{Service: r.Service, Left: ex.list}
 	}
-	near := c.nearest(c.quick(now, eligible, &s), &s)
-	chosen, reason := c.pick(now, r, near, &s)
+	near := c.excludeDistant(c.excludeSlow(now, eligible, &ex), &ex)
+	chosen, reason := c.pick(now, r, near, &ex)
 	for _, prefix := range r.Prefix {
 		c.prefixes.stored(now, chosen.vm.Name, prefix)
 	}
-	return Choice{VM: chosen.vm, Reason: reason, Left: s.left}, nil
+	return Choice{VM: chosen.vm, Reason: reason, Left: ex.list}, nil
 }
 
-// Stored takes an engine's event that target now holds prefix.
+// Stored records an engine's event that target has prefix in its cache.
 func (c *Chooser) Stored(now time.Time, target string, prefix uint64) {
-	c.prepare()
+	c.init()
 	c.prefixes.stored(now, target, prefix)
 }
 
-// Evicted takes an engine's event that target no longer holds prefix.
+// Evicted records an engine's event that target has dropped prefix from its cache.
 func (c *Chooser) Evicted(now time.Time, target string, prefix uint64) {
-	c.prepare()
+	c.init()
 	c.prefixes.evicted(now, target, prefix)
 }
 
-// Paced takes how long target took from token to token of one answer.
+// Paced records a sample of a target's time between tokens, measured over one answer.
 func (c *Chooser) Paced(now time.Time, target string, pace time.Duration) {
-	c.prepare()
-	c.speeds.observe(now, target, pace)
+	c.init()
+	c.paces.observe(now, target, pace)
 }
 
-// Sizes returns the numbers of entries in the tables.
-func (c *Chooser) Sizes() Sizes {
-	return Sizes{Prefixes: c.prefixes.table.Len(), Targets: c.loads.table.Len(), Speeds: c.speeds.table.Len()}
+// Sizes returns the number of entries in each table.
+func (c *Chooser) Sizes() TableSizes {
+	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), Speeds: c.paces.table.Len()}
 }
 
-// Tick drops what is too old; call it about once a minute.
+// Tick drops expired entries from the tables. Call it about once a minute.
 func (c *Chooser) Tick(now time.Time) {
-	c.prepare()
+	c.init()
 	c.prefixes.table.Expire(now)
-	c.loads.table.Expire(now)
-	c.speeds.table.Expire(now)
+	c.loadEstimates.table.Expire(now)
+	c.paces.table.Expire(now)
 }
 
-func (c *Chooser) prepare() {
-	if c.ready {
+func (c *Chooser) init() {
+	if c.initialized {
 		return
 	}
-	c.ready = true
+	c.initialized = true
 	c.LoadFactor = orDefault(c.LoadFactor, DefaultLoadFactor)
-	c.FreeShare = orDefault(c.FreeShare, DefaultFreeShare)
-	c.Spill = orDefault(c.Spill, DefaultSpill)
-	c.prefixes.table.Max = orDefault(c.Prefixes, DefaultPrefixes)
-	c.prefixes.table.Age = orDefault(c.PrefixAge, DefaultPrefixAge)
-	c.loads.table.Max = orDefault(c.Targets, DefaultTargets)
-	c.loads.reportAge = orDefault(c.ReportAge, DefaultReportAge)
-	c.loads.table.Age = c.loads.reportAge
-	c.loads.capacity = orDefault(c.Capacity, DefaultCapacity)
-	c.speeds.table.Max = c.loads.table.Max
-	c.speeds.table.Age = orDefault(c.SpeedAge, DefaultSpeedAge)
+	c.MinAffinityLoad = orDefault(c.MinAffinityLoad, DefaultMinAffinityLoad)
+	c.SpillThreshold = orDefault(c.SpillThreshold, DefaultSpillThreshold)
+	c.prefixes.table.Max = orDefault(c.MaxPrefixes, DefaultPrefixes)
+	c.prefixes.table.Age = orDefault(c.PrefixMaxAge, DefaultPrefixMaxAge)
+	c.loadEstimates.table.Max = orDefault(c.MaxTargets, DefaultMaxTargets)
+	c.loadEstimates.reportMaxAge = orDefault(c.ReportMaxAge, DefaultReportMaxAge)
+	c.loadEstimates.table.Age = c.loadEstimates.reportMaxAge
+	c.loadEstimates.capacity = orDefault(c.AssumedCapacity, DefaultAssumedCapacity)
+	c.paces.table.Max = c.loadEstimates.table.Max
+	c.paces.table.Age = orDefault(c.PaceMaxAge, DefaultPaceMaxAge)
 }
 
 func orDefault[T comparable](v, def T) T {
@@ -173,36 +178,39 @@
 	return v
 }
 
-// weighed is a candidate that may be chosen.
-type weighed struct {
+// eligibleTarget is a candidate that isn't excluded, with its estimated load.
+type eligibleTarget struct {
 	vm       fleet.VM
 	load     load
 	inFlight int
 }
 
-// selection collects the candidates left out on the way.
-type selection struct {
-	left []trail.Left
+// exclusions collects the candidates that were excluded, with the reason for each.
+type exclusions struct {
+	list []trail.Left
 }
 
-func (s *selection) leave(name, reason string) {
-	s.left = append(s.left, trail.Left{Name: name, Reason: reason})
+func (ex *exclusions) add(name, reason string) {
+	ex.list = append(ex.list, trail.Left{Name: name, Reason: reason})
 }
 
-func (c *Chooser) eligible(now time.Time, r Request, candidates []Candidate, s *selection) []weighed {
-	out := make([]weighed, 0, len(candidates))
+// eligible returns the candidates that may run r, with their estimated loads, and
+// adds the others to ex.
+func (c *Chooser) eligible(now time.Time, r Request, candidates []Candidate, ex *exclusions) []eligibleTarget {
+	out := make([]eligibleTarget, 0, len(candidates))
 	for _, cand := range candidates {
-		if reason := barred(r, cand); reason != "" {
-			s.leave(cand.VM.Name, reason)
+		if reason := exclusionReason(r, cand); reason != "" {
+			ex.add(cand.VM.Name, reason)
 			continue
 		}
-		out = append(out, weighed{vm: cand.VM, load: c.loads.estimate(now, cand), inFlight: cand.InFlight})
+		out = append(out, eligibleTarget{vm: cand.VM, load: c.loadEstimates.estimate(now, cand), inFlight: cand.InFlight})
 	}
 	return out
 }
 
-// barred returns why a candidate may not have r, or "".
-func barred(r Request, c Candidate) string {
+// exclusionReason returns why the candidate may not run r, or an empty string if it
+// may.
+func exclusionReason(r Request, c Candidate) string {
 	if c.VM.State == fleet.StateLeaving {
 		return string(StandingLeaving)
 	}
@@ -210,112 +218,119 @@
 		return string(c.Standing)
 	}
 	if r.Version != "" && c.Serving != r.Version {
-		return leftVersion
+		return excludedVersion
 	}
 	if slices.Contains(r.Avoid, c.VM.Name) {
-		return leftAvoided
+		return excludedAvoided
 	}
 	return ""
 }
 
-// quick leaves out slow targets while the others have room.
-func (c *Chooser) quick(now time.Time, all []weighed, s *selection) []weighed {
-	usual, slow := c.speeds.split(now, all)
-	if len(slow) == 0 || meanRatio(usual) > c.Spill {
+// excludeSlow excludes slow targets, unless the load of the others is above
+// SpillThreshold.
+func (c *Chooser) excludeSlow(now time.Time, all []eligibleTarget, ex *exclusions) []eligibleTarget {
+	usual, slow := c.paces.splitSlow(now, all)
+	if len(slow) == 0 || meanUtilization(usual) > c.SpillThreshold {
 		return all
 	}
-	for _, w := range slow {
-		s.leave(w.vm.Name, leftSlow)
+	for _, t := range slow {
+		ex.add(t.vm.Name, excludedSlow)
 	}
 	return usual
 }
 
-// nearest returns the candidates of the entry's zone, and adds those of its
-// region and then all others while what it has is loaded above Spill.
-func (c *Chooser) nearest(all []weighed, s *selection) []weighed {
+// excludeDistant returns the targets of the entry's zone. While the mean load of the
+// targets considered so far is above SpillThreshold, it widens the area to the
+// entry's region and then to all targets.
+func (c *Chooser) excludeDistant(all []eligibleTarget, ex *exclusions) []eligibleTarget {
 	tiers := [...]func(fleet.VM) bool{
 		func(vm fleet.VM) bool { return vm.Zone == c.Entry.Zone },
 		func(vm fleet.VM) bool { return vm.Region == c.Entry.Region },
 	}
 	for _, within := range tiers {
-		near := make([]weighed, 0, len(all))
-		for _, w := range all {
-			if within(w.vm) {
-				near = append(near, w)
+		near := make([]eligibleTarget, 0, len(all))
+		for _, t := range all {
+			if within(t.vm) {
+				near = append(near, t)
 			}
 		}
-		if len(near) > 0 && meanRatio(near) <= c.Spill {
-			s.leaveOutside(all, within)
+		if len(near) > 0 && meanUtilization(near) <= c.SpillThreshold {
+			ex.addOutside(all, within)
 			return near
 		}
 	}
 	return all
 }
 
-func (s *selection) leaveOutside(all []weighed, within func(fleet.VM) bool) {
-	for _, w := range all {
-		if !within(w.vm) {
-			s.leave(w.vm.Name, leftZone)
+func (ex *exclusions) addOutside(all []eligibleTarget, within func(fleet.VM) bool) {
+	for _, t := range all {
+		if !within(t.vm) {
+			ex.add(t.vm.Name, excludedZone)
 		}
 	}
 }
 
-// meanRatio is the load per capacity over all ws if one call were added.
-func meanRatio(ws []weighed) float64 {
+// meanUtilization is the load of all targets divided by their capacity, if one more call
+// were added.
+func meanUtilization(targets []eligibleTarget) float64 {
 	calls, capacity := 1, 0
-	for _, w := range ws {
-		calls += w.load.calls
-		capacity += w.load.capacity
+	for _, t := range targets {
+		calls += t.load.calls
+		capacity += t.load.capacity
 	}
 	return float64(calls) / float64(capacity)
 }
 
-func (c *Chooser) pick(now time.Time, r Request, ws []weighed, s *selection) (weighed, Reason) {
-	if len(ws) == 1 {
-		return ws[0], ReasonOnly
+// pick chooses the target that holds the longest prefix of r within the load bound.
+// Without one, it samples two targets at random and chooses the less loaded one (power
+// of two choices).
+func (c *Chooser) pick(now time.Time, r Request, targets []eligibleTarget, ex *exclusions) (eligibleTarget, Reason) {
+	if len(targets) == 1 {
+		return targets[0], ReasonOnlyCandidate
 	}
-	if i := c.holding(now, r, ws); i >= 0 {
-		leaveOthers(ws, s, func(int) string { return leftPrefix }, i)
-		return ws[i], ReasonPrefix
+	if i := c.bestPrefixHolder(now, r, targets); i >= 0 {
+		excludeOthers(targets, ex, func(int) string { return excludedPrefix }, i)
+		return targets[i], ReasonPrefix
 	}
-	i, j := c.twoOf(len(ws))
-	if ws[j].load.ratio() < ws[i].load.ratio() {
+	i, j := c.sampleTwo(len(targets))
+	if targets[j].load.utilization() < targets[i].load.utilization() {
 		i, j = j, i
 	}
-	leaveOthers(ws, s, func(k int) string {
+	excludeOthers(targets, ex, func(k int) string {
 		if k == j {
-			return leftLoad
+			return excludedLoad
 		}
-		return leftUndrawn
+		return excludedNotSampled
 	}, i)
-	return ws[i], ReasonLoad
+	return targets[i], ReasonLessLoaded
 }
 
-// holding returns the index of the candidate that holds the longest prefix of
-// r and is within the bound on load, the least loaded of equals, or -1.
+// bestPrefixHolder returns the index of the target that holds the longest prefix of r
+// within the load bound, the least loaded one of several with the same length, or -1.
+//
+// Without the load bound, all calls with a popular prefix go to one target and wait
+// in its queue for their first token while other targets are idle. Above the bound a
+// call goes to another target, which then holds the prefix too.
 //
-// The bound is what keeps a popular prefix from drawing all its calls to one
-// target while others idle, which shows as a first token that waits behind a
-// queue: above the bound the call goes elsewhere, and that target then holds
-// the prefix too. A short common beginning, such as a customer's instructions,
-// weighs little: in a burst on cold caches all calls would else go where the
-// first one went.
-func (c *Chooser) holding(now time.Time, r Request, ws []weighed) int {
+// MinAffinityLoad is scaled down for a short common prefix, such as a customer's
+// instructions. Otherwise, in a burst on cold caches, all calls would follow the
+// first one to the same target.
+func (c *Chooser) bestPrefixHolder(now time.Time, r Request, targets []eligibleTarget) int {
 	if len(r.Prefix) == 0 {
 		return -1
 	}
-	mean := meanRatio(ws)
+	mean := meanUtilization(targets)
 	best, bestDepth := -1, 0
-	for i, w := range ws {
-		d := c.prefixes.depth(now, w.vm.Name, r.Prefix)
+	for i, t := range targets {
+		d := c.prefixes.depth(now, t.vm.Name, r.Prefix)
 		if d == 0 || d < bestDepth {
 			continue
 		}
 		held := float64(d) / float64(len(r.Prefix))
-		if w.load.ratio() > max(c.LoadFactor*mean, c.FreeShare*held*held) {
+		if t.load.utilization() > max(c.LoadFactor*mean, c.MinAffinityLoad*held*held) {
 			continue
 		}
-		if d == bestDepth && w.load.ratio() >= ws[best].load.ratio() {
+		if d == bestDepth && t.load.utilization() >= targets[best].load.utilization() {
 			continue
 		}
 		best, bestDepth = i, d
@@ -323,8 +338,8 @@
 	return best
 }
 
-// twoOf draws two different indices below n, which is at least two.
-func (c *Chooser) twoOf(n int) (int, int) {
+// sampleTwo returns two different random indices below n, which must be at least two.
+func (c *Chooser) sampleTwo(n int) (int, int) {
 	i := c.Rand.IntN(n)
 	j := c.Rand.IntN(n - 1)
 	if j >= i {
@@ -333,10 +348,12 @@
 	return i, j
 }
 
-func leaveOthers(ws []weighed, s *selection, reason func(int) string, chosen int) {
-	for k, w := range ws {
+// excludeOthers excludes all targets but the one with index chosen. The function
+// reason is called with the index of each.
+func excludeOthers(targets []eligibleTarget, ex *exclusions, reason func(int) string, chosen int) {
+	for k, t := range targets {
 		if k != chosen {
-			s.leave(w.vm.Name, reason(k))
+			ex.add(t.vm.Name, reason(k))
 		}
 	}
 }
--- a/core/request/route/choose_test.go
+++ b/core/request/route/choose_test.go
@@ -16,9 +16,9 @@
 	"hawthornferry/core/version/chunk"
 )
 
-var start = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-func target(name, zone string) Candidate {
+func newCandidate(name, zone string) Candidate {
 	return Candidate{
 		VM: fleet.VM{
 			Name:    name,
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestChooseLeavesOut(t *testing.T) {
+func TestChooseExcludesCandidates(t *testing.T) {
 	with := func(c Candidate, change func(*Candidate)) Candidate {
 		change(&c)
 		return c
@@ -58,54 +58,54 @@
 		{
 			name: "standing",
 			candidates: []Candidate{
-				with(target("t1", "a1"), func(c *Candidate) { c.Standing = StandingSilent }),
-				with(target("t2", "a1"), func(c *Candidate) { c.VM.State = fleet.StateLeaving }),
-				with(target("t3", "a1"), func(c *Candidate) { c.Standing = StandingUnserved }),
-				target("t4", "a1"),
+				with(newCandidate("t1", "a1"), func(c *Candidate) { c.Standing = StandingSilent }),
+				with(newCandidate("t2", "a1"), func(c *Candidate) { c.VM.State = fleet.StateLeaving }),
+				with(newCandidate("t3", "a1"), func(c *Candidate) { c.Standing = StandingUnserved }),
+				newCandidate("t4", "a1"),
 			},
-			want: "t4", reason: ReasonOnly,
+			want: "t4", reason: ReasonOnlyCandidate,
 			left: []trail.Left{{Name: "t1", Reason: "silent"}, {Name: "t2", Reason: "leaving"}, {Name: "t3", Reason: "unserved"}},
 		},
 		{
 			name:    "version and avoided",
 			request: Request{Version: v2, Avoid: []string{"t2"}},
 			candidates: []Candidate{
-				with(target("t1", "a1"), func(c *Candidate) { c.Serving = v1 }),
-				with(target("t2", "a1"), func(c *Candidate) { c.Serving = v2 }),
-				with(target("t3", "a1"), func(c *Candidate) { c.Serving = v2 }),
+				with(newCandidate("t1", "a1"), func(c *Candidate) { c.Serving = v1 }),
+				with(newCandidate("t2", "a1"), func(c *Candidate) { c.Serving = v2 }),
+				with(newCandidate("t3", "a1"), func(c *Candidate) { c.Serving = v2 }),
 			},
-			want: "t3", reason: ReasonOnly,
+			want: "t3", reason: ReasonOnlyCandidate,
 			left: []trail.Left{{Name: "t1", Reason: "otherVersion"}, {Name: "t2", Reason: "failedThisCall"}},
 		},
 		{
-			name:       "own zone first",
-			candidates: []Candidate{target("t1", "b1"), target("t2", "a1")},
-			want:       "t2", reason: ReasonOnly,
+			name:       "own zone preferred",
+			candidates: []Candidate{newCandidate("t1", "b1"), newCandidate("t2", "a1")},
+			want:       "t2", reason: ReasonOnlyCandidate,
 			left: []trail.Left{{Name: "t1", Reason: "otherZone"}},
 		},
 		{
 			name: "spill to the region and not beyond",
 			candidates: []Candidate{
-				target("t1", "b1"),
-				target("t2", "a2"),
-				with(target("t3", "a1"), func(c *Candidate) { c.InFlight = 8 }),
+				newCandidate("t1", "b1"),
+				newCandidate("t2", "a2"),
+				with(newCandidate("t3", "a1"), func(c *Candidate) { c.InFlight = 8 }),
 			},
-			want: "t2", reason: ReasonLoad,
+			want: "t2", reason: ReasonLessLoaded,
 			left: []trail.Left{{Name: "t1", Reason: "otherZone"}, {Name: "t3", Reason: "moreLoaded"}},
 		},
 		{
-			name: "less loaded of two",
+			name: "lower load of two targets",
 			candidates: []Candidate{
-				with(target("t1", "a1"), func(c *Candidate) { c.InFlight = 3 }),
-				target("t2", "a1"),
+				with(newCandidate("t1", "a1"), func(c *Candidate) { c.InFlight = 3 }),
+				newCandidate("t2", "a1"),
 			},
-			want: "t2", reason: ReasonLoad,
+			want: "t2", reason: ReasonLessLoaded,
 			left: []trail.Left{{Name: "t1", Reason: "moreLoaded"}},
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			got, err := newChooser().Choose(start, tt.request, tt.candidates)
+			got, err := newChooser().Choose(startTime, tt.request, tt.candidates)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -116,37 +116,37 @@
 				t.Errorf("reason (-want +got):\n%s", diff)
 			}
 			if diff := cmp.Diff(tt.left, got.Left); diff != "" {
-				t.Errorf("left out (-want +got):\n%s", diff)
+				t.Errorf("excluded (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A caller whose only targets are leaving hears that there is none, with the
-// reason for each; it is not sent to a target that is about to go.
+// If all targets are leaving, Choose must return NoTarget with the reason for each,
+// and not a target that is about to stop.
 func TestChooseNoTarget(t *testing.T) {
-	c := target("t1", "a1")
+	c := newCandidate("t1", "a1")
 	c.Standing = StandingLeaving
-	_, err := newChooser().Choose(start, Request{Service: "helper"}, []Candidate{c})
+	_, err := newChooser().Choose(startTime, Request{Service: "helper"}, []Candidate{c})
 	var none *NoTarget
 	if !errors.As(err, &none) {
 		t.Fatalf("error is %v, want a NoTarget", err)
 	}
 	want := []trail.Left{{Name: "t1", Reason: "leaving"}}
 	if diff := cmp.Diff(want, none.Left); diff != "" {
-		t.Errorf("left out (-want +got):\n%s", diff)
+		t.Errorf("excluded (-want +got):\n%s", diff)
 	}
 }
 
-// One popular prefix arrives again and again. The first target keeps it until
-// its load passes the bound; then a second one takes it too, so that the
-// first token does not wait behind a queue while other targets idle.
-func TestAffinityIsBounded(t *testing.T) {
+// Many calls have the same prefix. Guards against all of them going to the target
+// that holds it, where they would wait for their first token while other targets are
+// idle.
+func TestPrefixAffinityIsBoundedByLoad(t *testing.T) {
 	c := newChooser()
-	cands := []Candidate{target("t1", "a1"), target("t2", "a1"), target("t3", "a1"), target("t4", "a1")}
+	cands := []Candidate{newCandidate("t1", "a1"), newCandidate("t2", "a1"), newCandidate("t3", "a1"), newCandidate("t4", "a1")}
 	used := map[string]int{}
 	for range 32 {
-		got, err := c.Choose(start, Request{Prefix: []uint64{7}}, cands)
+		got, err := c.Choose(startTime, Request{Prefix: []uint64{7}}, cands)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,16 +162,16 @@
 	}
 }
 
-// Reports lag. Between two reports all calls would go to the target that
-// looked idle; the entry's own calls since the report are added so that
-// they do not.
-func TestOwnCallsSinceReportCount(t *testing.T) {
+// Guards against sending all calls between two load reports to the target that was
+// least loaded in the last report: the entry's own calls since the report must be
+// counted.
+func TestLoadIncludesOwnCallsSinceReport(t *testing.T) {
 	c := newChooser()
-	cands := []Candidate{target("t1", "a1"), target("t2", "a1")}
-	cands[0].Report = Report{At: start, Running: 0, Capacity: 8}
-	cands[1].Report = Report{At: start, Running: 4, Capacity: 8}
+	cands := []Candidate{newCandidate("t1", "a1"), newCandidate("t2", "a1")}
+	cands[0].Report = Report{At: startTime, Running: 0, Capacity: 8}
+	cands[1].Report = Report{At: startTime, Running: 4, Capacity: 8}
 	for range 8 {
-		got, err := c.Choose(start, Request{}, cands)
+		got, err := c.Choose(startTime, Request{}, cands)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -186,16 +186,16 @@
 	}
 }
 
-// When one target leaves a subset, each other place of it stays as it was:
-// sessions to the remaining targets are not torn down.
-func TestSubsetMovesLittle(t *testing.T) {
+// When a target leaves a subset, the other targets must stay in it, so that their
+// sessions are kept.
+func TestSubsetKeepsRemainingTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 60).Draw(t, "targets")
 		size := rapid.IntRange(1, 20).Draw(t, "size")
 		var vms []fleet.VM
 		for i := range n {
 			zone := rapid.SampledFrom([]string{"a1", "a2", "b1"}).Draw(t, "zone")
-			vms = append(vms, target(fmt.Sprintf("t%d", i), zone).VM)
+			vms = append(vms, newCandidate(fmt.Sprintf("t%d", i), zone).VM)
 		}
 		entry := fleet.VM{Name: "e1", Zone: "a1", Region: "a"}
 		before := Subset(entry, "helper", vms, size)
@@ -211,20 +211,19 @@
 		}
 		for _, vm := range before {
 			if vm.Name != name && !kept[vm.Name] {
-				t.Fatalf("%s left the subset when %s went", vm.Name, name)
+				t.Fatalf("%s left the subset when %s was removed", vm.Name, name)
 			}
 		}
 	})
 }
 
-// One of three targets takes four times as long from token to token as the
-// others, and reports as many free places. While the others have room it gets
-// a call now and then only, so that few callers wait; when it has recovered
-// it gets its part again.
-func TestSlowTargetIsTriedNowAndThen(t *testing.T) {
+// One of three targets has four times the time between tokens of the others, and
+// reports as much free capacity. While the others have capacity, it must get only
+// occasional probes. Once it has recovered, it must get its share of calls again.
+func TestSlowTargetIsProbed(t *testing.T) {
 	c := newChooser()
-	cands := []Candidate{target("t1", "a1"), target("t2", "a1"), target("t3", "a1")}
-	now := start
+	cands := []Candidate{newCandidate("t1", "a1"), newCandidate("t2", "a1"), newCandidate("t3", "a1")}
+	now := startTime
 	run := func(slowest time.Duration) int {
 		slow := 0
 		for range 600 {
--- a/core/request/route/prefix.go
+++ b/core/request/route/prefix.go
@@ -7,34 +7,39 @@
 	"hawthornferry/core/process/aged"
 )
 
-// holdersPerPrefix bounds the targets remembered for one prefix.
+// holdersPerPrefix is the most targets remembered for one prefix.
 const holdersPerPrefix = 4
 
-// prefixes remembers which targets hold which prompt prefixes in their
-// caches. It is a guess: events come late and with gaps, and an entry's own
-// choices are taken as stored before the engine says so. A wrong guess costs
-// a prefill and nothing else.
-type prefixes struct {
+// prefixTable remembers which targets are likely to hold which prompt prefixes in
+// their caches.
+//
+// It may be wrong: cache events arrive late and some are lost, and the entry assumes
+// that a chosen target holds the prompt's prefixes before its engine reports it. A
+// wrong entry costs one prefill at most.
+type prefixTable struct {
 	table aged.Table[uint64, []holder]
 }
 
+// holder is a target that is assumed to hold a prefix since storedAt.
 type holder struct {
-	target string
-	at     time.Time
+	target   string
+	storedAt time.Time
 }
 
-func (p *prefixes) stored(now time.Time, target string, prefix uint64) {
+// stored puts target first among the holders of prefix, and drops expired holders and
+// those beyond holdersPerPrefix.
+func (p *prefixTable) stored(now time.Time, target string, prefix uint64) {
 	old, _ := p.table.Get(now, prefix)
-	held := []holder{{target: target, at: now}}
+	held := []holder{{target: target, storedAt: now}}
 	for _, h := range old {
-		if h.target != target && now.Sub(h.at) <= p.table.Age && len(held) < holdersPerPrefix {
+		if h.target != target && now.Sub(h.storedAt) <= p.table.Age && len(held) < holdersPerPrefix {
 			held = append(held, h)
 		}
 	}
 	p.table.Put(now, prefix, held)
 }
 
-func (p *prefixes) evicted(now time.Time, target string, prefix uint64) {
+func (p *prefixTable) evicted(now time.Time, target string, prefix uint64) {
 	old, ok := p.table.Get(now, prefix)
 	if !ok {
 		return
@@ -47,13 +52,13 @@
 	p.table.Put(now, prefix, held)
 }
 
-// depth returns how many leading blocks of the request target is thought to
-// hold; the prefixes are given shortest first.
-func (p *prefixes) depth(now time.Time, target string, request []uint64) int {
+// depth returns how many leading blocks of the request target is assumed to hold. The
+// request's prefixes are ordered shortest first.
+func (p *prefixTable) depth(now time.Time, target string, request []uint64) int {
 	for i, prefix := range slices.Backward(request) {
 		held, _ := p.table.Get(now, prefix)
 		for _, h := range held {
-			if h.target == target && now.Sub(h.at) <= p.table.Age {
+			if h.target == target && now.Sub(h.storedAt) <= p.table.Age {
 				return i + 1
 			}
 		}
--- a/core/request/route/speed.go
+++ b/core/request/route/speed.go
@@ -7,71 +7,82 @@
 	"hawthornferry/core/process/aged"
 )
 
-// How the speed of targets is learnt: the weight of a new sample, the fewest
-// samples that count, how many times the usual time between tokens a target
-// must take to count as slow, and how often a slow one is tried.
+// Parameters for detecting slow targets.
 const (
-	speedSmoothing = 0.1
-	speedLeast     = 8
-	slowFrom       = 2
-	probeEvery     = 10 * time.Second
+	// paceSmoothing is the least weight of a new sample in the moving average.
+	paceSmoothing = 0.1
+	// minPaceSamples is the fewest samples for which a target's average is used.
+	minPaceSamples = 8
+	// slowFactor is the multiple of the median time between tokens above which a
+	// target is slow.
+	slowFactor = 2
+	// probeInterval is the least time between two probes of a slow target.
+	probeInterval = 10 * time.Second
 )
 
-// speeds remembers how long targets take from token to token. The time to the
-// first byte would not do: it tells of prompts, caches and queues more than of
-// the target, and busy targets were taken for slow ones. A target that is slow still reports free places; without this it gets nearly as many calls as
-// the others, and one call in so many waits long.
-type speeds struct {
-	table aged.Table[string, speed]
+// paceTracker tracks the mean time between tokens of each target, to detect slow
+// ones. A slow target still reports free capacity; if it weren't excluded it would
+// get nearly as many calls as the others, and a share of the calls would be slow.
+//
+// The time to the first byte isn't suitable as a measure: it depends more on prompts,
+// caches and queues than on the target, and busy targets were taken for slow ones.
+type paceTracker struct {
+	table aged.Table[string, paceStats]
 }
 
-type speed struct {
-	pace   float64
-	n      int
-	probed time.Time
+// paceStats holds a target's speed. pace is the moving average of its time between tokens
+// in seconds, over the given number of samples. lastProbe is when it was last
+// let in although it is slow.
+type paceStats struct {
+	pace      float64
+	samples   int
+	lastProbe time.Time
 }
 
-func (s *speeds) observe(now time.Time, target string, pace time.Duration) {
+// observe adds a sample to the target's moving average. The first samples are
+// averaged with equal weight.
+func (s *paceTracker) observe(now time.Time, target string, pace time.Duration) {
 	v, _ := s.table.Get(now, target)
-	v.n++
-	weight := max(speedSmoothing, 1/float64(v.n))
-	// A target that has become quick again must not be kept out by what it
-	// was: a few probes are all that it gets.
-	if pace.Seconds()*slowFrom < v.pace {
+	v.samples++
+	weight := max(paceSmoothing, 1/float64(v.samples))
+	// A slow target gets only a few probes. A sample that is much faster than the
+	// average gets a large weight, so that a recovered target is not excluded for
+	// long.
+	if pace.Seconds()*slowFactor < v.pace {
 		weight = 1.0 / 2
 	}
 	v.pace += weight * (pace.Seconds() - v.pace)
 	s.table.Put(now, target, v)
 }
 
-// split parts ws into targets of usual speed and those that are slow beside
-// the median of all. A slow one without a call of this entry is let in now
-// and then, for one call, so that its recovery is seen.
-func (s *speeds) split(now time.Time, ws []weighed) (usual, slow []weighed) {
-	known := make([]float64, 0, len(ws))
-	for _, w := range ws {
-		if v, ok := s.table.Get(now, w.vm.Name); ok && v.n >= speedLeast {
+// splitSlow splits targets into those of usual speed and those that are slow compared
+// with the median of all. A slow target at which this entry has no call in flight
+// counts as usual once per probeInterval, so that its recovery is noticed.
+func (s *paceTracker) splitSlow(now time.Time, targets []eligibleTarget) (usual, slow []eligibleTarget) {
+	known := make([]float64, 0, len(targets))
+	for _, t := range targets {
+		if v, ok := s.table.Get(now, t.vm.Name); ok && v.samples >= minPaceSamples {
 			known = append(known, v.pace)
 		}
 	}
 	if len(known) < 2 {
-		return ws, nil
+		return targets, nil
 	}
 	slices.Sort(known)
-	bound := slowFrom * known[(len(known)-1)/2]
-	for _, w := range ws {
-		v, ok := s.table.Get(now, w.vm.Name)
-		if !ok || v.n < speedLeast || v.pace <= bound {
-			usual = append(usual, w)
+	bound := slowFactor * known[(len(known)-1)/2]
+	for _, t := range targets {
+		v, ok := s.table.Get(now, t.vm.Name)
+		if !ok || v.samples < minPaceSamples || v.pace <= bound {
+			usual = append(usual, t)
 			continue
 		}
-		if w.inFlight == 0 && now.Sub(v.probed) >= probeEvery {
-			v.probed = now
-			s.table.Put(now, w.vm.Name, v)
-			usual = append(usual, w)
+		if t.inFlight == 0 && now.Sub(v.lastProbe) >= probeInterval {
+			v.lastProbe = now
+			s.table.Put(now, t.vm.Name, v)
+			usual = append(usual, t)
 			continue
 		}
-		slow = append(slow, w)
+		slow = append(slow, t)
 	}
 	return usual, slow
 }
--- a/core/request/route/subset.go
+++ b/core/request/route/subset.go
@@ -8,26 +8,26 @@
 	"hawthornferry/core/process/rank"
 )
 
-// spareShare is the part of a subset, one in spareShare, that is kept for
-// targets of which other entries are the home.
-const spareShare = 4
+// spareDivisor sets the share of a subset, 1/spareDivisor, that is reserved for
+// targets whose home entries do not include this entry.
+const spareDivisor = 4
 
-// Subset returns the targets of service to which entry keeps sessions, at
-// most size of them. An entry's cost thus does not grow with the fleet. vms
-// holds targets and entries.
+// Subset returns the targets of service to which the entry keeps sessions, at most
+// size of them, so that an entry's cost does not grow with the fleet. vms lists both
+// targets and entries.
 //
-// A target's home entries are those of its zone; where there are none, those
-// of its region, and else all. Each target ranks its home entries, and an
-// entry takes the targets first that rank it highest. Were each entry to pick
-// by itself, some targets would be picked by none and stand idle: 24 of 256
-// with 22 entries of 24 places each. Twice as many places in all as there are
-// targets leave none out.
+// The home entries of a target are the entries of its zone; if there are none, those
+// of its region; if there are none either, all entries. Each target ranks its home
+// entries, and an entry takes first the targets that rank it highest. If each entry
+// ranked the targets instead, some targets would be in no subset and stay idle: 24 of
+// 256 targets with 22 entries and subsets of 24. With subsets that add up to twice
+// the number of targets, the ranking by targets leaves none out.
 //
-// One place in four is kept for other targets when there are any. Without it
-// an entry whose zone fails would have to open all its sessions anew in the
-// moment of the failure.
+// A quarter of the subset is reserved for targets that have other home entries, if
+// there are any. Without these an entry whose zone fails would have to open all of
+// its sessions at the moment of the failure.
 func Subset(entry fleet.VM, service string, vms []fleet.VM, size int) []fleet.VM {
-	h := newHomes(entry, vms)
+	h := newHomeEntries(entry, vms)
 	var home, region, far []fleet.VM
 	for _, vm := range vms {
 		switch {
@@ -41,26 +41,28 @@
 		}
 	}
 	key := service + "/" + entry.Name
-	spares := append(ordered(key, region), ordered(key, far)...)
-	near := min(len(home), size-min(size/spareShare, len(spares)))
-	out := h.ordered(home)[:near]
+	spares := append(sortByHash(key, region), sortByHash(key, far)...)
+	near := min(len(home), size-min(size/spareDivisor, len(spares)))
+	out := h.sortByRank(home)[:near]
 	return append(out, spares[:min(len(spares), size-near)]...)
 }
 
-func ordered(key string, vms []fleet.VM) []fleet.VM {
+// sortByHash orders VMs by their rendezvous hash for key.
+func sortByHash(key string, vms []fleet.VM) []fleet.VM {
 	return rank.Order(key, vms, func(vm fleet.VM) string { return vm.Name })
 }
 
-// homes tells which entries are the home of a target, seen from one entry.
-type homes struct {
-	entry  fleet.VM
-	all    []string
-	zone   map[string][]string
-	region map[string][]string
+// homeEntries determines the home entries of targets and whether entry is
+// among them.
+type homeEntries struct {
+	entry    fleet.VM
+	names    []string
+	byZone   map[string][]string
+	byRegion map[string][]string
 }
 
-func newHomes(entry fleet.VM, vms []fleet.VM) homes {
-	h := homes{entry: entry, zone: map[string][]string{}, region: map[string][]string{}}
+func newHomeEntries(entry fleet.VM, vms []fleet.VM) homeEntries {
+	h := homeEntries{entry: entry, byZone: map[string][]string{}, byRegion: map[string][]string{}}
 	known := false
 	for _, vm := range vms {
 		if vm.Role == fleet.RoleEntry && vm.State == fleet.StateLive {
@@ -68,55 +70,57 @@
 			known = known || vm.Name == entry.Name
 		}
 	}
-	// The list lags; an entry that it does not show yet counts itself.
+	// The VM list lags behind: add this entry if it is not listed yet.
 	if !known {
 		h.add(entry)
 	}
 	return h
 }
 
-func (h *homes) add(entry fleet.VM) {
-	h.all = append(h.all, entry.Name)
-	h.zone[entry.Zone] = append(h.zone[entry.Zone], entry.Name)
-	h.region[entry.Region] = append(h.region[entry.Region], entry.Name)
+func (h *homeEntries) add(entry fleet.VM) {
+	h.names = append(h.names, entry.Name)
+	h.byZone[entry.Zone] = append(h.byZone[entry.Zone], entry.Name)
+	h.byRegion[entry.Region] = append(h.byRegion[entry.Region], entry.Name)
 }
 
-func (h *homes) of(target fleet.VM) []string {
-	if in := h.zone[target.Zone]; len(in) > 0 {
+// of returns the names of the target's home entries.
+func (h *homeEntries) of(target fleet.VM) []string {
+	if in := h.byZone[target.Zone]; len(in) > 0 {
 		return in
 	}
-	if in := h.region[target.Region]; len(in) > 0 {
+	if in := h.byRegion[target.Region]; len(in) > 0 {
 		return in
 	}
-	return h.all
+	return h.names
 }
 
-func (h *homes) isHome(target fleet.VM) bool {
+func (h *homeEntries) isHome(target fleet.VM) bool {
 	return slices.Contains(h.of(target), h.entry.Name)
 }
 
-// ordered sorts targets by the place that each gives to the entry.
-func (h *homes) ordered(targets []fleet.VM) []fleet.VM {
-	type placed struct {
-		vm    fleet.VM
-		place int
-		far   int
-		score uint64
+// sortByRank orders targets by the rank that each gives to this entry. Among equal
+// ranks, targets of the entry's own zone come first.
+func (h *homeEntries) sortByRank(targets []fleet.VM) []fleet.VM {
+	type rankedTarget struct {
+		vm        fleet.VM
+		position  int
+		otherZone int
+		score     uint64
 	}
-	ps := make([]placed, 0, len(targets))
+	ranked := make([]rankedTarget, 0, len(targets))
 	for _, vm := range targets {
-		place := rank.Position(vm.Name, h.entry.Name, h.of(vm))
-		p := placed{vm: vm, place: place, score: rank.Score(vm.Name, h.entry.Name)}
+		position := rank.Position(vm.Name, h.entry.Name, h.of(vm))
+		p := rankedTarget{vm: vm, position: position, score: rank.Score(vm.Name, h.entry.Name)}
 		if vm.Zone != h.entry.Zone {
-			p.far = 1
+			p.otherZone = 1
 		}
-		ps = append(ps, p)
+		ranked = append(ranked, p)
 	}
-	slices.SortFunc(ps, func(a, b placed) int {
-		return cmp.Or(cmp.Compare(a.place, b.place), cmp.Compare(a.far, b.far), cmp.Compare(b.score, a.score), cmp.Compare(a.vm.Name, b.vm.Name))
+	slices.SortFunc(ranked, func(a, b rankedTarget) int {
+		return cmp.Or(cmp.Compare(a.position, b.position), cmp.Compare(a.otherZone, b.otherZone), cmp.Compare(b.score, a.score), cmp.Compare(a.vm.Name, b.vm.Name))
 	})
-	out := make([]fleet.VM, 0, len(ps))
-	for _, p := range ps {
+	out := make([]fleet.VM, 0, len(ranked))
+	for _, p := range ranked {
 		out = append(out, p.vm)
 	}
 	return out
--- a/core/request/route/subset_test.go
+++ b/core/request/route/subset_test.go
@@ -7,7 +7,9 @@
 	"hawthornferry/core/process/fleet"
 )
 
-func zoneFleet(zones, entries, targets int) []fleet.VM {
+// newFleet returns a fleet with the given numbers of entries and targets in each
+// zone. Four zones make a region.
+func newFleet(zones, entries, targets int) []fleet.VM {
 	var vms []fleet.VM
 	for z := range zones {
 		zone := fmt.Sprintf("%c%d", 'a'+z/4, z)
@@ -17,14 +19,14 @@
 			})
 		}
 		for i := range targets {
-			vms = append(vms, target(fmt.Sprintf("t%d-%d", z, i), zone).VM)
+			vms = append(vms, newCandidate(fmt.Sprintf("t%d-%d", z, i), zone).VM)
 		}
 	}
 	return vms
 }
 
-// coverage counts how many entries keep a session to each target.
-func coverage(vms []fleet.VM, size int) map[string]int {
+// entriesPerTarget counts, for each target, the entries that have it in their subset.
+func entriesPerTarget(vms []fleet.VM, size int) map[string]int {
 	out := map[string]int{}
 	for _, vm := range vms {
 		if vm.Role == fleet.RoleSide {
@@ -38,9 +40,8 @@
 	return out
 }
 
-// A target with which no entry keeps a session stands idle while others
-// queue. Fleets of today's size and of the size to come leave none out, also
-// where a zone has no entry of its own.
+// Guards against targets that are in no entry's subset: they would be idle while
+// calls wait at others. Covers small and large fleets, and a zone without entries.
 func TestEveryTargetIsInSomeSubset(t *testing.T) {
 	tests := []struct {
 		name                    string
@@ -48,13 +49,13 @@
 		size                    int
 	}{
 		{"a few entries", 3, 1, 4, 8},
-		{"one zone of the size to come", 1, 22, 256, 24},
-		{"zones of the size to come", 4, 22, 256, 32},
+		{"one large zone", 1, 22, 256, 24},
+		{"several large zones", 4, 22, 256, 32},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			idle, most, sum := 0, 0, 0
-			got := coverage(zoneFleet(tt.zones, tt.entries, tt.targets), tt.size)
+			got := entriesPerTarget(newFleet(tt.zones, tt.entries, tt.targets), tt.size)
 			for _, n := range got {
 				most = max(most, n)
 				sum += n
@@ -62,22 +63,22 @@
 					idle++
 				}
 			}
-			t.Logf("%d targets, %d idle, %.1f entries each on average, %d at most", len(got), idle, float64(sum)/float64(len(got)), most)
+			t.Logf("%d targets, %d idle, mean entries per target %.1f, max %d", len(got), idle, float64(sum)/float64(len(got)), most)
 			if idle > 0 {
 				t.Errorf("%d of %d targets are in no subset", idle, len(got))
 			}
 		})
 	}
-	// The entries of zone 0 are gone; those of its region take its targets.
+	// Zone a0 has no entries: those of its region must take its targets.
 	var rest []fleet.VM
-	for _, vm := range zoneFleet(2, 2, 6) {
+	for _, vm := range newFleet(2, 2, 6) {
 		if vm.Role != fleet.RoleEntry || vm.Zone != "a0" {
 			rest = append(rest, vm)
 		}
 	}
-	for name, n := range coverage(rest, 12) {
+	for name, n := range entriesPerTarget(rest, 12) {
 		if n == 0 {
-			t.Errorf("%s is in no subset after the entries of its zone went", name)
+			t.Errorf("%s is in no subset after the entries of its zone were removed", name)
 		}
 	}
 }
--- a/core/request/route/types.go
+++ b/core/request/route/types.go
@@ -1,4 +1,9 @@
-// Package route chooses the target for a call.
+// Package route is the load balancer of an entry: it chooses the target of each call,
+// by prompt prefix affinity, load, speed and zone, and the subset of targets to which
+// an entry keeps sessions.
+//
+// The entry's front calls it with what it knows of its targets. The package does no
+// I/O and reads no clock; callers pass the time in.
 package route
 
 import (
@@ -9,19 +14,20 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Priority is the class of a call; batch calls give way to interactive ones.
+// Priority is the class of a call. Batch calls yield to interactive ones.
 type Priority string
 
-// The classes of call.
+// The priorities of a call.
 const (
 	PriorityInteractive Priority = "interactive"
 	PriorityBatch       Priority = "batch"
 )
 
-// Request is what is known of a call before a target is chosen. Prefix holds
-// hashes of the prompt's leading blocks, the shortest prefix first. Version
-// is set for a call that may only run on that version, such as a resumed
-// stream. Avoid names targets that already failed this call.
+// Request describes a call before a target is chosen.
+//
+// Prefix holds hashes of the prompt's leading blocks, the shortest prefix first.
+// Version, if set, is the only version that may run the call, such as for a resumed
+// stream. Avoid lists targets that have already failed this call.
 type Request struct {
 	ID       string
 	Customer string
@@ -34,8 +40,8 @@
 	Avoid    []string
 }
 
-// Report is a target's own account of its load. It arrives with a lag; At is
-// the entry's clock when it came in.
+// Report is the load that a target has reported. Reports lag behind the actual load;
+// At is the entry's time at which the report arrived.
 type Report struct {
 	At       time.Time
 	Running  int
@@ -43,10 +49,11 @@
 	Capacity int
 }
 
-// Standing says whether a target may get new work.
+// Standing is a target's availability for new calls.
 type Standing string
 
-// The standings of a target.
+// The standings of a target. Any other than ready excludes the target, and its value
+// is logged as the reason.
 const (
 	StandingReady    Standing = "ready"
 	StandingLeaving  Standing = "leaving"
@@ -54,8 +61,8 @@
 	StandingUnserved Standing = "unserved"
 )
 
-// Candidate is one target as the entry sees it. InFlight counts this entry's
-// own calls outstanding at the target.
+// Candidate is a target as the entry sees it. InFlight counts this entry's own
+// outstanding calls at the target.
 type Candidate struct {
 	VM       fleet.VM
 	Standing Standing
@@ -64,11 +71,12 @@
 	Serving  chunk.Digest
 }
 
-// Reason says which rule made the choice.
+// Reason names the rule by which a target was chosen. It is written to the decision
+// log.
 type Reason string
 
-// Choice is the chosen target, the rule that chose it, and the candidates
-// that were left out with the reason for each.
+// Choice is the chosen target, the rule that chose it, and each excluded candidate
+// with the reason for its exclusion.
 type Choice struct {
 	VM     fleet.VM
 	Reason Reason
