--- a/core/request/calls/attempt.go
+++ b/core/request/calls/attempt.go
@@ -1,24 +1,26 @@
 package calls
 
-// Phase is how far an entry has come with one attempt at one side.
+// Phase is the progress of an attempt at the entry.
 type Phase string
 
-// The phases. Asking means that the connection failed with the call
-// outstanding and the side is asked over a new one.
+// The phases. Querying: the connection failed before the answer arrived, and the
+// entry asks the side over a new connection what became of the call.
 const (
-	PhaseNew     Phase = "new"
-	PhaseSent    Phase = "sent"
-	PhaseAsking  Phase = "asking"
-	PhaseSettled Phase = "settled"
+	PhaseNew      Phase = "new"
+	PhaseSent     Phase = "sent"
+	PhaseQuerying Phase = "asking"
+	PhaseSettled  Phase = "settled"
 )
 
-// Event is something that happens to an attempt at the entry.
+// Event is an input to an attempt's state machine.
 type Event string
 
-// The events. Sent: the start may have left. Unsent: it certainly did not.
-// Answered: the whole answer came. Lost: the connection failed or went
-// silent. Gone: the side is no longer there, or is another boot. GiveUp: the
-// caller's deadline passed or the caller left.
+// The events.
+//
+// Sent: the call may have left the entry. Unsent: it certainly has not. Answered: the
+// whole answer arrived. Lost: the connection failed or went silent. Gone: the side no
+// longer exists or has restarted. GiveUp: the caller's deadline passed or the caller
+// disconnected.
 const (
 	EventSent     Event = "sent"
 	EventUnsent   Event = "unsent"
@@ -28,38 +30,38 @@
 	EventGiveUp   Event = "giveUp"
 )
 
-// Step is what the entry does next.
+// Step is the next action of the entry.
 type Step string
 
-// The steps: keep waiting; ask the side over a new connection, with the
-// mark; tell the outcome.
+// The steps. Wait: keep waiting. Ask: send the side a query with Mark set over a new
+// connection. Settle: report the outcome.
 const (
 	StepWait   Step = "wait"
 	StepAsk    Step = "ask"
 	StepSettle Step = "settle"
 )
 
-// Attempt is the entry's view of a once-call at one side. It is a comparable
-// value. Outcome is set once Phase is settled; NotRun then also means that
-// another replica may get the call under a new ID.
+// Attempt is an entry's view of one attempt to run a once-call at one side. Values
+// are comparable. Outcome is set once Phase is settled. If it is then NotRun and the
+// call is free, the call may be sent to another replica under a new ID.
 type Attempt struct {
 	Phase   Phase
 	Outcome Outcome
-	// Bound is set for a call with a ticket or key: the same call may have
-	// come to the side through another entry.
+	// Bound is set for a call with a ticket or an idempotency key. The same call may
+	// reach the side through another entry too.
 	Bound bool
 }
 
-// NewAttempt returns an attempt that has not been sent.
+// NewAttempt returns an attempt for a call that has not been sent.
 func NewAttempt(b Binding) Attempt {
 	return Attempt{Phase: PhaseNew, Bound: b != BindFree}
 }
 
-// On takes an event in.
+// On applies an event and returns the next step.
 //
-// A lost connection says nothing of whether the call ran, so the attempt
-// never settles on it alone: it asks, and only the side's mark makes it
-// notRun.
+// After a lost connection it isn't known whether the call ran. The attempt therefore
+// queries the side, and its outcome is notRun only if the side has marked the call as
+// never to run.
 func (a *Attempt) On(e Event) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
@@ -73,7 +75,7 @@
 	case EventAnswered:
 		return a.settle(Done)
 	case EventLost:
-		a.Phase = PhaseAsking
+		a.Phase = PhaseQuerying
 		return StepAsk
 	}
 	if a.Phase == PhaseNew && !a.Bound {
@@ -82,17 +84,17 @@
 	return a.settle(Unknown)
 }
 
-// onUnsent settles a free call as notRun: nobody else has its ID. A bound
-// one may run through another entry, so only its side can tell.
+// onUnsent settles a free call as notRun, as no other entry has its ID. A bound call
+// may be running through another entry, so the side is queried.
 func (a *Attempt) onUnsent() Step {
 	if !a.Bound {
 		return a.settle(NotRun)
 	}
-	a.Phase = PhaseAsking
+	a.Phase = PhaseQuerying
 	return StepAsk
 }
 
-// OnRefused takes in the side's refusal.
+// OnRefused applies a refusal by the side.
 func (a *Attempt) OnRefused(o Outcome) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
@@ -100,8 +102,8 @@
 	return a.settle(o)
 }
 
-// OnVerdict takes in the side's answer to a query with the mark. An absent
-// call was not marked, so it may still run.
+// OnVerdict applies the side's answer to a query with Mark set. If the call is
+// absent, the side could not mark it, and it may still run.
 func (a *Attempt) OnVerdict(s State) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
--- a/core/request/calls/ledger.go
+++ b/core/request/calls/ledger.go
@@ -8,11 +8,12 @@
 	"hawthornferry/core/conn/lease"
 )
 
-// Limits bound a ledger. MaxAge is how old the reading of a new call may be.
-// Keep is how long a record is held after its last change; it must be over
-// MaxAge. KeyWindow is how long after its boot, or after a change among its
-// fellows, a side runs no call bound to a key. Records is the most records
-// held.
+// Limits are the settings of a ledger.
+//
+// MaxAge is the greatest age of the clock reading of a new call. Keep is how long a
+// record is kept after its last change; it must exceed MaxAge. KeyWindow is how long
+// a side runs no calls bound to a key after its boot, or after a change of the
+// members among which the keys are distributed. Records is the most records held.
 type Limits struct {
 	MaxAge    time.Duration
 	Keep      time.Duration
@@ -20,7 +21,7 @@
 	Records   int
 }
 
-// DefaultLimits returns the limits in force where none are set.
+// DefaultLimits returns the limits that apply when none are configured.
 func DefaultLimits() Limits {
 	return Limits{
 		MaxAge:    3 * time.Second,
@@ -30,41 +31,46 @@
 	}
 }
 
-// Record is what a side holds of one call. Print identifies the request, so
-// that a key or ticket used for another request is noticed.
+// Record is what a side holds of one call. Print identifies the request, to
+// detect a key or ticket that is reused for another request. At is the side's clock
+// at the last change.
 type Record struct {
 	State State
 	Print string
 	At    time.Duration
 }
 
-// Ledger is a side's memory of once-calls. It is a plain value: Clone copies
-// it, Records lists it in a fixed order. It is not safe for concurrent use.
+// Ledger is a side's record of once-calls. It is a plain value: Clone copies it, and
+// Records lists it in a fixed order. It isn't safe for concurrent use.
 type Ledger struct {
 	Boot   string
 	Limits Limits
 
 	records map[ID]Record
-	// ages holds settled calls, the oldest first.
-	ages []age
-	// keysFrom is when calls bound to keys may first run.
-	keysFrom time.Duration
+	// settled lists the calls that no longer run, the oldest first.
+	settled []settledCall
+	// keyWindowEnd is the side's clock from which calls bound to a key may run: no
+	// attempt that began earlier is run.
+	keyWindowEnd time.Duration
 }
 
-type age struct {
+// settledCall is a call that has ended or was marked at the time at.
+type settledCall struct {
 	id ID
 	at time.Duration
 }
 
-// NewLedger returns the empty ledger of a boot.
+// NewLedger returns an empty ledger for a boot of a side.
 func NewLedger(boot string, l Limits) *Ledger {
-	return &Ledger{Boot: boot, Limits: l, records: map[ID]Record{}, keysFrom: l.KeyWindow}
+	return &Ledger{Boot: boot, Limits: l, records: map[ID]Record{}, keyWindowEnd: l.KeyWindow}
 }
 
-// Start is a call that asks to run. Echo is the reading that it carries,
-// Refuse a reason of the side itself against any new work, such as leaving.
-// Unsure is set when the sender and the side see other members among which
-// keys have their owners.
+// Start is a request to run a call.
+//
+// Echo is the clock reading that the call carries. Print is the request's
+// fingerprint. Refuse, if set, is the side's own reason to refuse new calls, such as
+// leaving. Unsure is set if the sender and the side have different members, and so
+// may disagree about the owners of keys.
 type Start struct {
 	Ticket Ticket
 	Echo   lease.Reading
@@ -73,11 +79,11 @@
 	Unsure bool
 }
 
-// Act is what the side is to do with a call.
+// Act is what the side must do with a call.
 type Act string
 
-// The acts: hand the call to the target; send its answer when it is there;
-// send the answer that is held; refuse.
+// The acts. Run: pass the call to the target. Join: send the answer of the running
+// call when it arrives. Replay: send the stored answer. Refuse: refuse the call.
 const (
 	ActRun    Act = "run"
 	ActJoin   Act = "join"
@@ -85,53 +91,56 @@
 	ActRefuse Act = "refuse"
 )
 
-// Action is the ledger's decision on a call. Outcome and Reason are set for
-// a refusal.
+// Action is the ledger's decision about a call. Outcome and Reason are set for a
+// refusal only.
 type Action struct {
 	Act     Act
 	Outcome Outcome
 	Reason  Reason
 }
 
-// Start decides on a call at the side's clock now.
+// Start decides about a call at time now of the side's clock.
 //
-// A call whose ID is known never runs again, whatever entry it comes
-// through: two runs would take a fee twice. Only an unknown ID with a fresh
-// reading runs, and the record is made before the target hears of it.
+// A call whose ID is recorded never runs again, whichever entry it comes through;
+// otherwise a payment could be made twice. Only a call with an unknown ID and a fresh
+// reading runs, and it is recorded before it is passed to the target.
 func (l *Ledger) Start(now time.Duration, s Start) Action {
 	l.Expire(now)
 	if s.Ticket.Issued.Boot != l.Boot && s.Ticket.Bind != BindFree {
 		return refuse(Unknown, ReasonBoot)
 	}
 	if r, ok := l.records[s.Ticket.Call]; ok {
-		return known(r, s)
+		return decideRecorded(r, s)
 	}
 	clock := lease.Reading{Boot: l.Boot, At: now}
 	if s.Ticket.Bind == BindTicket && s.Ticket.expired(clock, l.Limits.Keep) {
 		return refuse(Unknown, ReasonExpired)
 	}
-	if l.mayBeElsewhere(s.Ticket, s.Unsure) {
+	if l.mayHaveRunElsewhere(s.Ticket, s.Unsure) {
 		return refuse(Unknown, ReasonYoung)
 	}
-	if why := l.against(clock, s); why != "" {
-		return l.turnAway(now, s, why)
+	if why := l.refusalReason(clock, s); why != "" {
+		return l.refuseUnrecorded(now, s, why)
 	}
 	l.records[s.Ticket.Call] = Record{State: StateRunning, Print: s.Print, At: now}
 	return Action{Act: ActRun}
 }
 
-// mayBeElsewhere reports whether another side may have run the key: one that
-// owned it until now, or one that the sender or this side wrongly takes for
-// the owner. What counts is when the attempt began: one that was on its way
-// for longer than the window tells nothing of what ran before it. A caller who then hears notRun would pay a second time under a
-// new key, and a mark made here would have the same said later.
-func (l *Ledger) mayBeElsewhere(t Ticket, unsure bool) bool {
-	return t.Bind == BindKey && (unsure || t.Issued.At < l.keysFrom)
+// mayHaveRunElsewhere reports whether another side may have run the call of a key: a
+// side that owned the key until recently, or one that the sender or this side wrongly
+// takes for the owner. A caller who is then told notRun would pay a second time under
+// a new key; and if the call were marked here, repeats would be told notRun too.
+//
+// The time at which the attempt began is compared with the window, not the time of
+// its arrival: an attempt that was under way for longer than the window gives no
+// information about earlier runs.
+func (l *Ledger) mayHaveRunElsewhere(t Ticket, unsure bool) bool {
+	return t.Bind == BindKey && (unsure || t.Issued.At < l.keyWindowEnd)
 }
 
-// against returns the reason why a call of which no record is held may not
-// run, and "" when it may.
-func (l *Ledger) against(clock lease.Reading, s Start) Reason {
+// refusalReason returns why a call without a record may not run, or an empty string
+// if it may.
+func (l *Ledger) refusalReason(clock lease.Reading, s Start) Reason {
 	switch lease.Judge(clock, s.Echo, l.Limits.MaxAge) {
 	case lease.Stale:
 		return ReasonStale
@@ -147,21 +156,22 @@
 	return ""
 }
 
-// turnAway refuses a call that has not run. A bound call is marked first:
-// the same ticket or key may be on its way through another entry, and the
-// caller who hears notRun would be told wrong if that one ran later. Where
-// no mark fits the outcome is unknown.
-func (l *Ledger) turnAway(now time.Duration, s Start, why Reason) Action {
+// refuseUnrecorded refuses a call that has not run. A bound call is first marked as
+// never to run: the same ticket or key may be on its way through another entry, and
+// if that attempt ran later, notRun would have been wrong. If there is no room for
+// the mark, the outcome is unknown.
+func (l *Ledger) refuseUnrecorded(now time.Duration, s Start, why Reason) Action {
 	if s.Ticket.Bind == BindFree {
 		return refuse(NotRun, why)
 	}
-	if !l.mark(now, s.Ticket.Call) {
+	if !l.markNever(now, s.Ticket.Call) {
 		return refuse(Unknown, why)
 	}
 	return refuse(NotRun, why)
 }
 
-func known(r Record, s Start) Action {
+// decideRecorded decides about a call that has a record.
+func decideRecorded(r Record, s Start) Action {
 	if r.State != StateNever && r.Print != s.Print {
 		return refuse(NotRun, ReasonMismatch)
 	}
@@ -181,8 +191,8 @@
 	return Action{Act: ActRefuse, Outcome: o, Reason: why}
 }
 
-// Settle ends a running call as done, broken, or never when it is certain
-// that the target did not hear of it. Any other call is left as it is.
+// Settle sets the final state of a running call: done, broken, or never if the target
+// has certainly not received it. Any other call is left unchanged.
 func (l *Ledger) Settle(now time.Duration, id ID, s State) {
 	r, ok := l.records[id]
 	if !ok || r.State != StateRunning {
@@ -190,23 +200,22 @@
 	}
 	r.State, r.At = s, now
 	l.records[id] = r
-	l.ages = append(l.ages, age{id: id, at: now})
+	l.settled = append(l.settled, settledCall{id: id, at: now})
 }
 
-// Query asks what became of a call. With Mark a call of which the side holds
-// no record is marked, so that it never runs.
+// Query asks what became of a call. With Mark set, a call without a record is marked
+// so that it never runs. Unsure is as in Start.
 type Query struct {
 	Ticket Ticket
 	Mark   bool
 	Unsure bool
 }
 
-// Query returns the state of a call at the side's clock now.
+// Query returns the state of a call at time now of the side's clock.
 //
-// Without the mark, a call still on its way in an older connection would run
-// after the entry had sent it to another replica: it would run twice. The
-// mark is made in the same step that finds no record, so nothing can come
-// between.
+// Without the mark a call that is still on its way on an earlier connection could run
+// after the entry has sent it to another replica, and so run twice. The look-up and
+// the mark are one step, so that the call can't start in between.
 func (l *Ledger) Query(now time.Duration, q Query) State {
 	l.Expire(now)
 	clock := lease.Reading{Boot: l.Boot, At: now}
@@ -219,73 +228,75 @@
 	if q.Ticket.expired(clock, l.Limits.Keep) {
 		return StateGone
 	}
-	if l.mayBeElsewhere(q.Ticket, q.Unsure) {
+	if l.mayHaveRunElsewhere(q.Ticket, q.Unsure) {
 		return StateGone
 	}
 	if !q.Mark {
 		return StateAbsent
 	}
-	if !l.mark(now, q.Ticket.Call) {
+	if !l.markNever(now, q.Ticket.Call) {
 		return StateAbsent
 	}
 	return StateNever
 }
 
-// marksOver is how many records beyond the bound may be marks, as a share of
-// the bound: a full ledger can still promise that calls never run.
-const marksOver = 8
+// extraMarksDivisor sets how many records beyond Limits.Records may be held for
+// marks: Records/extraMarksDivisor + 1. A full ledger can thus still mark calls as
+// never to run.
+const extraMarksDivisor = 8
 
-func (l *Ledger) mark(now time.Duration, id ID) bool {
-	if len(l.records) >= l.Limits.Records+l.Limits.Records/marksOver+1 {
+// markNever records that the call never runs, and reports whether there was room for
+// the record.
+func (l *Ledger) markNever(now time.Duration, id ID) bool {
+	if len(l.records) >= l.Limits.Records+l.Limits.Records/extraMarksDivisor+1 {
 		return false
 	}
 	l.records[id] = Record{State: StateNever, At: now}
-	l.ages = append(l.ages, age{id: id, at: now})
+	l.settled = append(l.settled, settledCall{id: id, at: now})
 	return true
 }
 
-// Renew starts the key window anew. The side calls it when the members among
-// which keys have their owners change: a key that another side owned until
-// now may have run there.
-func (l *Ledger) Renew(now time.Duration) { l.keysFrom = now + l.Limits.KeyWindow }
+// Renew restarts the key window. The side calls it when the members among which keys
+// are distributed change: a key that another side owned until now may have run there.
+func (l *Ledger) Renew(now time.Duration) { l.keyWindowEnd = now + l.Limits.KeyWindow }
 
-// Expire drops the records that have passed their age and returns their IDs.
-// Running calls stay. A record outlives the readings under which its call
-// could still start, so a dropped mark lets no late call in.
+// Expire drops the records whose last change is over Limits.Keep ago, and returns
+// their IDs. Running calls are kept. Records outlive the readings with which their
+// calls could still start, so dropping a mark lets no late call run.
 func (l *Ledger) Expire(now time.Duration) []ID {
 	var gone []ID
 	n := 0
-	for n < len(l.ages) && now-l.ages[n].at > l.Limits.Keep {
-		delete(l.records, l.ages[n].id)
-		gone = append(gone, l.ages[n].id)
+	for n < len(l.settled) && now-l.settled[n].at > l.Limits.Keep {
+		delete(l.records, l.settled[n].id)
+		gone = append(gone, l.settled[n].id)
 		n++
 	}
-	l.ages = slices.Delete(l.ages, 0, n)
+	l.settled = slices.Delete(l.settled, 0, n)
 	return gone
 }
 
 // Len is the number of records held.
 func (l *Ledger) Len() int { return len(l.records) }
 
-// Held is a record with the ID of its call.
-type Held struct {
+// CallRecord is a record and the ID of its call.
+type CallRecord struct {
 	ID     ID
 	Record Record
 }
 
-// Records lists the records sorted by ID.
-func (l *Ledger) Records() []Held {
-	out := make([]Held, 0, len(l.records))
+// Records returns all records sorted by ID.
+func (l *Ledger) Records() []CallRecord {
+	out := make([]CallRecord, 0, len(l.records))
 	for _, id := range slices.Sorted(maps.Keys(l.records)) {
-		out = append(out, Held{ID: id, Record: l.records[id]})
+		out = append(out, CallRecord{ID: id, Record: l.records[id]})
 	}
 	return out
 }
 
-// Clone returns a copy that shares nothing with l.
+// Clone returns a deep copy of l.
 func (l *Ledger) Clone() *Ledger {
 	c := *l
 	c.records = maps.Clone(l.records)
-	c.ages = slices.Clone(l.ages)
+	c.settled = slices.Clone(l.settled)
 	return &c
 }
--- a/core/request/calls/ledger_test.go
+++ b/core/request/calls/ledger_test.go
@@ -13,34 +13,34 @@
 
 var testLimits = Limits{MaxAge: 3 * time.Second, Keep: time.Minute, KeyWindow: 10 * time.Second, Records: 4}
 
-func startOf(id ID, b Binding, at time.Duration) Start {
+func newStart(id ID, b Binding, at time.Duration) Start {
 	echo := lease.Reading{Boot: "b", At: at}
 	return Start{Ticket: Ticket{Call: id, Bind: b, Service: "s", Side: "v", Issued: echo}, Echo: echo, Print: "p"}
 }
 
 func TestLedgerRefusals(t *testing.T) {
 	now := 20 * time.Second
-	otherBoot := startOf("x", BindTicket, now)
+	otherBoot := newStart("x", BindTicket, now)
 	otherBoot.Ticket.Issued.Boot = "a"
-	leaving := startOf("x", BindFree, now)
+	leaving := newStart("x", BindFree, now)
 	leaving.Refuse = ReasonLeaving
-	otherPrint := startOf("done", BindTicket, now)
+	otherPrint := newStart("done", BindTicket, now)
 	otherPrint.Print = "q"
 	tests := []struct {
 		name  string
 		start Start
 		want  Action
 	}{
-		{"fresh", startOf("x", BindFree, now), Action{Act: ActRun}},
-		{"old reading", startOf("x", BindFree, now-4*time.Second), refuse(NotRun, ReasonStale)},
-		{"reading from the future", startOf("x", BindFree, now+time.Second), refuse(NotRun, ReasonStale)},
+		{"fresh", newStart("x", BindFree, now), Action{Act: ActRun}},
+		{"old reading", newStart("x", BindFree, now-4*time.Second), refuse(NotRun, ReasonStale)},
+		{"reading from the future", newStart("x", BindFree, now+time.Second), refuse(NotRun, ReasonStale)},
 		{"leaving", leaving, refuse(NotRun, ReasonLeaving)},
 		{"ticket of another boot", otherBoot, refuse(Unknown, ReasonBoot)},
-		{"running", startOf("running", BindTicket, now), Action{Act: ActJoin}},
-		{"done", startOf("done", BindTicket, now), Action{Act: ActReplay}},
+		{"running", newStart("running", BindTicket, now), Action{Act: ActJoin}},
+		{"done", newStart("done", BindTicket, now), Action{Act: ActReplay}},
 		{"done, other request", otherPrint, refuse(NotRun, ReasonMismatch)},
-		{"broken", startOf("broken", BindTicket, now), refuse(Unknown, ReasonBroken)},
-		{"marked", startOf("marked", BindFree, now), refuse(NotRun, ReasonNever)},
+		{"broken", newStart("broken", BindTicket, now), refuse(Unknown, ReasonBroken)},
+		{"marked", newStart("marked", BindFree, now), refuse(NotRun, ReasonNever)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -48,11 +48,11 @@
 			limits.Records = 8
 			l := NewLedger("b", limits)
 			for _, id := range []ID{"running", "done", "broken"} {
-				l.Start(now, startOf(id, BindFree, now))
+				l.Start(now, newStart(id, BindFree, now))
 			}
 			l.Settle(now, "done", StateDone)
 			l.Settle(now, "broken", StateBroken)
-			l.Query(now, Query{Ticket: startOf("marked", BindFree, now).Ticket, Mark: true})
+			l.Query(now, Query{Ticket: newStart("marked", BindFree, now).Ticket, Mark: true})
 			if diff := cmp.Diff(tc.want, l.Start(now, tc.start)); diff != "" {
 				t.Errorf("action (-want +got):\n%s", diff)
 			}
@@ -60,9 +60,9 @@
 	}
 }
 
-// Starts, queries, ends and pauses come in any order, also old ones again. No
-// ID is run twice, and none that was said to be never or notRun for a bound
-// call is run afterwards.
+// Calls start, are repeated, queried, settled and delayed in random order. No ID may
+// run twice, and none may run after it was reported as never to run, or as notRun for
+// a bound call.
 func TestLedgerRunsAnIDOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLedger("b", testLimits)
@@ -73,13 +73,13 @@
 			switch rapid.SampledFrom([]string{"new", "again", "query", "settle", "wait"}).Draw(t, "step") {
 			case "new":
 				bind := rapid.SampledFrom([]Binding{BindFree, BindTicket}).Draw(t, "bind")
-				sent = append(sent, startOf(ID(fmt.Sprint(len(sent))), bind, now))
+				sent = append(sent, newStart(ID(fmt.Sprint(len(sent))), bind, now))
 				first := sent[len(sent)-1]
 				first.Refuse = rapid.SampledFrom([]Reason{"", ReasonLeaving}).Draw(t, "refuse")
-				act(t, l, now, first, runs, never)
+				startAndCheck(t, l, now, first, runs, never)
 			case "again":
 				if len(sent) > 0 {
-					act(t, l, now, rapid.SampledFrom(sent).Draw(t, "old"), runs, never)
+					startAndCheck(t, l, now, rapid.SampledFrom(sent).Draw(t, "old"), runs, never)
 				}
 			case "query":
 				if len(sent) > 0 {
@@ -93,14 +93,16 @@
 			case "wait":
 				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second
 			}
-			if bound := testLimits.Records + testLimits.Records/marksOver + 1; l.Len() > bound {
+			if bound := testLimits.Records + testLimits.Records/extraMarksDivisor + 1; l.Len() > bound {
 				t.Fatalf("%d records, want at most %d", l.Len(), bound)
 			}
 		}
 	})
 }
 
-func act(t *rapid.T, l *Ledger, now time.Duration, s Start, runs map[ID]int, never map[ID]bool) {
+// startAndCheck starts a call and checks that it has run at most once, and not after
+// it was reported never to run.
+func startAndCheck(t *rapid.T, l *Ledger, now time.Duration, s Start, runs map[ID]int, never map[ID]bool) {
 	id := s.Ticket.Call
 	got := l.Start(now, s)
 	if got.Act == ActRun {
@@ -114,8 +116,8 @@
 	}
 }
 
-// The attempt settles as notRun only where the call never left or the side
-// has marked it.
+// The outcome may be notRun only if the call never left the entry or the side has
+// marked it.
 func TestAttemptOutcomes(t *testing.T) {
 	tests := []struct {
 		name    string
--- a/core/request/calls/outcome.go
+++ b/core/request/calls/outcome.go
@@ -1,28 +1,31 @@
-// Package calls decides what becomes of calls that must run at most once. It
-// holds the state machines of both ends: the side's ledger of calls and the
-// entry's view of one attempt. It has no socket, goroutine or clock of its
-// own.
+// Package calls implements at-most-once execution of calls (once-calls), such as
+// payments. It holds the state machines of both ends: Ledger is the record of calls
+// that a side (the process next to a target) keeps, and Attempt is an entry's view of
+// one attempt to run a call at a side.
+//
+// The gate of a side and the front of an entry drive them. The package has no I/O,
+// goroutines or clock of its own; package proof explores the same code exhaustively.
 package calls
 
 import "github.com/cockroachdb/errors"
 
-// ID names one attempt to run a call. It is unique over all entries and
-// sides; a repeat of the same ticket or idempotency key has the same ID.
+// ID identifies a call. IDs are unique over all entries and sides. A call without a
+// ticket or key gets a new ID for each attempt; all repeats of a ticket or of an
+// idempotency key have the same ID.
 type ID string
 
-// Outcome is what a caller is told of its call. The set is closed.
+// Outcome is what a caller is told about its call. No other values exist.
 type Outcome string
 
-// The outcomes. Done means that the call ran and was answered. NotRun means
-// that it did not run and never will under its ID. Unknown means that it may
-// or may not have run.
+// The outcomes. Done: the call ran and was answered. NotRun: the call has not run and
+// never will under its ID. Unknown: the call may or may not have run.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "notRun"
 	Unknown Outcome = "unknown"
 )
 
-// Check reports whether o is one of the outcomes.
+// Check returns an error unless o is one of the outcomes.
 func (o Outcome) Check() error {
 	switch o {
 	case Done, NotRun, Unknown:
@@ -31,13 +34,16 @@
 	return errors.Newf("unknown outcome %q", string(o))
 }
 
-// State is what a side knows of a call.
+// State is what a side knows about a call.
 type State string
 
-// The states. Absent is a call of which the side holds no record; Gone is a
-// call whose record may have been lost, because it belongs to another boot or
-// its record has passed its age. Broken is a call that reached the target and
-// whose answer did not come back whole.
+// The states of a call.
+//
+// Absent: the side has no record of the call. Never: the call has not run and is
+// marked so that it never will. Broken: the call reached the target, but the whole
+// answer did not come back. Gone: the side can't tell, as its record may be lost: the
+// call belongs to another boot, its record may have expired, or another side may have
+// run it.
 const (
 	StateAbsent  State = "absent"
 	StateRunning State = "running"
@@ -47,7 +53,7 @@
 	StateGone    State = "gone"
 )
 
-// Check reports whether s is one of the states.
+// Check returns an error unless s is one of the states.
 func (s State) Check() error {
 	switch s {
 	case StateAbsent, StateRunning, StateDone, StateNever, StateBroken, StateGone:
@@ -56,7 +62,7 @@
 	return errors.Newf("unknown call state %q", string(s))
 }
 
-// Reason says which rule refused a call.
+// Reason names the rule by which a side refused a call.
 type Reason string
 
 // The reasons for which a side refuses a call.
--- a/core/request/calls/owner.go
+++ b/core/request/calls/owner.go
@@ -15,24 +15,24 @@
 	"hawthornferry/core/process/view"
 )
 
-// KeyID returns the ID of the call that a customer named by an idempotency
-// key. The same key of the same customer is the same call at every entry.
+// KeyID returns the ID of the call that a customer identified by an idempotency key.
+// It is the same at every entry.
 func KeyID(customer, service, key string) ID {
 	sum := sha256.Sum256([]byte(customer + "\x00" + service + "\x00" + key))
 	return ID("key-" + hex.EncodeToString(sum[:]))
 }
 
-// ErrNoOwner is returned while a key's owner can not be told.
+// ErrNoOwner is returned when the owner of a key can't be determined at present.
 var ErrNoOwner = errors.New("the owner of the key can not be told now")
 
-// Owner returns the side that alone may run the call with the ID, and the
-// members that this was computed from.
+// Owner returns the only side that may run the call with the given ID, and the
+// members from which it was computed.
 //
-// The document fixes the place: a zone and a number in it, by rendezvous over
-// the placement. Were the owner picked from who seems alive, two entries that
-// see different sides would pick two owners, and the call would run twice.
-// The VM that holds the place is read from the VM list, and only when it
-// lists exactly the placed number of VMs.
+// Rendezvous hashing over the placement in the environment document selects a zone
+// and an index in it. If the owner were chosen among the sides that seem to be alive,
+// two entries that see different sides would choose different owners, and the call
+// would run twice. The VM at the index is taken from the VM list, and only if the
+// list has exactly as many VMs in the zone as the document places there.
 func Owner(v view.View, service string, id ID) (fleet.VM, string, error) {
 	if v.Document == nil {
 		return fleet.VM{}, "", errors.Wrap(ErrNoOwner, "no document")
@@ -41,21 +41,21 @@
 	if !ok {
 		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "no service %s", service)
 	}
-	places := placesOf(s)
+	places := replicaSlots(s)
 	if len(places) == 0 {
 		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "service %s has no replicas", service)
 	}
-	p := rank.Order(string(id), places, place.String)[0]
+	p := rank.Order(string(id), places, replicaSlot.String)[0]
 	vms := zoneVMs(v, service, p.zone)
-	if len(vms) != p.of {
-		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "zone %s lists %d VMs, want %d", p.zone, len(vms), p.of)
+	if len(vms) != p.total {
+		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "zone %s lists %d VMs, want %d", p.zone, len(vms), p.total)
 	}
-	return vms[p.number], Members(v, service, p.zone), nil
+	return vms[p.index], Members(v, service, p.zone), nil
 }
 
-// Members names the VMs among which the keys of a service have their owners
-// in a zone, together with the document's placement. Sides and entries with
-// different members do not agree on owners.
+// Members encodes the document's placement and the VMs that are the owners of a
+// service's keys in a zone. Processes agree on the owners only if their members are
+// equal.
 func Members(v view.View, service, zone string) string {
 	if v.Document == nil {
 		return ""
@@ -74,25 +74,27 @@
 	return b.String()
 }
 
-// place is one replica of the document's placement.
-type place struct {
-	zone   string
-	number int
-	of     int
+// replicaSlot is one replica of the document's placement: the index-th of total
+// replicas in a zone.
+type replicaSlot struct {
+	zone  string
+	index int
+	total int
 }
 
-func (p place) String() string { return fmt.Sprintf("%s/%d", p.zone, p.number) }
+func (p replicaSlot) String() string { return fmt.Sprintf("%s/%d", p.zone, p.index) }
 
-func placesOf(s envdoc.Service) []place {
-	var out []place
+func replicaSlots(s envdoc.Service) []replicaSlot {
+	var out []replicaSlot
 	for _, z := range s.Replicas {
 		for n := range z.Replicas {
-			out = append(out, place{zone: z.Zone, number: n, of: z.Replicas})
+			out = append(out, replicaSlot{zone: z.Zone, index: n, total: z.Replicas})
 		}
 	}
 	return out
 }
 
+// zoneVMs returns the VMs of the service's sides in a zone, sorted by name.
 func zoneVMs(v view.View, service, zone string) []fleet.VM {
 	var out []fleet.VM
 	for _, vm := range v.VMs {
--- a/core/request/calls/owner_test.go
+++ b/core/request/calls/owner_test.go
@@ -24,10 +24,11 @@
 	}
 }
 
-// Two entries see different VM lists. For each key they either name the same
-// owner or one of them names none; that a VM leaves or that another zone is
-// missing changes no owner.
-func TestOwnersNeverDiffer(t *testing.T) {
+// Guards against two owners of one key, by which a call would run twice. Two entries
+// with different VM lists must find the same owner of a key, or at least one of them
+// none. A VM that is leaving, or a zone that is missing from the list, must not
+// change the owner.
+func TestOwnersAgreeAcrossVMLists(t *testing.T) {
 	y1, y2 := sideVM("y1", "y", fleet.StateLive), sideVM("y2", "y", fleet.StateLive)
 	z1 := sideVM("z1", "z", fleet.StateLive)
 	whole := ownerView(y1, y2, z1)
@@ -35,10 +36,10 @@
 		name string
 		view view.View
 	}{
-		{"one leaves", ownerView(sideVM("y1", "y", fleet.StateLeaving), y2, z1)},
-		{"one is missing", ownerView(y2, z1)},
-		{"successor beside it", ownerView(y1, y2, sideVM("y0", "y", fleet.StateLive), z1)},
-		{"zone is missing", ownerView(y1, y2)},
+		{"one VM is leaving", ownerView(sideVM("y1", "y", fleet.StateLeaving), y2, z1)},
+		{"one VM is missing", ownerView(y2, z1)},
+		{"one VM too many", ownerView(y1, y2, sideVM("y0", "y", fleet.StateLive), z1)},
+		{"a zone is missing", ownerView(y1, y2)},
 		{"other order", ownerView(z1, y2, y1)},
 	}
 	for _, tc := range others {
@@ -50,11 +51,11 @@
 					t.Fatal(err)
 				}
 				if members != Members(whole, "s", a.Zone) {
-					t.Errorf("key %d: the side of %s sees other members", i, a.Zone)
+					t.Errorf("key %d: a side in zone %s computes other members", i, a.Zone)
 				}
 				b, _, err := Owner(tc.view, "s", id)
 				if !errors.Is(err, ErrNoOwner) && b.Name != a.Name {
-					t.Errorf("key %d: owners %s and %s", i, a.Name, b.Name)
+					t.Errorf("key %d: different owners: %s and %s", i, a.Name, b.Name)
 				}
 			}
 		})
--- a/core/request/calls/ticket.go
+++ b/core/request/calls/ticket.go
@@ -10,21 +10,21 @@
 	"hawthornferry/core/conn/lease"
 )
 
-// Binding says what ties a call to its side.
+// Binding says which side may run a call.
 type Binding string
 
-// The bindings. A free call may be tried at another side once this one has
-// marked it; a ticket is tied to a side and its boot; a key is tied to the
-// owner that the document gives it.
+// The bindings. A free call may be tried at another side once this one has marked it.
+// A ticket is bound to one side and one boot of it. A key is bound to the side that
+// owns it according to the environment document.
 const (
 	BindFree   Binding = "free"
 	BindTicket Binding = "ticket"
 	BindKey    Binding = "key"
 )
 
-// Ticket names a once-call, the side that alone may run it, and the side's
-// boot and clock when it was issued. Its text form goes to callers, so that
-// any entry can find the outcome later.
+// Ticket identifies a once-call, the only side that may run it, and the side's boot
+// and clock when the ticket was issued. Callers get its text form, with which any
+// entry can look up the outcome later.
 type Ticket struct {
 	Call    ID            `msgpack:"c"`
 	Bind    Binding       `msgpack:"b"`
@@ -33,7 +33,7 @@
 	Issued  lease.Reading `msgpack:"i"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (t Ticket) Check() error {
 	if t.Call == "" || t.Service == "" || t.Side == "" {
 		return errors.New("ticket: call, service or side is empty")
@@ -55,14 +55,15 @@
 	return base64.RawURLEncoding.EncodeToString(b), nil
 }
 
-// maxTicket bounds the text form that DecodeTicket reads.
-const maxTicket = 1024
+// maxTicketLen is the greatest length of a ticket's text form that DecodeTicket
+// accepts.
+const maxTicketLen = 1024
 
-// DecodeTicket reads the text form of a ticket.
+// DecodeTicket parses the text form of a ticket and checks its fields.
 func DecodeTicket(s string) (Ticket, error) {
 	var t Ticket
-	if len(s) > maxTicket {
-		return t, errors.Newf("ticket: %d characters, want at most %d", len(s), maxTicket)
+	if len(s) > maxTicketLen {
+		return t, errors.Newf("ticket: %d characters, want at most %d", len(s), maxTicketLen)
 	}
 	b, err := base64.RawURLEncoding.DecodeString(s)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return t, t.Check()
 }
 
-// expired reports whether the record of t may have been dropped at now.
+// expired reports whether the record of t may have been dropped at time now. A ticket
+// that was issued in the future counts as expired.
 func (t Ticket) expired(now lease.Reading, keep time.Duration) bool {
 	age := now.At - t.Issued.At
 	return age < 0 || age > keep
