--- a/core/request/poison/key.go
+++ b/core/request/poison/key.go
@@ -1,6 +1,11 @@
-// Package poison finds requests that crash the targets which run them. Such a
-// request comes again under a new id each time, so that requests are known here by
-// a fingerprint of what stays the same.
+// Package poison detects requests that crash the targets that run them (poison
+// requests), so that an entry can refuse them. Clients repeat such a request under a
+// new ID each time, so requests are identified by a fingerprint of the parts that do
+// not change.
+//
+// Ledger counts the target starts at which attempts of a request broke off. Package
+// alert holds a ledger in each process and exchanges its contents with the other
+// processes as notes; entries ask it before they send a request to a target.
 package poison
 
 import (
@@ -14,34 +19,35 @@
 // Key is the fingerprint of a request.
 type Key [16]byte
 
-// String is the key in hexadecimal digits.
+// String returns the key in hexadecimal digits.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Request is what the repeats of a request have in common. The service is left out:
-// where a route shares its requests between services, repeats go to each of them.
+// Request holds the parts that are equal in all repeats of a request. The service is
+// not one of them: if a route distributes its requests over several services, the
+// repeats go to each of them.
 type Request struct {
 	Method string
 	Host   string
 	URI    string
-	// Caller is the customer, empty where callers are not known.
+	// Caller is the customer, or empty if callers are not identified.
 	Caller string
 	Body   []byte
 }
 
-// Key returns the fingerprint.
+// Key returns the fingerprint of r.
 func (r Request) Key() Key {
 	h := sha256.New()
 	for _, s := range []string{r.Method, r.Host, r.URI, r.Caller} {
-		writeLength(h, len(s))
+		writeLengthPrefix(h, len(s))
 		_, _ = io.WriteString(h, s)
 	}
 	_, _ = h.Write(r.Body)
 	return Key(h.Sum(nil)[:len(Key{})])
 }
 
-// writeLength keeps fields apart: without it a part of one could pass for a part of
-// the next.
-func writeLength(h hash.Hash, n int) {
+// writeLengthPrefix writes the length of the field that follows. Without it,
+// different requests whose fields are divided differently would have the same key.
+func writeLengthPrefix(h hash.Hash, n int) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
 	_, _ = h.Write(b[:])
--- a/core/request/poison/key_test.go
+++ b/core/request/poison/key_test.go
@@ -6,9 +6,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A repeat must be known again, and no other request may be taken for it: a caller
-// would be refused for what another one sent.
-func TestKeyTellsRequestsApart(t *testing.T) {
+// Repeats of a request must have the same key, and all other requests a different
+// one: otherwise a caller would be refused for another caller's request.
+func TestKeyDistinguishesRequests(t *testing.T) {
 	base := Request{Method: "POST", Host: "desk.example", URI: "/draft/?a=1", Caller: "customer-a", Body: []byte("text")}
 	tests := []struct {
 		name string
@@ -23,8 +23,8 @@
 		{"caller", func(r *Request) { r.Caller = "customer-b" }, false},
 		{"body", func(r *Request) { r.Body = []byte("text ") }, false},
 		{"no body", func(r *Request) { r.Body = nil }, false},
-		{"caller moved into the body", func(r *Request) { r.Caller, r.Body = "customer", []byte("-atext") }, false},
-		{"path moved into the caller", func(r *Request) { r.URI, r.Caller = "/draft/?a=", "1customer-a" }, false},
+		{"end of caller moved into body", func(r *Request) { r.Caller, r.Body = "customer", []byte("-atext") }, false},
+		{"end of path moved into caller", func(r *Request) { r.URI, r.Caller = "/draft/?a=", "1customer-a" }, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/request/poison/ledger.go
+++ b/core/request/poison/ledger.go
@@ -7,67 +7,76 @@
 	"hawthornferry/core/process/aged"
 )
 
-// When a request is taken for one that crashes its targets.
+// Thresholds at which a request is suspected and blocked.
 const (
-	// suspectAt and blockAt are at how many starts of targets attempts must have
-	// broken off. A crash breaks off all that is under way at its target; that it
-	// happens to the same request three times, and it ends well nowhere in between,
-	// is rare for the others.
-	suspectAt = 2
-	blockAt   = 3
-	// blockFor is how long after its last strike a request is refused. Then it is
-	// let through again, and one more strike blocks it anew.
-	blockFor = 10 * time.Minute
+	// suspectThreshold and blockThreshold are the numbers of target starts at which
+	// attempts must have broken off. A crash breaks off all attempts at its target,
+	// so harmless requests fail as well; but that this happens to the same harmless
+	// request three times, without a success in between, is rare.
+	suspectThreshold = 2
+	blockThreshold   = 3
+	// blockDuration is how long after its last failure a request is refused. Then it
+	// is accepted again, and one more failure blocks it again.
+	blockDuration = 10 * time.Minute
 )
 
-// What tells a target that ran on from one that crashed.
+// Times by which a target that survived a failure is distinguished from one that
+// crashed.
 const (
-	// surviveAfter is how long after a strike an answer must end for its target to
-	// have run on, and readLate the same for one that was asked for before the strike:
-	// what a target sent before it crashed may be read later, by a slow process or over
-	// a link that loses packets.
-	surviveAfter = 200 * time.Millisecond
-	readLate     = 2 * time.Second
-	// restartLeast is less than a target takes to start anew. What begins later may
-	// run at its successor, which may have its name.
-	restartLeast = time.Second
-	// listedAfter is how long after a strike a target that crashed is not listed any more
-	// as it was: it has missed its heartbeats, or has started anew.
-	listedAfter = 15 * time.Second
-	// confirmAfter is how long after an answer a target that had started anew before it
-	// is listed as what it is now.
-	confirmAfter = 3 * time.Second
-	// undecidedFor is how long after a strike its target may still turn out to have run
-	// on. Until then callers are told to come back after it, not after blockFor.
-	undecidedFor = surviveAfter + restartLeast
-	// ranOn is how long an answer must have gone on for its request not to have crashed
-	// its target as it began: it broke off under another one's crash.
-	ranOn = time.Second
-	// sameStrike is how far apart the times may be at which processes take one
-	// strike to have been, after ages and messages on their way.
-	sameStrike = time.Second
+	// survivalDelay is how long after a failure an answer must complete to prove that
+	// its target survived. lateReadDelay is the same for an answer whose request was
+	// sent before the failure: what a target sent before it crashed may be read
+	// later, by a slow process or over a link that loses packets.
+	survivalDelay = 200 * time.Millisecond
+	lateReadDelay = 2 * time.Second
+	// minRestartTime is shorter than any target takes to restart. A request that was
+	// sent later than this after the failure may have been answered by the target's
+	// successor, which may have its name.
+	minRestartTime = time.Second
+	// crashListingTimeout is how long after a crash the listing no longer has the
+	// start that crashed, because the target has missed its heartbeats or has
+	// restarted.
+	crashListingTimeout = 15 * time.Second
+	// restartListingDelay is how long after the first answer of a restarted target
+	// the listing has its new start.
+	restartListingDelay = 3 * time.Second
+	// undecidedDuration is how long after a failure its target may still prove to
+	// have survived. Until then callers are told to retry at its end, and not after
+	// blockDuration.
+	undecidedDuration = survivalDelay + minRestartTime
+	// minInnocentRun is how long an answer must have been going on for its request
+	// not to count as the cause of the crash. A request that crashes its target does
+	// so at the beginning; this one broke off in a crash that another request caused.
+	minInnocentRun = time.Second
+	// sameFailureWindow is the greatest difference between the times that different
+	// processes assign to the same failure, due to rounding of ages and delays of
+	// messages.
+	sameFailureWindow = time.Second
 )
 
-// Bounds of a ledger. A strike is forgotten after remember unless its request comes
-// again; one at a start matters there for as long as an answer may last.
+// Bounds of a ledger. A request's record expires recordMaxAge after its last failure,
+// success or repeat. The requests that broke off at a target start are only of
+// interest for maxAnswerTime, as long as an answer may last.
 const (
 	maxRequests = 4096
 	maxStarts   = 512
-	maxStrikes  = 8
-	// maxTogether is how many requests are noted of those that broke off at one start.
-	maxTogether = 256
-	remember    = time.Hour
-	longAnswer  = time.Minute
+	maxFailures = 8
+	// maxKeysPerStart is the most requests recorded as broken off at one target
+	// start.
+	maxKeysPerStart = 256
+	recordMaxAge    = time.Hour
+	maxAnswerTime   = time.Minute
 )
 
-// Start names one start of a target. Born is in Unix milliseconds, zero when the
-// target does not say.
+// Start identifies one start of a target, so that a target that restarts under the
+// same name counts as a different one. Born is the start time in Unix milliseconds,
+// or zero if the target does not report it.
 type Start struct {
 	Target string `msgpack:"target"`
 	Born   int64  `msgpack:"born"`
 }
 
-// StartOf returns the start of the target that was born then.
+// StartOf returns the start of a target at the time born.
 func StartOf(target string, born time.Time) Start {
 	if born.IsZero() {
 		return Start{Target: target}
@@ -75,7 +84,7 @@
 	return Start{Target: target, Born: born.UnixMilli()}
 }
 
-// State is what a request is taken for.
+// State is the classification of a request.
 type State string
 
 // The states of a request.
@@ -85,196 +94,204 @@
 	StateBlocked   State = "blocked"
 )
 
-// strike is an attempt that broke off while its target may have run the request.
-type strike struct {
+// failure is an attempt that broke off while its target may have been running the
+// request.
+type failure struct {
 	at time.Time
-	// answered is when the target, or one started anew in its place, first answered
-	// after that, zero if not.
-	answered time.Time
-	// survived is set when the target has run on, so that it did not crash.
+	// firstAnswer is when the target, or a successor with its name, first answered
+	// after the failure, or zero if it has not.
+	firstAnswer time.Time
+	// survived is set once the target is known not to have crashed.
 	survived bool
 }
 
-// vouchAfter is how long after the strike an answer that was asked for at began must end
-// to show that the target has run on.
-func (s strike) vouchAfter(began time.Time) time.Duration {
-	if began.After(s.at) {
-		return surviveAfter
+// survivalDelayFor returns how long after the failure an answer must complete to
+// prove that the target survived. sentAt is when the request of the answer was sent.
+func (f failure) survivalDelayFor(sentAt time.Time) time.Duration {
+	if sentAt.After(f.at) {
+		return survivalDelay
 	}
-	return readLate
+	return lateReadDelay
 }
 
-// settled reports whether a target that is still listed as it was has not crashed.
-func (s strike) settled(now time.Time) bool {
-	return now.Sub(s.at) >= listedAfter || !s.answered.IsZero() && now.Sub(s.answered) >= confirmAfter
+// listingProvesSurvival reports whether the listing is recent enough for the start to
+// have survived if it is still listed.
+func (f failure) listingProvesSurvival(now time.Time) bool {
+	return now.Sub(f.at) >= crashListingTimeout || !f.firstAnswer.IsZero() && now.Sub(f.firstAnswer) >= restartListingDelay
 }
 
 // record is what is known of one request.
 type record struct {
-	strikes map[Start]strike
-	// cleared is when the request last ended well, zero if never.
-	cleared time.Time
+	failures map[Start]failure
+	// lastSuccess is when the request last completed successfully, or zero if never.
+	lastSuccess time.Time
 }
 
-// standing returns how many starts the request may have crashed, and when the last
-// one was. A request that crashes its targets crashes all of them, so that one good
-// end clears it of what was before.
-func (r *record) standing() (n int, last time.Time) {
-	for _, s := range r.strikes {
-		if s.survived || !s.at.After(r.cleared) {
+// suspectedCrashes returns how many target starts the request may have crashed, and
+// the time of the last failure among them. Failures before the last success don't
+// count: a poison request crashes every target, so a success shows that the earlier
+// failures had another cause.
+func (r *record) suspectedCrashes() (n int, last time.Time) {
+	for _, f := range r.failures {
+		if f.survived || !f.at.After(r.lastSuccess) {
 			continue
 		}
 		n++
-		if s.at.After(last) {
-			last = s.at
+		if f.at.After(last) {
+			last = f.at
 		}
 	}
 	return n, last
 }
 
-// put sets the strike at a start; the oldest gives way.
-func (r *record) put(at Start, s strike) {
-	if _, known := r.strikes[at]; !known && len(r.strikes) >= maxStrikes {
-		delete(r.strikes, r.oldest())
+// setFailure sets the failure at a target start. If the record is full, it drops the
+// oldest failure.
+func (r *record) setFailure(at Start, f failure) {
+	if _, known := r.failures[at]; !known && len(r.failures) >= maxFailures {
+		delete(r.failures, r.oldest())
 	}
-	r.strikes[at] = s
+	r.failures[at] = f
 }
 
-// oldest returns the start with the oldest strike.
+// oldest returns the target start with the oldest failure.
 func (r *record) oldest() Start {
 	var oldest Start
 	var since time.Time
-	for at, s := range r.strikes {
-		if since.IsZero() || s.at.Before(since) {
-			oldest, since = at, s.at
+	for at, f := range r.failures {
+		if since.IsZero() || f.at.Before(since) {
+			oldest, since = at, f.at
 		}
 	}
 	return oldest
 }
 
-// Ledger holds at which starts of targets requests broke off. The zero value is
-// ready. It is not safe for concurrent use.
+// Ledger records at which target starts the attempts of each request broke off. The
+// zero value is ready to use. It isn't safe for concurrent use.
 type Ledger struct {
 	requests aged.Table[Key, *record]
-	// starts holds the requests that broke off at a start lately.
-	starts aged.Table[Start, []Key]
+	// keysByStart holds the requests that recently broke off at each target start.
+	keysByStart aged.Table[Start, []Key]
 }
 
 func (l *Ledger) init() {
-	l.requests.Max, l.requests.Age = maxRequests, remember
-	l.starts.Max, l.starts.Age = maxStarts, longAnswer
+	l.requests.Max, l.requests.Age = maxRequests, recordMaxAge
+	l.keysByStart.Max, l.keysByStart.Age = maxStarts, maxAnswerTime
 }
 
-// Len returns how many requests are known.
+// Len returns the number of known requests.
 func (l *Ledger) Len() int { return l.requests.Len() }
 
-// record returns what is known of a request, nil if nothing.
+// record returns the record of a request, or nil if there is none.
 func (l *Ledger) record(now time.Time, k Key) *record {
 	l.init()
 	r, _ := l.requests.Get(now, k)
 	return r
 }
 
-// Strike notes that an attempt broke off at a start of a target whose answer had gone
-// on for ran, and reports whether that counts.
+// Strike records that an attempt broke off at a target start after its answer had
+// been going on for ran. It reports whether the failure counts.
 func (l *Ledger) Strike(now time.Time, k Key, at Start, ran time.Duration) bool {
-	if ran >= ranOn {
+	if ran >= minInnocentRun {
 		return false
 	}
 	r := l.record(now, k)
 	if r == nil {
-		r = &record{strikes: map[Start]strike{}}
+		r = &record{failures: map[Start]failure{}}
 	}
-	l.note(now, k, r, at, strike{at: now})
+	l.addFailure(now, k, r, at, failure{at: now})
 	return true
 }
 
-func (l *Ledger) note(now time.Time, k Key, r *record, at Start, s strike) {
-	r.put(at, s)
+// addFailure stores a failure in the request's record and the request among those
+// that broke off at the start.
+func (l *Ledger) addFailure(now time.Time, k Key, r *record, at Start, f failure) {
+	r.setFailure(at, f)
 	l.requests.Put(now, k, r)
-	together, _ := l.starts.Get(now, at)
-	if !slices.Contains(together, k) && len(together) < maxTogether {
-		l.starts.Put(now, at, append(together, k))
+	keys, _ := l.keysByStart.Get(now, at)
+	if !slices.Contains(keys, k) && len(keys) < maxKeysPerStart {
+		l.keysByStart.Put(now, at, append(keys, k))
 	}
 }
 
-// Succeeded notes that a request ended well, and reports whether that is news.
+// Succeeded records that a request completed successfully, and reports whether that
+// clears it of failures.
 func (l *Ledger) Succeeded(now time.Time, k Key) bool {
 	r := l.record(now, k)
 	if r == nil {
 		return false
 	}
-	if n, _ := r.standing(); n == 0 {
+	if n, _ := r.suspectedCrashes(); n == 0 {
 		return false
 	}
-	r.cleared = now
+	r.lastSuccess = now
 	l.requests.Put(now, k, r)
 	return true
 }
 
-// Struck returns the requests that broke off at a start of a target lately.
+// Struck returns the requests that recently broke off at a target start.
 func (l *Ledger) Struck(now time.Time, at Start) []Key {
 	l.init()
-	together, _ := l.starts.Get(now, at)
-	return together
+	keys, _ := l.keysByStart.Get(now, at)
+	return keys
 }
 
-// Answered notes that a start of a target has answered a request that was sent to it
-// at began, and returns those whose strikes there it has survived.
-func (l *Ledger) Answered(now, began time.Time, at Start) []Key {
+// Answered records that a target start has answered a request that was sent to it at
+// sentAt. It returns the requests whose failures at that start the target is now
+// known to have survived.
+func (l *Ledger) Answered(now, sentAt time.Time, at Start) []Key {
 	var out []Key
 	for _, k := range l.Struck(now, at) {
 		r := l.record(now, k)
 		if r == nil {
 			continue
 		}
-		s, struck := r.strikes[at]
-		if !struck || s.survived || now.Sub(s.at) < s.vouchAfter(began) {
+		f, struck := r.failures[at]
+		if !struck || f.survived || now.Sub(f.at) < f.survivalDelayFor(sentAt) {
 			continue
 		}
-		if s.answered.IsZero() {
-			s.answered = now
+		if f.firstAnswer.IsZero() {
+			f.firstAnswer = now
 		}
-		if began.Sub(s.at) < restartLeast {
-			s.survived = true
+		if sentAt.Sub(f.at) < minRestartTime {
+			f.survived = true
 			out = append(out, k)
 		}
-		r.strikes[at] = s
+		r.failures[at] = f
 	}
 	return out
 }
 
-// Listed takes which starts of targets are listed by a belief that is not old, and
-// reports whether any of them has survived a strike of the request. A start whose target
-// does not say when it was born may be a later one.
+// Listed applies a current listing of target starts, and reports whether it shows
+// that any of them has survived a failure of the request. A start without a start
+// time proves nothing, as the target may have restarted.
 func (l *Ledger) Listed(now time.Time, k Key, starts map[Start]bool) bool {
 	r := l.record(now, k)
 	if r == nil {
 		return false
 	}
-	news := false
-	for at, s := range r.strikes {
-		if s.survived || at.Born == 0 || !starts[at] || !s.settled(now) {
+	changed := false
+	for at, f := range r.failures {
+		if f.survived || at.Born == 0 || !starts[at] || !f.listingProvesSurvival(now) {
 			continue
 		}
-		s.survived = true
-		r.strikes[at] = s
-		news = true
+		f.survived = true
+		r.failures[at] = f
+		changed = true
 	}
-	return news
+	return changed
 }
 
-// State returns what a request is taken for.
+// State returns the classification of a request.
 func (l *Ledger) State(now time.Time, k Key) State {
 	r := l.record(now, k)
 	if r == nil {
 		return StateClear
 	}
-	n, _ := r.standing()
+	n, _ := r.suspectedCrashes()
 	switch {
-	case n >= blockAt:
+	case n >= blockThreshold:
 		return StateBlocked
-	case n >= suspectAt:
+	case n >= suspectThreshold:
 		return StateSuspected
 	default:
 		return StateClear
@@ -282,21 +299,22 @@
 }
 
 // Blocked reports whether a request is refused, and after what time its caller may
-// come back. One that is asked for stays known.
+// retry. The look-up renews the request's record, so that a request that is refused
+// all the time is not forgotten.
 func (l *Ledger) Blocked(now time.Time, k Key) (time.Duration, bool) {
 	r := l.record(now, k)
 	if r == nil {
 		return 0, false
 	}
 	l.requests.Put(now, k, r)
-	n, last := r.standing()
+	n, last := r.suspectedCrashes()
 	since := now.Sub(last)
 	switch {
-	case n < blockAt || since >= blockFor:
+	case n < blockThreshold || since >= blockDuration:
 		return 0, false
-	case since < undecidedFor:
-		return undecidedFor - since, true
+	case since < undecidedDuration:
+		return undecidedDuration - since, true
 	default:
-		return blockFor - since, true
+		return blockDuration - since, true
 	}
 }
--- a/core/request/poison/ledger_test.go
+++ b/core/request/poison/ledger_test.go
@@ -17,71 +17,72 @@
 	return k
 }
 
-func startOf(name string) Start { return StartOf(name, epoch) }
+func newStart(name string) Start { return StartOf(name, epoch) }
 
-// move is one event at a ledger, on request 1 unless other says another one.
-type move struct {
-	at    time.Duration
-	other int
-	// One of these is set: a strike at a target, a good end, or an answer of a
-	// target to what was sent before for.
-	strike  string
-	ran     time.Duration
-	success bool
-	answer  string
-	took    time.Duration
-	// listed is a target that is listed.
-	listed string
+// event is one input to a ledger. It is about request 1 unless key is set.
+type event struct {
+	at  time.Duration
+	key int
+	// Exactly one of failure, success, answerFrom and listing is set: a failure at a
+	// target whose answer had been going on for ran, a successful completion, an
+	// answer by a target to a request sent answerTime before, or a listing that has
+	// the target.
+	failure    string
+	ran        time.Duration
+	success    bool
+	answerFrom string
+	answerTime time.Duration
+	listing    string
 }
 
-// What a request is taken for decides whether its caller is refused: one that
-// crashes targets must be, and no other.
+// The state decides whether a request is refused: one that crashes targets must be
+// blocked, and no other.
 func TestStateOfRequests(t *testing.T) {
-	three := []move{{at: 0, strike: "a"}, {at: time.Second, strike: "b"}, {at: 2 * time.Second, strike: "c"}}
-	then := func(next ...move) []move { return append(three[:3:3], next...) }
+	three := []event{{at: 0, failure: "a"}, {at: time.Second, failure: "b"}, {at: 2 * time.Second, failure: "c"}}
+	then := func(next ...event) []event { return append(three[:3:3], next...) }
 	tests := []struct {
-		name  string
-		moves []move
-		at    time.Duration
-		want  State
-		left  time.Duration
+		name   string
+		events []event
+		at     time.Duration
+		want   State
+		left   time.Duration
 	}{
 		{"never seen", nil, 0, StateClear, 0},
 		{"once", three[:1], time.Second, StateClear, 0},
 		{"twice", three[:2], time.Second, StateSuspected, 0},
-		{"three times", three, 4 * time.Second, StateBlocked, blockFor - 2*time.Second},
-		{"three times, just now", three, 2*time.Second + undecidedFor/2, StateBlocked, undecidedFor / 2},
-		{"its answer had gone on", []move{{strike: "a"}, {strike: "b"}, {strike: "c", ran: ranOn}}, 0, StateSuspected, 0},
-		{"three times at one start", []move{{strike: "a"}, {at: 1, strike: "a"}, {at: 2, strike: "a"}}, time.Second, StateClear, 0},
-		{"other request", []move{{strike: "a", other: 2}, {strike: "b", other: 2}, {strike: "c", other: 2}}, time.Second, StateClear, 0},
-		{"ends well after two", []move{{strike: "a"}, {at: 1, strike: "b"}, {at: 2, success: true}, {at: 3, strike: "c"}}, time.Second, StateClear, 0},
-		{"ends well after three", then(move{at: 3 * time.Second, success: true}), 4 * time.Second, StateClear, 0},
-		{"on probation", three, blockFor + 2*time.Second, StateBlocked, 0},
-		{"once more on probation", then(move{at: blockFor + 3*time.Second, strike: "d"}), blockFor + 4*time.Second, StateBlocked, undecidedFor - time.Second},
-		{"a target answers what began before", then(move{at: 3 * time.Second, answer: "b", took: 3 * time.Second}), 4 * time.Second, StateSuspected, 0},
-		{"a target answers what began at once after", then(move{at: 2 * time.Second, answer: "b", took: 500 * time.Millisecond}), 4 * time.Second, StateSuspected, 0},
-		{"its successor answers", then(move{at: 4 * time.Second, answer: "b", took: 500 * time.Millisecond}), 4 * time.Second, StateBlocked, blockFor - 2*time.Second},
-		{"what it sent before is read", then(move{at: 2*time.Second + 20*time.Millisecond, answer: "c", took: time.Second}), 3 * time.Second, StateBlocked, undecidedFor - time.Second},
-		{"another answers", then(move{at: 3 * time.Second, answer: "d", took: 3 * time.Second}), 3 * time.Second, StateBlocked, undecidedFor - time.Second},
-		{"crashes where it was survived", then(move{at: 3 * time.Second, answer: "c", took: 3 * time.Second}, move{at: 4 * time.Second, strike: "c"}), 4 * time.Second, StateBlocked, undecidedFor},
-		{"a target is listed long after", then(move{at: 30 * time.Second, listed: "b"}), 31 * time.Second, StateSuspected, 0},
-		{"a target is still listed", then(move{at: 10 * time.Second, listed: "b"}), 11 * time.Second, StateBlocked, blockFor - 9*time.Second},
+		{"three times", three, 4 * time.Second, StateBlocked, blockDuration - 2*time.Second},
+		{"three times, just now", three, 2*time.Second + undecidedDuration/2, StateBlocked, undecidedDuration / 2},
+		{"third answer had been going on", []event{{failure: "a"}, {failure: "b"}, {failure: "c", ran: minInnocentRun}}, 0, StateSuspected, 0},
+		{"three times at one start", []event{{failure: "a"}, {at: 1, failure: "a"}, {at: 2, failure: "a"}}, time.Second, StateClear, 0},
+		{"other request", []event{{failure: "a", key: 2}, {failure: "b", key: 2}, {failure: "c", key: 2}}, time.Second, StateClear, 0},
+		{"success after two", []event{{failure: "a"}, {at: 1, failure: "b"}, {at: 2, success: true}, {at: 3, failure: "c"}}, time.Second, StateClear, 0},
+		{"success after three", then(event{at: 3 * time.Second, success: true}), 4 * time.Second, StateClear, 0},
+		{"accepted after block", three, blockDuration + 2*time.Second, StateBlocked, 0},
+		{"failure after block", then(event{at: blockDuration + 3*time.Second, failure: "d"}), blockDuration + 4*time.Second, StateBlocked, undecidedDuration - time.Second},
+		{"target answers request sent before failure", then(event{at: 3 * time.Second, answerFrom: "b", answerTime: 3 * time.Second}), 4 * time.Second, StateSuspected, 0},
+		{"target answers request sent just after failure", then(event{at: 2 * time.Second, answerFrom: "b", answerTime: 500 * time.Millisecond}), 4 * time.Second, StateSuspected, 0},
+		{"successor answers", then(event{at: 4 * time.Second, answerFrom: "b", answerTime: 500 * time.Millisecond}), 4 * time.Second, StateBlocked, blockDuration - 2*time.Second},
+		{"answer sent before failure is read late", then(event{at: 2*time.Second + 20*time.Millisecond, answerFrom: "c", answerTime: time.Second}), 3 * time.Second, StateBlocked, undecidedDuration - time.Second},
+		{"other target answers", then(event{at: 3 * time.Second, answerFrom: "d", answerTime: 3 * time.Second}), 3 * time.Second, StateBlocked, undecidedDuration - time.Second},
+		{"failure at target that survived one", then(event{at: 3 * time.Second, answerFrom: "c", answerTime: 3 * time.Second}, event{at: 4 * time.Second, failure: "c"}), 4 * time.Second, StateBlocked, undecidedDuration},
+		{"target listed long after failure", then(event{at: 30 * time.Second, listing: "b"}), 31 * time.Second, StateSuspected, 0},
+		{"target listed soon after failure", then(event{at: 10 * time.Second, listing: "b"}), 11 * time.Second, StateBlocked, blockDuration - 9*time.Second},
 		{
-			"a target has answered and is still listed",
-			then(move{at: 4 * time.Second, answer: "b"}, move{at: 8 * time.Second, listed: "b"}), 9 * time.Second, StateSuspected, 0,
+			"target listed after answer",
+			then(event{at: 4 * time.Second, answerFrom: "b"}, event{at: 8 * time.Second, listing: "b"}), 9 * time.Second, StateSuspected, 0,
 		},
 		{
-			"a target has answered just now",
-			then(move{at: 4 * time.Second, answer: "b"}, move{at: 6 * time.Second, listed: "b"}), 7 * time.Second, StateBlocked, blockFor - 5*time.Second,
+			"target listed just after answer",
+			then(event{at: 4 * time.Second, answerFrom: "b"}, event{at: 6 * time.Second, listing: "b"}), 7 * time.Second, StateBlocked, blockDuration - 5*time.Second,
 		},
-		{"another is listed", then(move{at: 30 * time.Second, listed: "d"}), 31 * time.Second, StateBlocked, blockFor - 29*time.Second},
-		{"forgotten", three, remember + 3*time.Second, StateClear, 0},
+		{"other target listed", then(event{at: 30 * time.Second, listing: "d"}), 31 * time.Second, StateBlocked, blockDuration - 29*time.Second},
+		{"forgotten", three, recordMaxAge + 3*time.Second, StateClear, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			var l Ledger
-			for _, m := range tc.moves {
-				play(&l, m)
+			for _, e := range tc.events {
+				apply(&l, e)
 			}
 			now := epoch.Add(tc.at)
 			if diff := cmp.Diff(tc.want, l.State(now, testKey(1))); diff != "" {
@@ -98,49 +99,52 @@
 	}
 }
 
-func play(l *Ledger, m move) {
-	now, k := epoch.Add(m.at), testKey(max(m.other, 1))
+func apply(l *Ledger, e event) {
+	now, k := epoch.Add(e.at), testKey(max(e.key, 1))
 	switch {
-	case m.strike != "":
-		l.Strike(now, k, startOf(m.strike), m.ran)
-	case m.listed != "":
-		l.Listed(now, k, map[Start]bool{startOf(m.listed): true})
-	case m.success:
+	case e.failure != "":
+		l.Strike(now, k, newStart(e.failure), e.ran)
+	case e.listing != "":
+		l.Listed(now, k, map[Start]bool{newStart(e.listing): true})
+	case e.success:
 		l.Succeeded(now, k)
 	default:
-		l.Answered(now, now.Add(-m.took), startOf(m.answer))
+		l.Answered(now, now.Add(-e.answerTime), newStart(e.answerFrom))
 	}
 }
 
-// A target that does not say when it was born may have crashed and be listed again.
-func TestUnbornTargetIsNotTakenForTheSame(t *testing.T) {
+// A target that does not report its start time may have crashed and be listed again,
+// so a listing must not void its failure.
+func TestListingWithoutBirthTimeProvesNothing(t *testing.T) {
 	var l Ledger
 	at := StartOf("a", time.Time{})
 	l.Strike(epoch, testKey(1), at, 0)
 	if l.Listed(epoch.Add(time.Hour), testKey(1), map[Start]bool{at: true}) {
-		t.Error("its strike is void")
+		t.Error("the listing voids the failure")
 	}
 }
 
-// Guards against a request that goes on to crash targets, since each time an answer that a
-// target sent whole before its crash is read a little later.
-func TestAnswerOnItsWayIsNoSignOfLife(t *testing.T) {
+// Guards against a poison request that is never blocked, because an answer that each
+// target sent before its crash is read a little later and taken as proof that the
+// target survived.
+func TestLateReadAnswerProvesNoSurvival(t *testing.T) {
 	var l Ledger
-	for i := range blockAt {
+	for i := range blockThreshold {
 		at := epoch.Add(time.Duration(i) * time.Second)
-		start := startOf(string(rune('a' + i)))
+		start := newStart(string(rune('a' + i)))
 		l.Strike(at, testKey(1), start, 0)
-		l.Answered(at.Add(readLate-time.Millisecond), at.Add(-time.Second), start)
+		l.Answered(at.Add(lateReadDelay-time.Millisecond), at.Add(-time.Second), start)
 	}
-	if diff := cmp.Diff(StateBlocked, l.State(epoch.Add(blockAt*time.Second), testKey(1))); diff != "" {
+	if diff := cmp.Diff(StateBlocked, l.State(epoch.Add(blockThreshold*time.Second), testKey(1))); diff != "" {
 		t.Errorf("state after three crashes (-want +got):\n%s", diff)
 	}
 }
 
-// A target is back under its old id each time: its starts are different ones.
-func TestStartsOfOneTargetCountEach(t *testing.T) {
+// A target that restarts under the same ID after each crash must count as a different
+// start each time.
+func TestEachStartOfOneTargetCounts(t *testing.T) {
 	var l Ledger
-	for i := range blockAt {
+	for i := range blockThreshold {
 		l.Strike(epoch, testKey(1), StartOf("a", epoch.Add(time.Duration(i)*time.Second)), 0)
 	}
 	if diff := cmp.Diff(StateBlocked, l.State(epoch, testKey(1))); diff != "" {
@@ -148,19 +152,20 @@
 	}
 }
 
-// Each entry sees one end. What they tell each other must give all the same picture,
-// in whatever order and however often it comes, and pass the wire unchanged.
-func TestMergedNotesAgree(t *testing.T) {
+// Each entry sees one failure. After they exchange notes, in any order and
+// repeatedly, all of them must have the same state. Notes must also be unchanged by
+// encoding and decoding.
+func TestLedgersAgreeAfterMerge(t *testing.T) {
 	var entries [3]Ledger
 	for i := range entries {
-		entries[i].Strike(epoch.Add(time.Duration(i)*time.Second), testKey(1), startOf(string(rune('a'+i))), 0)
+		entries[i].Strike(epoch.Add(time.Duration(i)*time.Second), testKey(1), newStart(string(rune('a'+i))), 0)
 	}
 	now := epoch.Add(3 * time.Second)
 	var notes []Note
 	for i := range entries {
 		n, ok := entries[i].Note(now, testKey(1), 1)
 		if !ok {
-			t.Fatalf("entry %d has nothing to tell", i)
+			t.Fatalf("entry %d has no note", i)
 		}
 		b, err := msgpack.Marshal(&n)
 		if err != nil {
@@ -171,7 +176,7 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(n, back); diff != "" {
-			t.Errorf("note over the wire (-want +got):\n%s", diff)
+			t.Errorf("note after encoding and decoding (-want +got):\n%s", diff)
 		}
 		if err := back.Check(); err != nil {
 			t.Error(err)
@@ -184,11 +189,11 @@
 			entries[i].Merge(now.Add(time.Duration(10*j)*time.Millisecond), notes[(i+j)%len(notes)])
 		}
 		if diff := cmp.Diff(StateBlocked, entries[i].State(now, testKey(1))); diff != "" {
-			t.Errorf("entry %d (-want +got):\n%s", i, diff)
+			t.Errorf("state at entry %d (-want +got):\n%s", i, diff)
 		}
 		n, _ := entries[i].Note(now.Add(time.Second), testKey(1), 1)
 		if entries[i].Merge(now.Add(time.Second), n) {
-			t.Errorf("entry %d: its own note is news to it", i)
+			t.Errorf("entry %d: its own note changes its state", i)
 		}
 	}
 	entries[0].Succeeded(now, testKey(1))
@@ -197,24 +202,25 @@
 		entries[1].Merge(now.Add(50*time.Millisecond), n)
 	}
 	if diff := cmp.Diff(StateClear, entries[1].State(now, testKey(1))); diff != "" {
-		t.Errorf("after a good end elsewhere (-want +got):\n%s", diff)
+		t.Errorf("state after a success at another entry (-want +got):\n%s", diff)
 	}
 }
 
-// A peer that sends nonsense must not make anyone refuse, or hold more than it may.
-func TestNotesAreChecked(t *testing.T) {
-	good := Strike{Start: startOf("a")}
+// An invalid note of a peer must not cause refusals or exceed the bounds of the
+// ledger.
+func TestNoteCheck(t *testing.T) {
+	good := Failure{Start: newStart("a")}
 	tests := []struct {
 		name string
 		note Note
 		ok   bool
 	}{
-		{"good", Note{Strikes: []Strike{good}, Cleared: true, ClearedAgo: time.Second}, true},
-		{"no strike", Note{}, false},
-		{"too many", Note{Strikes: make([]Strike, maxStrikes+1)}, false},
-		{"no target", Note{Strikes: []Strike{{}}}, false},
-		{"strike to come", Note{Strikes: []Strike{{Start: startOf("a"), Ago: -1}}}, false},
-		{"good end to come", Note{Strikes: []Strike{good}, ClearedAgo: -1}, false},
+		{"good", Note{Strikes: []Failure{good}, Cleared: true, ClearedAgo: time.Second}, true},
+		{"no failure", Note{}, false},
+		{"too many", Note{Strikes: make([]Failure, maxFailures+1)}, false},
+		{"no target", Note{Strikes: []Failure{{}}}, false},
+		{"failure in the future", Note{Strikes: []Failure{{Start: newStart("a"), Ago: -1}}}, false},
+		{"success in the future", Note{Strikes: []Failure{good}, ClearedAgo: -1}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -225,30 +231,30 @@
 	}
 }
 
-// Many requests break off at once as many targets end: memory stays bounded, and a
-// request that is refused all the while stays known.
+// Many requests break off while many targets crash: the ledger must stay within its
+// bounds, and a request that is refused all the time must not be forgotten.
 func TestLedgerIsBounded(t *testing.T) {
 	var l Ledger
-	for i := range blockAt {
-		l.Strike(epoch, testKey(0), startOf(string(rune('a'+i))), 0)
+	for i := range blockThreshold {
+		l.Strike(epoch, testKey(0), newStart(string(rune('a'+i))), 0)
 	}
 	for i := range 3 * maxRequests {
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
-		l.Strike(now, testKey(i+1), startOf(string(rune('a'+i%700))), 0)
+		l.Strike(now, testKey(i+1), newStart(string(rune('a'+i%700))), 0)
 		if i%1000 == 0 {
 			if _, blocked := l.Blocked(now, testKey(0)); !blocked {
-				t.Fatalf("the request is let through after %d others", i)
+				t.Fatalf("the request is accepted after %d others", i)
 			}
 		}
 	}
-	if diff := cmp.Diff([]int{maxRequests, maxStarts}, []int{l.Len(), l.starts.Len()}); diff != "" {
+	if diff := cmp.Diff([]int{maxRequests, maxStarts}, []int{l.Len(), l.keysByStart.Len()}); diff != "" {
 		t.Errorf("requests and starts (-want +got):\n%s", diff)
 	}
-	for i := range 3 * maxStrikes {
+	for i := range 3 * maxFailures {
 		l.Strike(epoch.Add(time.Duration(i)*time.Second), testKey(0), StartOf("t", epoch.Add(time.Duration(i)*time.Second)), 0)
 	}
 	n, _ := l.Note(epoch, testKey(0), 1)
-	if diff := cmp.Diff(maxStrikes, len(n.Strikes)); diff != "" {
+	if diff := cmp.Diff(maxFailures, len(n.Strikes)); diff != "" {
 		t.Errorf("strikes (-want +got):\n%s", diff)
 	}
 }
--- a/core/request/poison/model_test.go
+++ b/core/request/poison/model_test.go
@@ -8,131 +8,138 @@
 	"hawthornferry/core/request/resend"
 )
 
-// crowd plays callers whose requests crash nothing, while targets crash and reset
-// connections for other causes. All entries know the same at once here, so that
-// strikes add up as fast as they can.
-type crowd struct {
+// workload describes a simulation of callers whose requests crash no target, while
+// targets crash and reset connections for other reasons. All entries share one
+// ledger, so that failures add up as fast as possible.
+type workload struct {
 	name string
-	// targets there are; a request lasts between short and long, and rate come in a
-	// second. Of these, hot come again and again with one of a few fingerprints.
+	// targets is the number of targets. A request lasts between short and long, and
+	// rate requests arrive per second. The share hot of them repeats one of a
+	// few fingerprints.
 	targets     int
 	short, long time.Duration
 	rate        float64
 	hot         float64
-	// crashes is how many targets end in a second, herd the part that ends together
-	// every herdEvery.
-	crashes float64
-	herd    float64
-	// grey is the part of the targets that reset the part resets of what they get.
-	grey, resets float64
-	// storm is when all targets reset everything.
-	stormAt, stormFor time.Duration
+	// crashRate is the number of single target crashes per second. Every
+	// massCrashInterval, the share massCrashShare of the targets crashes together.
+	crashRate      float64
+	massCrashShare float64
+	// The share flakyShare of the targets resets the share resetShare of its
+	// requests.
+	flakyShare, resetShare float64
+	// During the outage all targets reset all requests.
+	outageStart, outageDuration time.Duration
 }
 
 const (
-	crowdStep  = 5 * time.Millisecond
-	crowdTime  = time.Minute
-	herdEvery  = 10 * time.Second
-	downFor    = 1500 * time.Millisecond
-	hotKeys    = 5
-	clientWait = 300 * time.Millisecond
-	// mostWait is the longest time after which a caller comes back.
-	mostWait = 2 * time.Second
-	// callerTries is how often a caller sends its request, each time under a new id.
-	callerTries = 3
+	simulationStep    = 5 * time.Millisecond
+	simulationTime    = time.Minute
+	massCrashInterval = 10 * time.Second
+	restartTime       = 1500 * time.Millisecond
+	hotKeys           = 5
+	retryDelay        = 300 * time.Millisecond
+	// maxRetryAfter is the longest wait after which a refused caller still retries.
+	maxRetryAfter = 2 * time.Second
+	// maxCallerTries is how often a caller sends its request, each time under a new
+	// ID.
+	maxCallerTries = 3
 )
 
-// machine is a target of the model.
-type machine struct {
+// simulatedTarget is a target of the model. It accepts requests from upAt on.
+type simulatedTarget struct {
 	born time.Duration
-	up   time.Duration
+	upAt time.Duration
 }
 
-// exchange is an attempt under way, of a request of a caller.
-type exchange struct {
-	key       Key
-	hot       bool
-	tries     resend.Tries
-	round     int
-	at        int
-	born      time.Duration
-	began     time.Duration
-	ends      time.Duration
-	resetAt   time.Duration
-	waitUntil time.Duration
+// clientRequest is a caller's request with its current attempt.
+type clientRequest struct {
+	key         Key
+	hot         bool
+	tries       resend.Tries
+	callerTries int
+	target      int
+	born        time.Duration
+	began       time.Duration
+	endsAt      time.Duration
+	resetAt     time.Duration
+	waitUntil   time.Duration
 }
 
-// result is what the callers got.
+// result counts what the callers experienced.
 type result struct {
-	// refused counts refusals, and lost the callers whose last try ended so.
+	// refused counts refusals. lost counts the callers whose last try was refused.
 	sent, refused, lost int
 	lastLost            time.Duration
 }
 
-type crowdPlay struct {
-	crowd
+// simulation is a run of a workload.
+type simulation struct {
+	workload
 	rnd     *rand.Rand
 	ledger  Ledger
-	targets []machine
-	active  []*exchange
-	got     result
-	next    int
+	targets []simulatedTarget
+	active  []*clientRequest
+	counts  result
+	nextKey int
 }
 
-func (c crowd) play(seed uint64) result {
-	p := &crowdPlay{crowd: c, rnd: rand.New(rand.NewPCG(seed, 1)), targets: make([]machine, c.targets)}
-	for now := time.Duration(0); now < crowdTime; now += crowdStep {
+func (c workload) run(seed uint64) result {
+	p := &simulation{workload: c, rnd: rand.New(rand.NewPCG(seed, 1)), targets: make([]simulatedTarget, c.targets)}
+	for now := time.Duration(0); now < simulationTime; now += simulationStep {
 		p.crash(now)
 		p.arrive(now)
 		p.advance(now)
 		if now%time.Second == 0 {
-			p.list(now)
+			p.updateListing(now)
 		}
 	}
-	return p.got
+	return p.counts
 }
 
-// chance reports whether something happens in a step that happens so often a second.
-func (p *crowdPlay) chance(rate float64) bool { return p.rnd.Float64() < rate*crowdStep.Seconds() }
+// chance reports whether an event with the given rate per second happens in this
+// step.
+func (p *simulation) chance(rate float64) bool {
+	return p.rnd.Float64() < rate*simulationStep.Seconds()
+}
 
-func (p *crowdPlay) crash(now time.Duration) {
+func (p *simulation) crash(now time.Duration) {
 	end := func(i int) {
-		if now >= p.targets[i].up {
-			p.targets[i] = machine{born: now + downFor, up: now + downFor}
+		if now >= p.targets[i].upAt {
+			p.targets[i] = simulatedTarget{born: now + restartTime, upAt: now + restartTime}
 		}
 	}
-	if p.chance(p.crashes) {
+	if p.chance(p.crashRate) {
 		end(p.rnd.IntN(len(p.targets)))
 	}
-	if p.herd > 0 && now%herdEvery == 0 && now > 0 {
+	if p.massCrashShare > 0 && now%massCrashInterval == 0 && now > 0 {
 		for i := range p.targets {
-			if p.rnd.Float64() < p.herd {
+			if p.rnd.Float64() < p.massCrashShare {
 				end(i)
 			}
 		}
 	}
 }
 
-func (p *crowdPlay) arrive(now time.Duration) {
-	for n := p.rate * crowdStep.Seconds(); n > 0; n-- {
+func (p *simulation) arrive(now time.Duration) {
+	for n := p.rate * simulationStep.Seconds(); n > 0; n-- {
 		if n < 1 && p.rnd.Float64() > n {
 			return
 		}
-		p.next++
-		x := &exchange{key: testKey(hotKeys + p.next)}
+		p.nextKey++
+		x := &clientRequest{key: testKey(hotKeys + p.nextKey)}
 		if p.rnd.Float64() < p.hot {
 			x.key, x.hot = testKey(p.rnd.IntN(hotKeys)), true
 		}
-		p.got.sent++
+		p.counts.sent++
 		p.send(now, x)
 	}
 }
 
-// list takes the targets that are up.
-func (p *crowdPlay) list(now time.Duration) {
+// updateListing passes a listing of all targets that are up to the ledger.
+func (p *simulation) updateListing(now time.Duration) {
 	starts := map[Start]bool{}
 	for i, m := range p.targets {
-		if now >= m.up {
+		if now >= m.upAt {
 			starts[p.startAt(i, m.born)] = true
 		}
 	}
@@ -141,30 +148,31 @@
 	}
 }
 
-// send begins a try of a caller.
-func (p *crowdPlay) send(now time.Duration, x *exchange) {
-	x.round++
+// send starts the next try of a caller.
+func (p *simulation) send(now time.Duration, x *clientRequest) {
+	x.callerTries++
 	x.tries = resend.Tries{Repeatable: true, Most: 2}
 	p.attempt(now, x, -1)
 }
 
-// attempt sends a request to a target that is up, unless it is refused.
-func (p *crowdPlay) attempt(now time.Duration, x *exchange, avoid int) {
+// attempt sends a request to a target that is up and isn't avoid, unless the ledger
+// blocks the request.
+func (p *simulation) attempt(now time.Duration, x *clientRequest, avoid int) {
 	if wait, blocked := p.ledger.Blocked(epoch.Add(now), x.key); blocked {
 		p.refuse(now, x, wait)
 		return
 	}
 	for range 50 {
 		i := p.rnd.IntN(len(p.targets))
-		if i == avoid || now < p.targets[i].up {
+		if i == avoid || now < p.targets[i].upAt {
 			continue
 		}
-		x.at, x.born, x.began, x.waitUntil = i, p.targets[i].born, now, 0
-		x.ends = now + p.short + time.Duration(p.rnd.Float64()*float64(p.long-p.short))
+		x.target, x.born, x.began, x.waitUntil = i, p.targets[i].born, now, 0
+		x.endsAt = now + p.short + time.Duration(p.rnd.Float64()*float64(p.long-p.short))
 		x.resetAt = 0
-		isGrey := i < int(p.grey*float64(len(p.targets)))
-		if isGrey && p.rnd.Float64() < p.resets || now >= p.stormAt && now < p.stormAt+p.stormFor {
-			x.resetAt = now + time.Duration(p.rnd.Float64()*float64(x.ends-now))
+		isGrey := i < int(p.flakyShare*float64(len(p.targets)))
+		if isGrey && p.rnd.Float64() < p.resetShare || now >= p.outageStart && now < p.outageStart+p.outageDuration {
+			x.resetAt = now + time.Duration(p.rnd.Float64()*float64(x.endsAt-now))
 		}
 		x.tries.Sent()
 		p.active = append(p.active, x)
@@ -172,18 +180,19 @@
 	}
 }
 
-func (p *crowdPlay) refuse(now time.Duration, x *exchange, wait time.Duration) {
-	p.got.refused++
-	if x.round < callerTries && wait <= mostWait {
+// refuse lets the caller retry after wait, or counts it as lost.
+func (p *simulation) refuse(now time.Duration, x *clientRequest, wait time.Duration) {
+	p.counts.refused++
+	if x.callerTries < maxCallerTries && wait <= maxRetryAfter {
 		x.waitUntil = now + wait
 		p.active = append(p.active, x)
 		return
 	}
-	p.got.lost++
-	p.got.lastLost = now
+	p.counts.lost++
+	p.counts.lastLost = now
 }
 
-func (p *crowdPlay) advance(now time.Duration) {
+func (p *simulation) advance(now time.Duration) {
 	was := p.active
 	p.active = nil
 	for _, x := range was {
@@ -192,11 +201,11 @@
 			p.active = append(p.active, x)
 		case x.waitUntil > 0:
 			p.send(now, x)
-		case p.targets[x.at].born != x.born || x.resetAt > 0 && now >= x.resetAt:
-			p.broken(now, x)
-		case now >= x.ends:
+		case p.targets[x.target].born != x.born || x.resetAt > 0 && now >= x.resetAt:
+			p.breakOff(now, x)
+		case now >= x.endsAt:
 			t := epoch.Add(now)
-			p.ledger.Answered(t, epoch.Add(x.began), p.start(x))
+			p.ledger.Answered(t, epoch.Add(x.began), p.startOf(x))
 			p.ledger.Succeeded(t, x.key)
 		default:
 			p.active = append(p.active, x)
@@ -204,91 +213,93 @@
 	}
 }
 
-func (p *crowdPlay) start(x *exchange) Start { return p.startAt(x.at, x.born) }
+func (p *simulation) startOf(x *clientRequest) Start { return p.startAt(x.target, x.born) }
 
-func (p *crowdPlay) startAt(target int, born time.Duration) Start {
+func (p *simulation) startAt(target int, born time.Duration) Start {
 	return StartOf(string(rune('A'+target)), epoch.Add(born))
 }
 
-func (p *crowdPlay) broken(now time.Duration, x *exchange) {
-	p.ledger.Strike(epoch.Add(now), x.key, p.start(x), now-x.began-p.short)
+func (p *simulation) breakOff(now time.Duration, x *clientRequest) {
+	p.ledger.Strike(epoch.Add(now), x.key, p.startOf(x), now-x.began-p.short)
 	switch {
 	case x.tries.After(resend.Broken):
-		p.attempt(now, x, x.at)
-	case x.round < callerTries:
-		x.waitUntil = now + clientWait
+		p.attempt(now, x, x.target)
+	case x.callerTries < maxCallerTries:
+		x.waitUntil = now + retryDelay
 		p.active = append(p.active, x)
 	}
 }
 
-// All targets reset what they get for seconds, so that no answer shows in time that they
-// run on. What many callers ask for is refused then, and must be let through soon after.
-func TestOthersAreLetThroughAfterAnOutage(t *testing.T) {
-	c := crowd{
+// All targets reset all requests for several seconds, so that no answer proves in
+// time that they survived. Requests that many callers repeat are blocked then, and
+// must be accepted again soon after the outage.
+func TestHarmlessRequestsAreAcceptedAfterOutage(t *testing.T) {
+	c := workload{
 		targets: 9, short: 5 * time.Millisecond, long: 30 * time.Millisecond, rate: 120, hot: 0.8,
-		stormAt: 10 * time.Second, stormFor: 4 * time.Second,
+		outageStart: 10 * time.Second, outageDuration: 4 * time.Second,
 	}
 	for seed := range uint64(10) {
-		r := c.play(seed)
+		r := c.run(seed)
 		t.Logf("seed %d: %d callers, %d refusals, %d callers lost, the last at %s", seed, r.sent, r.refused, r.lost, r.lastLost)
-		if most := c.stormAt + c.stormFor + confirmAfter + 2*time.Second; r.lastLost > most {
-			t.Errorf("seed %d: callers are refused until %s, want at most until %s", seed, r.lastLost, most)
+		if most := c.outageStart + c.outageDuration + restartListingDelay + 2*time.Second; r.lastLost > most {
+			t.Errorf("seed %d: last caller refused for good at %s, want at most %s", seed, r.lastLost, most)
 		}
 	}
 }
 
-// lostShare is how many of all callers may be refused for good.
-const lostShare = 1.0 / 1000
+// maxLostShare is the greatest share of callers whose requests may be refused for
+// good.
+const maxLostShare = 1.0 / 1000
 
-// Callers whose requests crash nothing must hardly ever be refused: targets crash
-// under the requests of others, in herds, or reset connections and run on. What many
-// callers ask for must not stay refused once targets answer again.
-func TestOthersAreHardlyEverRefused(t *testing.T) {
-	engines := crowd{targets: 20, short: 300 * time.Millisecond, long: 3 * time.Second, rate: 60}
-	lookups := crowd{targets: 9, short: 5 * time.Millisecond, long: 30 * time.Millisecond, rate: 120, hot: 0.8}
-	with := func(c crowd, name string, edit func(c *crowd)) crowd {
+// Guards against refusals of requests that crash nothing, when targets crash because
+// of other requests, one by one or together, or reset connections without crashing.
+// Requests that many callers repeat must not stay blocked once targets answer again.
+func TestHarmlessRequestsAreRarelyRefused(t *testing.T) {
+	engines := workload{targets: 20, short: 300 * time.Millisecond, long: 3 * time.Second, rate: 60}
+	lookups := workload{targets: 9, short: 5 * time.Millisecond, long: 30 * time.Millisecond, rate: 120, hot: 0.8}
+	with := func(c workload, name string, edit func(c *workload)) workload {
 		c.name = name
 		edit(&c)
 		return c
 	}
-	tests := []crowd{
-		with(engines, "engines crash one after another", func(c *crowd) { c.crashes = 1.6 }),
-		with(engines, "engines crash in herds", func(c *crowd) { c.herd = 0.6 }),
-		with(engines, "grey engines", func(c *crowd) { c.grey, c.resets = 0.2, 0.4 }),
-		with(lookups, "lookups, targets crash one after another", func(c *crowd) { c.crashes = 1 }),
-		with(lookups, "lookups, targets crash in herds", func(c *crowd) { c.herd = 0.6 }),
-		with(lookups, "lookups, grey targets", func(c *crowd) { c.grey, c.resets = 0.34, 0.4 }),
-		with(lookups, "lookups, everything reset for a while", func(c *crowd) { c.stormAt, c.stormFor = 20*time.Second, 100*time.Millisecond }),
+	tests := []workload{
+		with(engines, "engines crash one after another", func(c *workload) { c.crashRate = 1.6 }),
+		with(engines, "engines crash together", func(c *workload) { c.massCrashShare = 0.6 }),
+		with(engines, "flaky engines", func(c *workload) { c.flakyShare, c.resetShare = 0.2, 0.4 }),
+		with(lookups, "lookups, targets crash one after another", func(c *workload) { c.crashRate = 1 }),
+		with(lookups, "lookups, targets crash together", func(c *workload) { c.massCrashShare = 0.6 }),
+		with(lookups, "lookups, flaky targets", func(c *workload) { c.flakyShare, c.resetShare = 0.34, 0.4 }),
+		with(lookups, "lookups, short outage", func(c *workload) { c.outageStart, c.outageDuration = 20*time.Second, 100*time.Millisecond }),
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			var all result
 			for seed := range uint64(10) {
-				r := tc.play(seed)
+				r := tc.run(seed)
 				all.sent += r.sent
 				all.refused += r.refused
 				all.lost += r.lost
 				all.lastLost = max(all.lastLost, r.lastLost)
 			}
 			t.Logf("%d callers, %d refusals, %d callers lost, the last at %s", all.sent, all.refused, all.lost, all.lastLost)
-			if share := float64(all.lost) / float64(all.sent); share > lostShare {
-				t.Errorf("%.5f of the callers were refused for good, want at most %.5f", share, lostShare)
+			if share := float64(all.lost) / float64(all.sent); share > maxLostShare {
+				t.Errorf("%.5f of the callers were refused for good, want at most %.5f", share, maxLostShare)
 			}
 		})
 	}
 }
 
-// Guards against callers of a small service who stay refused, after all its targets have
-// crashed together, though they are back.
+// Guards against callers of a small service that are refused for good after all of
+// its targets have crashed together, although the targets are up again.
 func TestOthersAreServedAfterAllTargetsCrashTogether(t *testing.T) {
-	c := crowd{
-		targets: 3, short: 100 * time.Millisecond, long: 800 * time.Millisecond, rate: 20, hot: 0.8, herd: 1,
+	c := workload{
+		targets: 3, short: 100 * time.Millisecond, long: 800 * time.Millisecond, rate: 20, hot: 0.8, massCrashShare: 1,
 	}
 	for seed := range uint64(10) {
-		r := c.play(seed)
+		r := c.run(seed)
 		t.Logf("seed %d: %d callers, %d refusals, %d callers lost, the last at %s", seed, r.sent, r.refused, r.lost, r.lastLost)
-		if share := float64(r.lost) / float64(r.sent); share > lostShare {
-			t.Errorf("seed %d: %.5f of the callers were refused for good, want at most %.5f", seed, share, lostShare)
+		if share := float64(r.lost) / float64(r.sent); share > maxLostShare {
+			t.Errorf("seed %d: %.5f of the callers were refused for good, want at most %.5f", seed, share, maxLostShare)
 		}
 	}
 }
--- a/core/request/poison/note.go
+++ b/core/request/poison/note.go
@@ -8,27 +8,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Note is what one process tells another of a request. Times are told by how long
-// ago they were, as clocks differ.
+// Note is what one process reports to another about a request. Times are given as
+// ages, because the clocks of the processes differ.
 type Note struct {
-	Key     Key      `msgpack:"key"`
-	Strikes []Strike `msgpack:"strikes"`
-	// Cleared is set when the request has ended well, ClearedAgo before.
+	Key     Key       `msgpack:"key"`
+	Strikes []Failure `msgpack:"strikes"`
+	// Cleared is set if the request has completed successfully, and ClearedAgo is how
+	// long ago.
 	Cleared    bool          `msgpack:"cleared"`
 	ClearedAgo time.Duration `msgpack:"clearedAgo"`
 }
 
-// Strike is an attempt that broke off. Survived is set when its target ran on.
-type Strike struct {
+// Failure is an attempt that broke off. Survived is set if its target did not crash.
+type Failure struct {
 	Start    Start         `msgpack:"start"`
 	Ago      time.Duration `msgpack:"ago"`
 	Survived bool          `msgpack:"survived"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (n *Note) Check() error {
-	if len(n.Strikes) == 0 || len(n.Strikes) > maxStrikes {
-		return errors.Newf("note: %d strikes: want 1 to %d", len(n.Strikes), maxStrikes)
+	if len(n.Strikes) == 0 || len(n.Strikes) > maxFailures {
+		return errors.Newf("note: %d strikes: want 1 to %d", len(n.Strikes), maxFailures)
 	}
 	if n.ClearedAgo < 0 {
 		return errors.Newf("note: cleared %s ago: want none below 0", n.ClearedAgo)
@@ -41,25 +42,25 @@
 	return nil
 }
 
-// Note returns what there is to tell of a request, false if it has fewer strikes
-// than least.
+// Note returns what is known of a request, or false if that is fewer than least
+// failures.
 func (l *Ledger) Note(now time.Time, k Key, least int) (Note, bool) {
 	r := l.record(now, k)
-	if r == nil || len(r.strikes) < least {
+	if r == nil || len(r.failures) < least {
 		return Note{}, false
 	}
 	n := Note{Key: k}
-	for start, s := range r.strikes {
-		n.Strikes = append(n.Strikes, Strike{Start: start, Ago: max(0, now.Sub(s.at)), Survived: s.survived})
+	for start, s := range r.failures {
+		n.Strikes = append(n.Strikes, Failure{Start: start, Ago: max(0, now.Sub(s.at)), Survived: s.survived})
 	}
-	slices.SortFunc(n.Strikes, func(a, b Strike) int { return cmp.Compare(a.Ago, b.Ago) })
-	if !r.cleared.IsZero() {
-		n.Cleared, n.ClearedAgo = true, max(0, now.Sub(r.cleared))
+	slices.SortFunc(n.Strikes, func(a, b Failure) int { return cmp.Compare(a.Ago, b.Ago) })
+	if !r.lastSuccess.IsZero() {
+		n.Cleared, n.ClearedAgo = true, max(0, now.Sub(r.lastSuccess))
 	}
 	return n, true
 }
 
-// Keys returns the requests that are known, the latest first.
+// Keys returns the known requests, the most recent first.
 func (l *Ledger) Keys(now time.Time) []Key {
 	l.init()
 	var out []Key
@@ -69,46 +70,50 @@
 	return out
 }
 
-// Merge takes what another process tells of a request, and reports whether any of it
-// is news. Notes may come late, twice and in any order.
+// Merge adds another process's note to the ledger, and reports whether it changed
+// anything. Notes may arrive late, repeatedly and in any order.
 func (l *Ledger) Merge(now time.Time, n Note) bool {
 	r := l.record(now, n.Key)
 	if r == nil {
-		r = &record{strikes: map[Start]strike{}}
+		r = &record{failures: map[Start]failure{}}
 	}
-	news := false
+	changed := false
 	for _, s := range n.Strikes {
-		news = l.take(now, n.Key, r, s) || news
+		changed = l.mergeFailure(now, n.Key, r, s) || changed
 	}
-	return l.takeClear(now, r, n) || news
+	return l.mergeSuccess(now, r, n) || changed
 }
 
-// takeClear takes a good end, which is news only to one that took the request for a
-// suspect: told of by several, it seems a little later each time.
-func (l *Ledger) takeClear(now time.Time, r *record, n Note) bool {
+// mergeSuccess adds a successful completion, and reports whether it clears the
+// request of failures. It does not report a mere change of the time: when several
+// processes report the same completion, each seems a little later than the one
+// before.
+func (l *Ledger) mergeSuccess(now time.Time, r *record, n Note) bool {
 	at := now.Add(-n.ClearedAgo)
-	if !n.Cleared || !at.After(r.cleared) {
+	if !n.Cleared || !at.After(r.lastSuccess) {
 		return false
 	}
-	before, _ := r.standing()
-	r.cleared = at
-	after, _ := r.standing()
+	before, _ := r.suspectedCrashes()
+	r.lastSuccess = at
+	after, _ := r.suspectedCrashes()
 	return before != after
 }
 
-func (l *Ledger) take(now time.Time, k Key, r *record, reported Strike) bool {
+// mergeFailure adds a failure, or the news that the target of a known failure
+// survived, and reports whether it changed anything.
+func (l *Ledger) mergeFailure(now time.Time, k Key, r *record, reported Failure) bool {
 	at := now.Add(-reported.Ago)
-	known, ok := r.strikes[reported.Start]
+	known, ok := r.failures[reported.Start]
 	switch {
-	case !ok || at.Sub(known.at) > sameStrike:
-		if !ok && len(r.strikes) >= maxStrikes && at.Before(r.strikes[r.oldest()].at) {
+	case !ok || at.Sub(known.at) > sameFailureWindow:
+		if !ok && len(r.failures) >= maxFailures && at.Before(r.failures[r.oldest()].at) {
 			return false
 		}
-		l.note(now, k, r, reported.Start, strike{at: at, survived: reported.Survived})
+		l.addFailure(now, k, r, reported.Start, failure{at: at, survived: reported.Survived})
 		return true
-	case reported.Survived && !known.survived && known.at.Sub(at) <= sameStrike:
+	case reported.Survived && !known.survived && known.at.Sub(at) <= sameFailureWindow:
 		known.survived = true
-		r.strikes[reported.Start] = known
+		r.failures[reported.Start] = known
 		return true
 	default:
 		return false
