--- a/core/request/table/table.go
+++ b/core/request/table/table.go
@@ -1,6 +1,9 @@
-// Package table holds what callers may call at one version of the
-// configuration: routes, the services behind them, and the customers with
-// their keys. A Table is never changed once it is handed out.
+// Package table holds the routing table: the routes that callers may use, the
+// services behind them, and the customers with their API keys, at one version of the
+// configuration.
+//
+// Package platform builds a Table from the configuration, and entries look up each
+// request in it. A Table must not be changed once it is shared.
 package table
 
 import (
@@ -10,20 +13,24 @@
 	"hawthornferry/core/process/envdoc"
 )
 
-// Repeat says how often a route's requests may run.
+// Repeat says whether a route's requests may run more than once.
 type Repeat string
 
-// The kinds of route. A stream may be taken up by a second target only where
-// its route says that it can be resumed.
+// The kinds of route. Requests of an idempotent route may be repeated, those of a
+// once route must run at most once. A stream may be continued by a second target only
+// if its route says that it can be resumed.
 const (
 	RepeatIdempotent Repeat = "idempotent"
 	RepeatOnce       Repeat = "once"
 	RepeatStream     Repeat = "stream"
 )
 
-// Route is one route. Timeout bounds the whole answer; Objective is the time
-// to the answer, or to a stream's first event, that callers are promised, and
-// Gap the longest pause between the events of a stream.
+// Route configures the requests of one host and path prefix.
+//
+// Timeout bounds the whole answer. Objective is the promised time to the answer, or
+// to the first event of a stream, and Gap the longest promised pause between two
+// events of a stream. Attempts is the most targets to which a request is sent.
+// Anonymous routes need no API key.
 type Route struct {
 	Name      string
 	Host      string
@@ -39,63 +46,67 @@
 	Resume    bool
 }
 
-// Share is the part of a route's requests that a service gets.
+// Share is a service that gets part of a route's requests, in proportion to Weight.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// Resumable reports whether a second target may go on with an answer that
-// the first one broke off.
+// Resumable reports whether a second target may continue an answer that the first one
+// broke off.
 func (r Route) Resumable() bool { return r.Repeat == RepeatStream && r.Resume }
 
 // Repeatable reports whether a request may run more than once.
 func (r Route) Repeatable() bool { return r.Repeat == RepeatIdempotent || r.Resumable() }
 
-// Service is a group of targets. MaxConns is how many connections each target
-// takes from all callers; Engine is nil for a plain service.
+// Service is a group of targets. MaxConns is the most connections that each target
+// accepts from all callers together. Engine is nil for a plain service.
 type Service struct {
 	Name     string
 	MaxConns int
 	Engine   *Engine
 }
 
-// Engine is what a model engine can do, as its operator declares it.
+// Engine describes the capacity and speed of a service's model engines, as configured
+// by the operator.
 type Engine struct {
 	Model string
-	// Slots is how many requests are written at once; Memory, in tokens, is
-	// what they and their prompts may take.
+	// Slots is the number of requests that an engine generates answers for at the
+	// same time. Memory is the number of tokens that these and their prompts may
+	// occupy.
 	Slots  int
 	Memory int
-	// A pass with writers makes Stride tokens for each; one step takes Step
-	// and PerSequence more for each writer.
+	// A pass generates Stride tokens for each active request, one step per token. A
+	// step takes Step, and PerSequence more for each active request.
 	Stride      int
 	Step        time.Duration
 	PerSequence time.Duration
-	// PerContext is for each thousand tokens of a writer's context.
+	// PerContext is the time added to a step for each thousand tokens of context of
+	// the active requests.
 	PerContext time.Duration
-	// ReadRate is prompt tokens a second.
+	// ReadRate is the number of prompt tokens read per second.
 	ReadRate float64
-	// UsualPrompt and UsualAnswer are mean tokens of a request.
+	// UsualPrompt and UsualAnswer are the mean numbers of tokens of a request's
+	// prompt and answer.
 	UsualPrompt int
 	UsualAnswer int
 }
 
-// Customer is a tenant of the system and the keys that name it. A nil
-// Priority leaves that of the route.
+// Customer is a tenant of the system, identified by any of its API keys. A nil
+// Priority means that of the route.
 type Customer struct {
 	Name     string
 	Keys     []string
 	Priority *int
 }
 
-// Limits bound what a caller may send; zero is no limit.
+// Limits bound what a caller may send. Zero means no limit.
 type Limits struct {
 	MaxBody int64
 	Idle    time.Duration
 }
 
-// Table is the routing configuration of one version.
+// Table is the routing configuration at one version.
 type Table struct {
 	Version   uint64
 	Routes    []Route
@@ -103,33 +114,33 @@
 	Customers []Customer
 	Limits    Limits
 
-	hosts    map[string][]int
-	keys     map[string]int
-	services map[string]int
+	routesByHost   map[string][]int
+	customersByKey map[string]int
+	servicesByName map[string]int
 }
 
-// Index prepares the look-ups; call it once before the table is shared.
+// Index builds the look-up maps. It must be called once before the table is shared.
 func (t *Table) Index() {
-	t.hosts = make(map[string][]int, len(t.Routes))
+	t.routesByHost = make(map[string][]int, len(t.Routes))
 	for i, r := range t.Routes {
-		t.hosts[r.Host] = append(t.hosts[r.Host], i)
+		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], i)
 	}
-	t.keys = map[string]int{}
+	t.customersByKey = map[string]int{}
 	for i, c := range t.Customers {
 		for _, k := range c.Keys {
-			t.keys[k] = i
+			t.customersByKey[k] = i
 		}
 	}
-	t.services = make(map[string]int, len(t.Services))
+	t.servicesByName = make(map[string]int, len(t.Services))
 	for i, s := range t.Services {
-		t.services[s.Name] = i
+		t.servicesByName[s.Name] = i
 	}
 }
 
-// Match returns the route of host with the longest prefix of path.
+// Match returns the route of host with the longest prefix that matches path.
 func (t *Table) Match(host, path string) (Route, bool) {
 	best := -1
-	for _, i := range t.hosts[host] {
+	for _, i := range t.routesByHost[host] {
 		p := t.Routes[i].Prefix
 		if strings.HasPrefix(path, p) && (best < 0 || len(p) > len(t.Routes[best].Prefix)) {
 			best = i
@@ -141,28 +152,29 @@
 	return t.Routes[best], true
 }
 
-// Keyed reports whether requests are to name a customer by a key.
+// Keyed reports whether requests must have an API key. They need none if no customers
+// are configured.
 func (t *Table) Keyed() bool { return len(t.Customers) > 0 }
 
-// CustomerOf returns the customer that holds key.
+// CustomerOf returns the customer to which an API key belongs.
 func (t *Table) CustomerOf(key string) (Customer, bool) {
-	i, ok := t.keys[key]
+	i, ok := t.customersByKey[key]
 	if !ok || key == "" {
 		return Customer{}, false
 	}
 	return t.Customers[i], true
 }
 
-// ServiceByName returns the service called name.
+// ServiceByName returns the service with the given name.
 func (t *Table) ServiceByName(name string) (Service, bool) {
-	i, ok := t.services[name]
+	i, ok := t.servicesByName[name]
 	if !ok {
 		return Service{}, false
 	}
 	return t.Services[i], true
 }
 
-// Kind returns the kind of a service in the terms of an environment document.
+// Kind returns the kind of the service as environment documents name it.
 func (s Service) Kind() envdoc.Kind {
 	if s.Engine != nil {
 		return envdoc.KindEngine
