--- a/core/request/proof/doc.go
+++ b/core/request/proof/doc.go
@@ -1,7 +1,12 @@
-// Package proof checks the protocols of the system by exploring every state
-// of small models that run the protocols' own code. It holds tests alone.
+// Package proof model-checks at-most-once calls and soak-tests request routing. It
+// contains tests only.
 //
-// Each model's moves are crash and restart, loss, repetition, reordering,
-// pause and late wake; each safeguard of the code is removed once, and the
-// checker must then find how the rule breaks.
+// The model checker runs the code of package calls in a small model and explores
+// every reachable state. Between two steps of the protocol, processes may crash and
+// restart, connections may be lost, and messages may be lost, repeated, reordered or
+// delayed for as long as the bounds allow. Each safeguard of the code is also removed
+// once; the checker must then find a sequence of events that breaks a rule.
+//
+// The soak test runs package route, package admit and the ledger of package calls for
+// weeks of virtual time, and checks that no table or rate drifts.
 package proof
--- a/core/request/proof/once_test.go
+++ b/core/request/proof/once_test.go
@@ -13,79 +13,82 @@
 	return calls.Limits{MaxAge: tick, Keep: 2 * tick, KeyWindow: 3 * tick, Records: 16}
 }
 
-// free is a call that its entry may try at the other side once the first has
+// freeCall is a call that its entry may try at the other side once the first side has
 // marked it.
-func free() bounds {
+func freeCall() bounds {
 	return bounds{
-		binding: calls.BindFree, ticks: 3, crashes: 1, posts: 1, attempts: 2, asks: 2,
+		binding: calls.BindFree, endTime: 3, crashes: 1, posts: 1, attempts: 2, queries: 2,
 		postUntil: 3, limits: limits(),
 	}
 }
 
-// again is a call that its caller posts anew once it hears "not run".
-func again() bounds {
+// repostedCall is a free call that its caller posts again after it was told notRun.
+func repostedCall() bounds {
 	return bounds{
-		binding: calls.BindFree, ticks: 3, crashes: 1, posts: 2, attempts: 1, asks: 1,
+		binding: calls.BindFree, endTime: 3, crashes: 1, posts: 2, attempts: 1, queries: 1,
 		postUntil: 3, limits: limits(),
 	}
 }
 
-func ticket() bounds {
+// ticketCall is a call with a ticket, which its caller posts twice.
+func ticketCall() bounds {
 	return bounds{
-		binding: calls.BindTicket, ticks: 4, crashes: 1, posts: 2, attempts: 1, asks: 1,
+		binding: calls.BindTicket, endTime: 4, crashes: 1, posts: 2, attempts: 1, queries: 1,
 		postUntil: 4, limits: limits(),
 	}
 }
 
-// key is a caller's own key: it is posted again for no longer than the
-// window and the records last.
-func key() bounds {
+// keyCall is a call with an idempotency key. Its caller posts it again for less time
+// than the key window and the records last.
+func keyCall() bounds {
 	return bounds{
-		binding: calls.BindKey, ticks: 4, crashes: 1, posts: 2, attempts: 1, asks: 1,
+		binding: calls.BindKey, endTime: 4, crashes: 1, posts: 2, attempts: 1, queries: 1,
 		postUntil: 1, limits: limits(),
 	}
 }
 
-// owner is a key whose owner changes, known to all within the tick. The
-// window is over the lag, the caller's span and the age of a reading together;
-// the exploration begins when that of the sides' boots has passed.
-func owner() bounds {
+// ownerChanges is a keyed call whose owner changes; all processes learn of the change
+// within the same tick. The key window exceeds the sum of the maximum lag, the time
+// during which the caller posts and the maximum age of a reading. The exploration
+// starts when the key window after the boot of the sides has passed.
+func ownerChanges() bounds {
 	return bounds{
-		binding: calls.BindKey, ticks: 6, posts: 2, attempts: 1, asks: 0,
-		postUntil: 6, postSpan: 1, owner: true, lag: 0, begin: 3, limits: ownerLimits(),
+		binding: calls.BindKey, endTime: 6, posts: 2, attempts: 1, queries: 0,
+		postUntil: 6, postSpan: 1, ownerChanges: true, maxLag: 0, startTime: 3, limits: ownerChangeLimits(),
 	}
 }
 
-func ownerLimits() calls.Limits {
+func ownerChangeLimits() calls.Limits {
 	l := limits()
 	l.Keep = 8 * tick
 	return l
 }
 
-// unbounded is the same where processes may never learn of the change.
-func unbounded() bounds {
-	b := owner()
-	b.lag = noBound
-	b.begin, b.ticks, b.postUntil = 2, 4, 4
+// ownerChangeWithoutBound is the same without a bound on the lag: processes may never
+// learn of the change.
+func ownerChangeWithoutBound() bounds {
+	b := ownerChanges()
+	b.maxLag = unlimited
+	b.startTime, b.endTime, b.postUntil = 2, 4, 4
 	b.limits.KeyWindow = 2 * tick
 	return b
 }
 
-// A caller's payment meets every order of crash, restart, silent and lost
-// connection, late arrival, pause and second posting through the other entry
-// that the bounds allow. It runs at most once, and "not run" is true
-// whenever it is said.
+// A caller posts a payment while processes crash and restart, connections are silent
+// or lost, messages are late, processes pause, and the payment is posted again
+// through the other entry, in every order that the bounds allow. The payment must run
+// at most once, and no call may run that was reported as notRun.
 func TestOnceCallRunsAtMostOnce(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name   string
 		bounds bounds
 	}{
-		{"free, tried at the other side", free()},
-		{"free, posted again", again()},
-		{"ticket", ticket()},
-		{"key", key()},
-		{"key, its owner changes", owner()},
+		{"free, retried at the other side", freeCall()},
+		{"free, posted again", repostedCall()},
+		{"ticket", ticketCall()},
+		{"key", keyCall()},
+		{"key with a change of owner", ownerChanges()},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -100,24 +103,24 @@
 	}
 }
 
-// Each safeguard is left out once. The checker must then find how the
-// payment runs twice, or runs after "not run" was said: otherwise it would
-// pass whatever the code did.
+// Each safeguard is removed once. The checker must then find how the payment runs
+// twice, or runs although it was reported as notRun: otherwise the checker would pass
+// whatever the code does.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
-		removed removed
+		removed safeguard
 		bounds  bounds
 	}{
-		{theMark, free()},
-		{theQuery, free()},
-		{theAge, free()},
-		{theRecord, ticket()},
-		{theBoot, ticket()},
-		{theExpiry, ticket()},
-		{theBound, ticket()},
-		{theWindow, key()},
-		{theFellow, owner()},
+		{queryMark, freeCall()},
+		{queryAfterLoss, freeCall()},
+		{readingAgeCheck, freeCall()},
+		{recordBeforeRun, ticketCall()},
+		{bootCheck, ticketCall()},
+		{ticketAgeCheck, ticketCall()},
+		{queryWhenUnsent, ticketCall()},
+		{keyWindow, keyCall()},
+		{memberCheck, ownerChanges()},
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.removed), func(t *testing.T) {
@@ -131,13 +134,13 @@
 	}
 }
 
-// Half of the fleet never learns that a key has another owner, and the caller
-// posts to both halves. Each half's side runs the payment. Nothing in the code
-// prevents this: what does is that views differ for less than the window, and
-// the checker shows that this is needed.
-func TestKeyNeedsViewsThatAgreeInTime(t *testing.T) {
+// Half of the processes never learn that a key has a new owner, and the caller posts
+// to both halves, so that two sides run the payment. The code does not prevent this:
+// it relies on all views agreeing within the key window. The test shows that this
+// assumption is needed.
+func TestKeyRunsTwiceWithUnboundedViewLag(t *testing.T) {
 	t.Parallel()
-	got := explorer{bounds: unbounded()}.run()
+	got := explorer{bounds: ownerChangeWithoutBound()}.run()
 	if got.Err == nil {
 		t.Fatalf("no rule was broken: %v", got)
 	}
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -18,34 +18,34 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// The length and pace of the soak in virtual time.
+// Duration of the soak test in virtual time, and rates of its events.
 const (
-	soakWeeks    = 4
-	soakCallGap  = 30 * time.Second
-	soakTargets  = 12
-	targetLife   = 12 * time.Hour
-	versionLife  = 6 * time.Hour
-	soakPrefixes = 6
-	soakRepeatOf = 4
+	soakWeeks        = 4
+	soakCallInterval = 30 * time.Second
+	soakTargets      = 12
+	targetLifetime   = 12 * time.Hour
+	versionLifetime  = 6 * time.Hour
+	soakPrefixes     = 6
+	repeatOneIn      = 4
 )
 
-// soak is an entry and a side under weeks of work in virtual time: targets,
-// versions, customers, prompts and keys come and go for good.
+// soak simulates an entry and a side for weeks of virtual time, during which targets,
+// versions, customers, prompts and keys are replaced by new ones. n counts the steps.
 type soak struct {
-	rand    *rand.Rand
-	now     time.Time
-	begun   time.Time
-	n       int
-	chooser *route.Chooser
-	admit   *admit.Admitter
-	ledger  *calls.Ledger
-	tracker *drift.Tracker
-	targets []route.Candidate
-	born    int
-	tickets []calls.Ticket
-	ran     map[calls.ID]int
-	stopped int
-	refused int
+	rand           *rand.Rand
+	now            time.Time
+	startTime      time.Time
+	n              int
+	chooser        *route.Chooser
+	admit          *admit.Admitter
+	ledger         *calls.Ledger
+	tracker        *drift.Tracker
+	targets        []route.Candidate
+	created        int
+	tickets        []calls.Ticket
+	ran            map[calls.ID]int
+	repeatsRefused int
+	refused        int
 }
 
 func newSoak() *soak {
@@ -56,7 +56,7 @@
 		tracker: &drift.Tracker{},
 		ran:     map[calls.ID]int{},
 	}
-	s.begun = s.now
+	s.startTime = s.now
 	s.chooser = &route.Chooser{Entry: fleet.VM{Name: "e", Zone: "z0", Region: "r"}, Rand: s.rand}
 	s.ledger = calls.NewLedger("boot", calls.DefaultLimits())
 	for range soakTargets {
@@ -66,12 +66,12 @@
 }
 
 func (s *soak) newTarget() route.Candidate {
-	s.born++
+	s.created++
 	return route.Candidate{
 		VM: fleet.VM{
-			Name:    fmt.Sprint("t", s.born),
+			Name:    fmt.Sprint("t", s.created),
 			Role:    fleet.RoleSide,
-			Zone:    fmt.Sprint("z", s.born%2),
+			Zone:    fmt.Sprint("z", s.created%2),
 			Region:  "r",
 			Service: "helper",
 			Address: netip.MustParseAddrPort("127.0.0.1:1"),
@@ -81,20 +81,20 @@
 	}
 }
 
-// step is one call, with all that happens around it.
+// step advances the time and makes one routed call and one once-call.
 func (s *soak) step() {
 	s.n++
-	s.now = s.now.Add(soakCallGap)
-	if s.every(targetLife / soakTargets) {
+	s.now = s.now.Add(soakCallInterval)
+	if s.every(targetLifetime / soakTargets) {
 		s.targets[s.rand.IntN(soakTargets)] = s.newTarget()
 	}
 	for i := range s.targets {
 		t := &s.targets[i]
-		t.Serving = chunk.Sum([]byte(fmt.Sprint(s.now.Sub(s.begun) / versionLife)))
+		t.Serving = chunk.Sum([]byte(fmt.Sprint(s.now.Sub(s.startTime) / versionLifetime)))
 		t.Report = route.Report{At: s.now, Running: s.rand.IntN(8), Capacity: 16}
 		s.admit.Report(s.now, "helper", t.VM.Name, t.Report)
 	}
-	s.call()
+	s.routedCall()
 	s.onceCall()
 	s.admit.Tick(s.now)
 	if s.every(time.Minute) {
@@ -104,18 +104,18 @@
 }
 
 func (s *soak) run(weeks int) {
-	for range int(time.Duration(weeks) * 7 * 24 * time.Hour / soakCallGap) {
+	for range int(time.Duration(weeks) * 7 * 24 * time.Hour / soakCallInterval) {
 		s.step()
 	}
 }
 
-// every reports whether this step is the first in a new period.
+// every reports whether this step is the first of a new period.
 func (s *soak) every(period time.Duration) bool {
-	at := s.now.Sub(s.begun)
-	return at/period != (at-soakCallGap)/period
+	at := s.now.Sub(s.startTime)
+	return at/period != (at-soakCallInterval)/period
 }
 
-// customer is one of ten steady ones, or one that is never seen again.
+// customer returns one of ten regular customers, or one that never calls again.
 func (s *soak) customer() string {
 	if s.rand.IntN(10) > 0 {
 		return fmt.Sprint("steady", s.rand.IntN(10))
@@ -123,7 +123,7 @@
 	return fmt.Sprint("once", s.n)
 }
 
-func (s *soak) call() {
+func (s *soak) routedCall() {
 	id := fmt.Sprint("r", s.n)
 	r := route.Request{ID: id, Customer: s.customer(), Service: "helper", Priority: route.PriorityInteractive}
 	r.Deadline = s.now.Add(2 * time.Second)
@@ -142,16 +142,16 @@
 	}
 	s.chooser.Stored(s.now, c.VM.Name, s.rand.Uint64())
 	s.chooser.Paced(s.now, c.VM.Name, 25*time.Millisecond)
-	// One call in a thousand is never told to be done, as when its goroutine
+	// One call in a thousand is never reported as done, as if its goroutine
 	// was lost.
 	if s.rand.IntN(1000) > 0 {
 		s.admit.Done(s.now.Add(time.Second), admit.Done{ID: id, FirstByte: 200 * time.Millisecond})
 	}
 }
 
-// onceCall posts a new ticket, or one from before, through any entry.
+// onceCall posts a new ticket or repeats an earlier one.
 func (s *soak) onceCall() {
-	clock := s.now.Sub(s.begun)
+	clock := s.now.Sub(s.startTime)
 	t := calls.Ticket{
 		Call:    calls.ID(fmt.Sprint("c", s.n)),
 		Bind:    calls.BindTicket,
@@ -159,14 +159,14 @@
 		Side:    "t",
 		Issued:  lease.Reading{Boot: "boot", At: clock},
 	}
-	if len(s.tickets) > 0 && s.rand.IntN(soakRepeatOf) == 0 {
+	if len(s.tickets) > 0 && s.rand.IntN(repeatOneIn) == 0 {
 		t = s.tickets[s.rand.IntN(len(s.tickets))]
 	} else {
 		s.tickets = append(s.tickets, t)
 	}
 	start := calls.Start{Ticket: t, Echo: lease.Reading{Boot: "boot", At: clock}, Print: "p"}
 	if s.ledger.Start(clock, start).Act != calls.ActRun {
-		s.stopped++
+		s.repeatsRefused++
 		return
 	}
 	s.ran[t.Call]++
@@ -188,11 +188,11 @@
 	}
 }
 
-// Four weeks pass with targets, versions, customers, prompts and tickets that
-// come and go, tickets that are posted again weeks later, and calls that are
-// never told to be done. No table grows from one week to the next, the limit
-// and the refusals stay as they were, and no ticket runs twice.
-func TestWeeksOfChurnChangeNothing(t *testing.T) {
+// For four weeks targets, versions, customers, prompts and tickets are replaced,
+// tickets are posted again weeks later, and some calls are never reported as done. No
+// table may grow from week to week, the limit and the number of refusals must stay
+// the same, and no ticket may run twice.
+func TestSoakShowsNoDrift(t *testing.T) {
 	t.Parallel()
 	s := newSoak()
 	s.run(soakWeeks)
@@ -201,8 +201,8 @@
 			t.Errorf("call %s ran %d times", id, n)
 		}
 	}
-	if s.stopped == 0 {
-		t.Error("no repeat came; the run tells nothing")
+	if s.repeatsRefused == 0 {
+		t.Error("no repeat of a ticket was refused: the test checks nothing")
 	}
 	for _, l := range s.tracker.Lines(s.now) {
 		t.Logf("%s %s over %v: value %.0f, usual %.0f, trend %.2f", l.Name.Kind, l.Name.Name, l.Window, l.Value, l.Usual, l.Trend)
@@ -211,12 +211,13 @@
 				l.Name.Kind, l.Name.Name, l.Window, l.Value, l.Usual, l.Trend)
 		}
 	}
-	t.Logf("%d calls, %d tickets, %d repeats stopped", s.n, len(s.tickets), s.stopped)
+	t.Logf("%d calls, %d tickets, %d repeats refused", s.n, len(s.tickets), s.repeatsRefused)
 }
 
-// Without the age that gives up calls which were never told to be done, each
-// holds its place for good. The drift must name the measure that grows.
-func TestSoakSeesALeak(t *testing.T) {
+// Calls that are never reported as done are dropped at a maximum age. Without it they
+// would occupy their places forever, and the drift tracker must report the measure
+// that grows.
+func TestSoakDetectsLeak(t *testing.T) {
 	t.Parallel()
 	s := newSoak()
 	s.admit.CallAge = 52 * 7 * 24 * time.Hour
@@ -226,5 +227,5 @@
 			return
 		}
 	}
-	t.Errorf("no drift of calls in flight seen: %+v", s.tracker.Lines(s.now))
+	t.Errorf("no drift of calls in flight reported: %+v", s.tracker.Lines(s.now))
 }
--- a/core/request/proof/key_test.go
+++ b/core/request/proof/statekey_test.go
@@ -9,20 +9,21 @@
 	"hawthornferry/core/request/calls"
 )
 
-// keyer builds the name of a state.
-type keyer struct {
+// keyBuilder builds the key of a state, by which the explorer recognizes equal
+// states.
+type keyBuilder struct {
 	b []byte
 }
 
-func newKeyer() *keyer { return &keyer{b: make([]byte, 0, 512)} }
+func newKeyBuilder() *keyBuilder { return &keyBuilder{b: make([]byte, 0, 512)} }
 
-func (k *keyer) num(ns ...int) {
+func (k *keyBuilder) num(ns ...int) {
 	for _, n := range ns {
 		k.b = append(k.b, byte(n))
 	}
 }
 
-func (k *keyer) flag(bs ...bool) {
+func (k *keyBuilder) flag(bs ...bool) {
 	for _, b := range bs {
 		if b {
 			k.b = append(k.b, 1)
@@ -32,26 +33,26 @@
 	}
 }
 
-func (k *keyer) text(s string) {
+func (k *keyBuilder) text(s string) {
 	k.b = append(k.b, s...)
 	k.b = append(k.b, ';')
 }
 
-func (k *keyer) reading(r lease.Reading) {
+func (k *keyBuilder) reading(r lease.Reading) {
 	k.text(r.Boot)
 	k.num(int(r.At / tick))
 }
 
-func (k *keyer) ticket(t calls.Ticket) {
+func (k *keyBuilder) ticket(t calls.Ticket) {
 	k.text(string(t.Call))
 	k.reading(t.Issued)
 }
 
-// set adds n items whose order does not matter.
-func (k *keyer) set(n int, item func(i int, k *keyer)) {
+// unordered adds n items whose order does not matter.
+func (k *keyBuilder) unordered(n int, item func(i int, k *keyBuilder)) {
 	parts := make([]string, 0, n)
 	for i := range n {
-		one := keyer{}
+		one := keyBuilder{}
 		item(i, &one)
 		parts = append(parts, string(one.b))
 	}
