--- a/core/request/calls/ledger.go
+++ b/core/request/calls/ledger.go
@@ -11,9 +11,11 @@
 // Limits are the settings of a ledger.
 //
 // MaxAge is the greatest age of the clock reading of a new call. Keep is how long a
-// record is kept after its last change; it must exceed MaxAge. KeyWindow is how long
-// a side runs no calls bound to a key after its boot, or after a change of the
-// members among which the keys are distributed. Records is the most records held.
+// record is kept after its last change; it must exceed MaxAge, as otherwise a call
+// could still start after its mark was dropped. KeyWindow is how long a side runs no
+// calls bound to a key after its boot, or after a change of the members among which
+// the keys are distributed. Records is the number of records from which new calls are
+// refused; marks may exceed it by the share that extraMarksDivisor sets.
 type Limits struct {
 	MaxAge    time.Duration
 	Keep      time.Duration
@@ -31,9 +33,9 @@
 	}
 }
 
-// Record is what a side holds of one call. Print identifies the request, to
-// detect a key or ticket that is reused for another request. At is the side's clock
-// at the last change.
+// Record is what a side holds of one call. Print identifies the request, to detect a
+// key or ticket that is reused for another request. At is the side's clock at the
+// last change.
 type Record struct {
 	State State
 	Print string
