--- a/core/process/naming/age_explore_test.go
+++ b/core/process/naming/age_explore_test.go
@@ -12,22 +12,23 @@
 	"hawthornferry/core/process/facts"
 )
 
-// The model of the namings with another rule: each change of the store revokes a
-// key, and requests with it come at any moment.
+// The model of explore_test.go with another rule: each change of the store
+// revokes a key, and requests that use the key arrive at any time.
 
-// keyAge is how old the belief may be for a key to be honoured.
-const keyAge = tick
+// maxKeyAge is the oldest that a process's state may be for it to accept a key.
+const maxKeyAge = tick
 
-const dropOrder dropped = "the age is read before the belief"
+const ageReadFirst safeguard = "the age is read before the state"
 
-// between is a source whose belief changes after the first of the two calls.
-type between struct {
+// changingSource is a facts.Source whose state changes after the first of its
+// two calls.
+type changingSource struct {
 	before, after view
 	process       int
 	calls         int
 }
 
-func (b *between) look() (time.Duration, Contact) {
+func (b *changingSource) next() (time.Duration, Contact) {
 	b.calls++
 	v := b.before
 	if b.calls > 1 {
@@ -36,31 +37,32 @@
 	return v.now, v.contacts[b.process]
 }
 
-// Current returns a belief of which the request needs the revision alone.
-func (b *between) Current() *facts.Facts {
-	_, p := b.look()
+// Current returns facts with only the revision set; the check needs nothing
+// else.
+func (b *changingSource) Current() *facts.Facts {
+	_, p := b.next()
 	return &facts.Facts{Revision: p.Revision}
 }
 
-// Age returns the belief's age.
-func (b *between) Age() (time.Duration, bool) {
-	now, p := b.look()
+// Age returns how long ago the state was confirmed.
+func (b *changingSource) Age() (time.Duration, bool) {
+	now, p := b.next()
 	return now - p.Confirmed, p.Known
 }
 
-// agedModel has requests come at each moment, and beliefs change while they are
-// taken.
-type agedModel struct{ model }
+// ageModel is a model in which a request arrives at every step, and the state
+// may change while the request reads it.
+type ageModel struct{ model }
 
-func (m agedModel) moves(s *fleet) []explor.Move[*fleet] {
-	out := m.model.moves(s)
+func (m ageModel) nextMoves(s *modelState) []explor.Move[*modelState] {
+	out := m.model.nextMoves(s)
 	for _, mv := range out {
 		c := mv.Next
 		for n := range c.views {
 			for i := range c.processes {
-				b := &between{before: c.views[n], after: c.views[min(n+1, len(c.views)-1)], process: i}
-				if err := m.request(c.named, b); err != nil {
-					c.broken = errors.Wrapf(err, "process %d", i)
+				b := &changingSource{before: c.views[n], after: c.views[min(n+1, len(c.views)-1)], process: i}
+				if err := m.checkRequest(c.announced, b); err != nil {
+					c.violation = errors.Wrapf(err, "process %d", i)
 				}
 			}
 		}
@@ -69,74 +71,74 @@
 	return out
 }
 
-// request takes the belief that a request is served by. It is the rule: no key is
-// honoured that had been revoked for longer than the bound when the request was
-// sent.
-func (m agedModel) request(named []time.Duration, b *between) error {
+// checkRequest reads the facts and their age for one request and checks the
+// rule: no key is accepted that was revoked more than maxKeyAge before the
+// request was sent.
+func (m ageModel) checkRequest(named []time.Duration, b *changingSource) error {
 	var f *facts.Facts
 	var age facts.Age
-	if m.dropped == dropOrder {
+	if m.disabled == ageReadFirst {
 		f = b.Current()
 		age.Most, age.Known = b.Age()
 	} else {
 		f, age = facts.Take(b)
 	}
-	if age.OlderThan(keyAge) || f.Revision == 0 {
+	if age.OlderThan(maxKeyAge) || f.Revision == 0 {
 		return nil
 	}
 	for n, revoked := range named {
 		since := b.before.now - revoked
-		if v := uint64(n + 1); v > f.Revision && since > keyAge {
-			return errors.Newf("honours a key that revision %d revoked %s ago", v, since)
+		if v := uint64(n + 1); v > f.Revision && since > maxKeyAge {
+			return errors.Newf("accepts a key that revision %d revoked %s ago", v, since)
 		}
 	}
 	return nil
 }
 
-func (m agedModel) run() explor.Result {
-	m.spare, m.looks = keyAge+tick, true
-	return explor.Explore(explor.Model[*fleet]{
-		Initial: m.initial(), Moves: m.moves, Key: (*fleet).key, Max: 1 << 20,
-		Check: func(s *fleet) error { return s.broken },
+func (m ageModel) run() explor.Result {
+	m.quietEnd, m.recordsViews = maxKeyAge+tick, true
+	return explor.Explore(explor.Model[*modelState]{
+		Initial: m.initial(), Moves: m.nextMoves, Key: (*modelState).key, Max: 1 << 20,
+		Check: func(s *modelState) error { return s.violation },
 	})
 }
 
 var (
-	agedFreezes = bounds{ticks: 5, freezes: 2}
-	agedCuts    = bounds{ticks: 5, cuts: 2}
-	agedDark    = bounds{ticks: 5, darks: 2}
-	darkFreeze  = bounds{ticks: 5, darks: 1, freezes: 1}
-	darkTrap    = bounds{ticks: 3, darks: 1, freezes: 1, traps: 1}
-	agedBoth    = bounds{ticks: 5, freezes: 1, cuts: 1}
-	agedStart   = bounds{ticks: 5, freezes: 1, restarts: 1}
-	agedTrap    = bounds{ticks: 5, freezes: 1, traps: 1}
-	agedStall   = bounds{ticks: 5, stalls: 1, restarts: 1}
-	agedLoss    = bounds{ticks: 5, cuts: 1, losses: 1}
+	ageTwoPauses        = bounds{ticks: 5, pauses: 2}
+	ageTwoPartitions    = bounds{ticks: 5, partitions: 2}
+	ageTwoOutages       = bounds{ticks: 5, storeOutages: 2}
+	ageOutagePause      = bounds{ticks: 5, storeOutages: 1, pauses: 1}
+	ageOutageReplyPause = bounds{ticks: 3, storeOutages: 1, pauses: 1, replyPauses: 1}
+	agePausePartition   = bounds{ticks: 5, pauses: 1, partitions: 1}
+	agePauseRestart     = bounds{ticks: 5, pauses: 1, restarts: 1}
+	ageReplyPause       = bounds{ticks: 5, pauses: 1, replyPauses: 1}
+	ageCallPause        = bounds{ticks: 5, callPauses: 1, restarts: 1}
+	agePartitionLoss    = bounds{ticks: 5, partitions: 1, historyLosses: 1}
 )
 
-// Two keys are revoked while processes stand still, are cut off, start anew and are
-// told by each other, late or by one that is itself out of touch. No process honours
-// a key that was revoked longer ago than its belief may be old.
-func TestNoOrderOfEventsHonoursARevokedKey(t *testing.T) {
+// Two keys are revoked while processes are paused, partitioned, restarted, and
+// get the news from each other, late or from one that is itself disconnected.
+// No process accepts a key that was revoked longer ago than maxKeyAge.
+func TestRevokedKeyIsRejectedInEveryEventOrder(t *testing.T) {
 	tests := []struct {
 		name   string
 		bounds bounds
 	}{
-		{"two standstills", agedFreezes},
-		{"two cuts", agedCuts},
-		{"two lose the store", agedDark},
-		{"a standstill and a lost store", darkFreeze},
-		{"an answer that is held up and a lost store", darkTrap},
-		{"a standstill and a cut", agedBoth},
-		{"a standstill and a start", agedStart},
-		{"an answer that is held up", agedTrap},
-		{"a call that is held up and a start", agedStall},
-		{"a cut and a list", agedLoss},
+		{"two pauses", ageTwoPauses},
+		{"two partitions", ageTwoPartitions},
+		{"two store outages", ageTwoOutages},
+		{"a pause and a store outage", ageOutagePause},
+		{"a delayed reply and a store outage", ageOutageReplyPause},
+		{"a pause and a partition", agePausePartition},
+		{"a pause and a restart", agePauseRestart},
+		{"a delayed reply", ageReplyPause},
+		{"a delayed call and a restart", ageCallPause},
+		{"a partition and a list", agePartitionLoss},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			got := agedModel{model{bounds: tt.bounds}}.run()
+			got := ageModel{model{bounds: tt.bounds}}.run()
 			t.Log(got)
 			if !got.Whole {
 				t.Errorf("exploration: %v", got)
@@ -145,20 +147,21 @@
 	}
 }
 
-// Each safeguard is left out once; the checker must find what it prevents.
+// Each safeguard is disabled in turn; the exploration must then find a
+// violation.
 func TestEachSafeguardOfAgesIsNeeded(t *testing.T) {
 	tests := []struct {
-		dropped dropped
+		dropped safeguard
 		bounds  bounds
 	}{
-		{dropAsked, agedFreezes},
-		{dropAge, agedDark},
-		{dropOrder, agedCuts},
+		{confirmedWhenAsked, ageTwoPauses},
+		{peerAgeAdded, ageTwoOutages},
+		{ageReadFirst, ageTwoPartitions},
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.dropped), func(t *testing.T) {
 			t.Parallel()
-			got := agedModel{model{bounds: tt.bounds, dropped: tt.dropped}}.run()
+			got := ageModel{model{bounds: tt.bounds, disabled: tt.dropped}}.run()
 			if got.Err == nil {
 				t.Fatalf("no rule was broken without it: %v", got)
 			}
--- a/core/process/naming/contact.go
+++ b/core/process/naming/contact.go
@@ -3,77 +3,86 @@
 import "time"
 
 const (
-	// unknownAge is how long ago a version is taken to have been named that a
-	// process finds at its start: the time by which it was to be served may be
-	// over. A peer that has heard it named tells better.
-	unknownAge = time.Hour
-	// MostGap is how far a watch may begin after the store's last answer, and end
-	// after its wait, and still tell of a version as it is named.
+	// ageAtStart is how long ago a version that a process finds at its start is
+	// assumed to have been announced: the time limit by which it had to be
+	// served may have passed already. A peer that saw the announcement supplies
+	// the real time.
+	ageAtStart = time.Hour
+	// MostGap is the longest time that a watch may begin after the store's last
+	// answer, and end after its wait, for its changes still to count as
+	// received when they were made.
 	MostGap = 200 * time.Millisecond
-	// firstWait is the wait of a watch that follows on a longer gap. It brings what
-	// was missed, so that the next one tells of changes as they are made.
-	firstWait = time.Millisecond
+	// catchUpWait is the wait of a watch that begins more than MostGap after
+	// the last answer. It fetches what was missed, so that the next watch
+	// receives changes as they are made.
+	catchUpWait = time.Millisecond
 )
 
-// Ran reports whether this process ran without a standstill from a moment until
-// now.
+// Ran reports whether this process has run without being suspended since the
+// given time.
 type Ran func(since time.Duration) bool
 
-// Contact is how a process was last in touch with the store, by itself or through a
-// peer. Moments are on a clock that counts suspension.
+// Contact records when a process was last in contact with the store, directly
+// or through a peer. Times are on a clock that keeps counting while the machine
+// is suspended.
 type Contact struct {
-	// Known is set once the process believes anything, and Revision is the
-	// store's that it believes.
+	// Known is set once the process has any state of the store; Revision is the
+	// store revision of that state.
 	Known    bool
 	Revision uint64
-	// Confirmed is when the belief was last known to be true.
+	// Confirmed is the last time at which that state was known to be current.
 	Confirmed time.Duration
-	// Answered is until when the store's last answer to this process tells, and
-	// Failed when a call of this process to the store last failed.
+	// Answered is the time up to which the store's last answer to this process
+	// accounts for all changes; Failed is when a call of this process to the
+	// store last failed.
 	Answered time.Duration
 	Failed   time.Duration
 }
 
-// Away reports whether the store has been out of this process's reach since the
-// belief was last confirmed, though the process ran all the while.
+// Away reports whether the store has been unreachable since the state was last
+// confirmed, with this process running all the while.
 func (c Contact) Away(ran Ran) bool {
 	return c.Known && c.Failed > c.Confirmed && ran(c.Confirmed)
 }
 
-// Call is a watch or a list that has ended.
+// Call is a finished watch or list request to the store: when it was sent and
+// when the answer was read.
 type Call struct {
 	Asked time.Duration
 	Got   time.Duration
-	// Wait is how long the store was to wait for a change.
+	// Wait is how long the store was asked to wait for a change; 0 for a list.
 	Wait time.Duration
 }
 
-// Moment is a time that may not be known.
+// Moment is a time that may be unknown.
 type Moment struct {
 	At    time.Duration
 	Known bool
 }
 
-// WaitOf is how long a watch that begins now is to wait, if it may wait for most.
+// WaitOf returns how long a watch that begins at asked should wait, given the
+// longest wait allowed.
 func (c Contact) WaitOf(asked, most time.Duration) time.Duration {
 	if asked-c.Answered > MostGap {
-		return firstWait
+		return catchUpWait
 	}
 	return most
 }
 
-// LiveAt is when the changes were made that a watch has brought, if it brought them
-// as they were made: it began right after the store's last answer, ended no later
-// than it was to, and the process ran all the while.
+// LiveAt returns when the changes in a watch's answer were made, if the watch
+// received them as they were made. That is so if it began within MostGap of the
+// store's last answer, ended within MostGap of its wait, and the process was
+// not suspended meanwhile.
 func (c Contact) LiveAt(w Call, ran Ran) Moment {
 	live := c.Known && w.Asked-c.Answered <= MostGap && w.Got-w.Asked <= w.Wait+MostGap
 	return Moment{At: w.Got, Known: live && ran(c.Answered)}
 }
 
-// Answer takes in that the store answered a call. An answer that lay unread while
-// the process stood still tells nothing of that time: were it taken for one of the
-// moment at which it was read, the next watch would bring what was named during the
-// standstill at once, and it would count as named just now.
+// Answer records that the store answered a call. An answer that may have waited
+// unread while the process was suspended counts only as of the time the call
+// was sent. Counted from when it was read, the next watch would look live,
+// return at once what was announced during the suspension, and date it as
+// announced just now.
 func (c *Contact) Answer(w Call, ran Ran) {
 	c.Answered = w.Asked
 	if ran(w.Asked) {
@@ -81,35 +90,37 @@
 	}
 }
 
-// Read is what a process that reads a version in the store takes to be its naming.
-// live is when the version was written, if it came as that happened. Else the
-// process was cut off or did not run, and takes the version for named as early as it
-// can have been: counted from the moment at which it hears, the bound on older
-// versions would end later here than elsewhere, by as much as the process was out of
-// touch.
+// Read returns the entry for a version that a process has read from the store.
+// live is when the version was written, if it was received as it was written.
+// Otherwise the process was disconnected or suspended, and the earliest
+// possible time is used, which is the last confirmation (ageAtStart ago if
+// there is none): counted from the time of reading, the limit on older versions
+// would end later here than on other processes, by as long as this one was
+// disconnected.
 func (c Contact) Read(model string, version uint64, live Moment, now time.Duration) Entry {
 	e := Entry{Model: model, Version: version, Since: c.Confirmed, Read: true, Until: now}
 	switch {
 	case !c.Known:
-		e.Since = now - unknownAge
+		e.Since = now - ageAtStart
 	case live.Known:
 		e.Since, e.Heard = live.At, true
 	}
 	return e
 }
 
-// Confirm makes what is held the belief of the moment since, at a revision.
+// Confirm records that the state at revision at was current at the time since.
 func (c *Contact) Confirm(since time.Duration, at uint64) {
 	c.Known = true
 	c.Revision = max(c.Revision, at)
 	c.Confirmed = max(c.Confirmed, since)
 }
 
-// Adopts reports whether a belief that a peer tells replaces the one held. One with
-// a newer revision does also if its confirmation is older: the peer heard of the
-// change in a watch that began before another peer's last one. Peers are asked at
-// the same time, so another answer may have come since the question left; one of a
-// newer revision has all that that one brought.
+// Adopts reports whether state received from a peer, confirmed at since with
+// revision at, replaces the current state. A newer revision does even if its
+// confirmation is older: the peer got the change from a watch that began before
+// another peer's latest one. Peers are asked in parallel, so another answer may
+// have arrived since the question was sent; a newer revision includes
+// everything that the other answer contained.
 func (c Contact) Adopts(since time.Duration, at uint64) bool {
 	return at > c.Revision || at == c.Revision && (!c.Known || since > c.Confirmed)
 }
--- a/core/process/naming/explore_test.go
+++ b/core/process/naming/explore_test.go
@@ -14,83 +14,90 @@
 	"hawthornferry/core/process/facts"
 )
 
-// The model is of two processes that read the store and of one that they tell. Time
-// passes in ticks, of the length of one watch; all that takes no time happens at
-// once. Between ticks a process may stand still (what comes for it is kept), be cut
-// off (what is under way is lost), start anew, or lose its place in the store's
-// history.
+// The model has two processes that read the store and one that gets the store's
+// state from them. Time advances in ticks of the length of one watch;
+// everything else happens instantly. Between ticks a process may be paused
+// (messages to it are kept), partitioned (messages under way are lost),
+// restarted, or find that the store no longer has the history after its
+// revision.
 
-// tick is the step of time, and the wait of a watch and of a question for news.
+// tick is the time step, and the wait of watches and long polls.
 const tick = 500 * time.Millisecond
 
 const (
-	readers   = 2
-	processes = 3
-	lastNamed = 3
-	// followPatience is how long the silence of a teller lasts until it is left.
-	followPatience = 2 * tick
-	// calm is after how long without a disturbance the rules hold for a process.
-	calm = 4 * tick
+	storeReaders = 2
+	processes    = 3
+	lastVersion  = 3
+	// followTimeout is how long a silent peer is followed before another one is
+	// tried.
+	followTimeout = 2 * tick
+	// settleTime is how long a process must be undisturbed, and a version
+	// announced, for the rules to apply.
+	settleTime = 4 * tick
 )
 
-// dropped is a safeguard that an exploration leaves out.
-type dropped string
+// safeguard is a protection of the protocol that an exploration can disable.
+type safeguard string
 
 const (
-	dropGap      dropped = "a watch tells of changes live only right after an answer"
-	dropStood    dropped = "a standstill is noticed"
-	dropLower    dropped = "a version heard of late counts from the last confirmation"
-	dropEarliest dropped = "of those that heard the earliest counts"
-	dropReplaced dropped = "replaced versions are told"
-	dropPrompt   dropped = "a statement counts from its arrival only if prompt"
-	dropAnswered dropped = "an answer that lay unread leaves a gap"
-	dropAsked    dropped = "a belief counts from the question"
-	dropAge      dropped = "the teller's age is added"
+	liveGapCheck         safeguard = "a watch counts as live only right after an answer"
+	pauseDetection       safeguard = "a pause is detected"
+	lowerBoundWhenLate   safeguard = "a version learned of late counts from the last confirmation"
+	earliestExact        safeguard = "the earliest of several exact times is used"
+	replacedVersionsSent safeguard = "replaced versions are sent to peers"
+	promptReplyCheck     safeguard = "a reply's age counts from its arrival only if prompt"
+	unreadAnswerGap      safeguard = "an answer that may have waited unread leaves a gap"
+	confirmedWhenAsked   safeguard = "state is confirmed as of the question, not the answer"
+	peerAgeAdded         safeguard = "the age of the peer's state is added"
 )
 
+// bounds limits an exploration: its length in ticks, and how often each kind of
+// disturbance may occur.
 type bounds struct {
-	ticks    int
-	freezes  int
-	cuts     int
-	restarts int
-	losses   int
-	traps    int
-	darks    int
-	stalls   int
+	ticks         int
+	pauses        int
+	partitions    int
+	restarts      int
+	historyLosses int
+	replyPauses   int
+	storeOutages  int
+	callPauses    int
 }
 
 type model struct {
-	bounds  bounds
-	dropped dropped
-	// spare is how long before the end nothing is named any more: the rules could
-	// not judge it.
-	spare time.Duration
-	// looks is set when requests see the moments between two states as well.
-	looks bool
+	bounds   bounds
+	disabled safeguard
+	// quietEnd is how long before the end of an exploration the last version
+	// may be announced. Later ones could not be checked, as the rules apply
+	// only after settleTime.
+	quietEnd time.Duration
+	// recordsViews is set to check requests also between two states, in the
+	// steps that take no time.
+	recordsViews bool
 }
 
-func (m model) initial() *fleet {
-	s := &fleet{now: time.Hour, named: []time.Duration{0}}
+func (m model) initial() *modelState {
+	s := &modelState{now: time.Hour, announced: []time.Duration{0}}
 	m.settle(s)
 	return s
 }
 
-func (m model) moves(s *fleet) []explor.Move[*fleet] {
-	var out []explor.Move[*fleet]
-	add := func(name string, change func(*fleet)) {
+func (m model) nextMoves(s *modelState) []explor.Move[*modelState] {
+	var out []explor.Move[*modelState]
+	add := func(name string, change func(*modelState)) {
 		c := s.clone()
 		c.views = nil
-		m.look(c)
+		m.recordView(c)
 		change(c)
 		m.settle(c)
-		out = append(out, explor.Move[*fleet]{Name: name, Next: c})
+		out = append(out, explor.Move[*modelState]{Name: name, Next: c})
 	}
 	end := time.Hour + time.Duration(m.bounds.ticks)*tick
 	if s.now < end {
-		add("time passes", pass)
+		add("a tick passes", advanceTick)
 	}
-	if s.store() < lastNamed && s.now+m.spare <= end {
-		add(fmt.Sprintf("version %d is named", s.store()+1), func(c *fleet) { c.named = append(c.named, c.now) })
+	if s.storeVersion() < lastVersion && s.now+m.quietEnd <= end {
+		add(fmt.Sprintf("version %d is announced", s.storeVersion()+1), func(c *modelState) { c.announced = append(c.announced, c.now) })
 	}
 	for i := range s.processes {
 		m.disturbances(s, i, add)
@@ -98,100 +105,102 @@
 	return out
 }
 
-// pass lets one tick pass. Disturbances that go on are those of this moment too.
-func pass(s *fleet) {
+// advanceTick advances the time by a tick. Disturbances that last are counted
+// as of the new time.
+func advanceTick(s *modelState) {
 	s.now += tick
 	for i := range s.processes {
 		p := &s.processes[i]
-		if p.frozen || p.cut || p.dark {
+		if p.paused || p.partitioned || p.storeUnreachable {
 			p.disturbed = s.now
 		}
 	}
 }
 
-func (m model) disturbances(s *fleet, i int, add func(string, func(*fleet))) {
+func (m model) disturbances(s *modelState, i int, add func(string, func(*modelState))) {
 	p := &s.processes[i]
-	on := func(name string, change func(*fleet, *process)) {
-		add(fmt.Sprintf("process %d %s", i, name), func(c *fleet) {
+	on := func(name string, change func(*modelState, *process)) {
+		add(fmt.Sprintf("process %d %s", i, name), func(c *modelState) {
 			q := &c.processes[i]
 			q.disturbed = c.now
 			change(c, q)
 		})
 	}
-	if p.frozen {
-		on("goes on", func(c *fleet, p *process) { p.frozen, p.woke = false, c.now })
-	} else if s.freezes < m.bounds.freezes {
-		on("stands still", func(c *fleet, p *process) {
-			c.freezes++
-			p.frozen = true
+	if p.paused {
+		on("resumes", func(c *modelState, p *process) { p.paused, p.resumed = false, c.now })
+	} else if s.pauses < m.bounds.pauses {
+		on("is paused", func(c *modelState, p *process) {
+			c.pauses++
+			p.paused = true
 		})
-		if !p.traps && s.traps < m.bounds.traps {
-			on("will stand still with its next answer", func(c *fleet, p *process) {
-				c.traps++
-				p.traps = true
+		if !p.pausesAfterReply && s.replyPauses < m.bounds.replyPauses {
+			on("is paused after its next reply", func(c *modelState, p *process) {
+				c.replyPauses++
+				p.pausesAfterReply = true
 			})
 		}
 	}
-	if !p.frozen && !p.stalls && s.stalls < m.bounds.stalls {
-		on("will stand still with its next call", func(c *fleet, p *process) {
-			c.stalls++
-			p.stalls = true
+	if !p.paused && !p.pausesAfterCall && s.callPauses < m.bounds.callPauses {
+		on("is paused after its next call", func(c *modelState, p *process) {
+			c.callPauses++
+			p.pausesAfterCall = true
 		})
 	}
 	switch {
-	case p.cut:
-		on("is back", func(_ *fleet, p *process) { p.cut = false })
-	case s.cuts < m.bounds.cuts:
-		on("is cut off", func(c *fleet, p *process) {
-			c.cuts++
-			p.cut, p.watch = true, nil
-			c.forget(i)
+	case p.partitioned:
+		on("is reconnected", func(_ *modelState, p *process) { p.partitioned = false })
+	case s.partitions < m.bounds.partitions:
+		on("is partitioned", func(c *modelState, p *process) {
+			c.partitions++
+			p.partitioned, p.watch = true, nil
+			c.dropMessages(i)
 		})
 	}
 	switch {
-	case p.dark:
-		on("reaches the store", func(_ *fleet, p *process) { p.dark = false })
-	case i < readers && s.darks < m.bounds.darks:
-		on("loses the store", func(c *fleet, p *process) {
-			c.darks++
-			p.dark, p.watch = true, nil
+	case p.storeUnreachable:
+		on("reaches the store", func(_ *modelState, p *process) { p.storeUnreachable = false })
+	case i < storeReaders && s.storeOutages < m.bounds.storeOutages:
+		on("loses the store", func(c *modelState, p *process) {
+			c.storeOutages++
+			p.storeUnreachable, p.watch = true, nil
 		})
 	}
 	if s.restarts < m.bounds.restarts {
-		on("starts anew", func(c *fleet, p *process) {
+		on("restarts", func(c *modelState, p *process) {
 			c.restarts++
-			c.forget(i)
-			*p = process{disturbed: c.now, cut: p.cut, dark: p.dark, stalls: p.stalls}
+			c.dropMessages(i)
+			*p = process{disturbed: c.now, partitioned: p.partitioned, storeUnreachable: p.storeUnreachable, pausesAfterCall: p.pausesAfterCall}
 		})
 	}
-	if i < readers && s.losses < m.bounds.losses && !p.lost {
-		on("loses its place in the history", func(c *fleet, p *process) {
-			c.losses++
-			p.lost = true
+	if i < storeReaders && s.historyLosses < m.bounds.historyLosses && !p.historyLost {
+		on("loses the store's history", func(c *modelState, p *process) {
+			c.historyLosses++
+			p.historyLost = true
 		})
 	}
 }
 
-// forget drops what is under way to and from a process.
-func (s *fleet) forget(i int) {
+// dropMessages removes all questions and replies under way from and to a
+// process.
+func (s *modelState) dropMessages(i int) {
 	s.questions = slices.DeleteFunc(s.questions, func(q question) bool { return q.from == i || q.to == i })
 }
 
-// check is the rule. A process that believes anything and was not disturbed for a
-// while takes no version to have been named later than it was, and demands, by the
-// bound on each, that one or a newer one.
-func (m model) check(s *fleet) error {
+// check is the rule. A process that has a state and was not disturbed for
+// settleTime dates no version later than it was announced. Once the time limit
+// on a version is over, it requires that version or a newer one.
+func (m model) check(s *modelState) error {
 	for i := range s.processes {
 		p := &s.processes[i]
-		if !p.Known || s.now-p.disturbed < calm {
+		if !p.Known || s.now-p.disturbed < settleTime {
 			continue
 		}
-		for n, named := range s.named[1:] {
-			if s.now-named < calm {
+		for n, named := range s.announced[1:] {
+			if s.now-named < settleTime {
 				continue
 			}
 			v := uint64(n + 2)
-			if err := m.believes(p, v, named); err != nil {
+			if err := m.checkVersion(p, v, named); err != nil {
 				return errors.Wrapf(err, "process %d", i)
 			}
 		}
@@ -199,71 +208,72 @@
 	return nil
 }
 
-func (m model) believes(p *process, version uint64, named time.Duration) error {
+func (m model) checkVersion(p *process, version uint64, named time.Duration) error {
 	var f facts.Facts
 	for _, e := range p.entries {
 		if e.Version == version && e.Since > named {
-			return errors.Newf("takes version %d to have been named %s late", version, e.Since-named)
+			return errors.Newf("dates the announcement of version %d %s too late", version, e.Since-named)
 		}
 		f.Versions = append(f.Versions, facts.Named{Model: e.Model, Version: e.Version, Since: time.Time{}.Add(e.Since)})
 	}
 	if due, _ := f.Due("m", time.Time{}.Add(named+1)); due.Version < version {
-		return errors.Newf("demands version %d when the bound on version %d is over", due.Version, version)
+		return errors.Newf("requires version %d, want %d or newer after its time limit", due.Version, version)
 	}
 	return nil
 }
 
 func (m model) run() explor.Result {
-	return explor.Explore(explor.Model[*fleet]{
-		Initial: m.initial(), Moves: m.moves, Key: (*fleet).key, Check: m.check, Max: 1 << 20,
+	return explor.Explore(explor.Model[*modelState]{
+		Initial: m.initial(), Moves: m.nextMoves, Key: (*modelState).key, Check: m.check, Max: 1 << 20,
 	})
 }
 
 var (
-	twoFreezes   = bounds{ticks: 7, freezes: 2}
-	threeFreezes = bounds{ticks: 5, freezes: 3}
-	twoCuts      = bounds{ticks: 6, cuts: 2}
-	cutAndStart  = bounds{ticks: 7, cuts: 1, restarts: 1}
-	freezeCut    = bounds{ticks: 7, freezes: 1, cuts: 1}
-	freezeStart  = bounds{ticks: 7, freezes: 1, restarts: 1}
-	trapped      = bounds{ticks: 7, freezes: 1, traps: 1}
-	trappedTwo   = bounds{ticks: 5, freezes: 2, traps: 1}
-	stallStart   = bounds{ticks: 6, stalls: 1, restarts: 2}
-	stallFreeze  = bounds{ticks: 6, stalls: 1, freezes: 1}
-	stallLoss    = bounds{ticks: 6, stalls: 1, losses: 2}
-	freezeLoss   = bounds{ticks: 6, freezes: 1, losses: 2}
-	cutLoss      = bounds{ticks: 6, cuts: 1, losses: 1}
-	oneOfEach    = bounds{ticks: 5, freezes: 1, cuts: 1, restarts: 1}
+	twoPauses           = bounds{ticks: 7, pauses: 2}
+	threePauses         = bounds{ticks: 5, pauses: 3}
+	twoPartitions       = bounds{ticks: 6, partitions: 2}
+	partitionRestart    = bounds{ticks: 7, partitions: 1, restarts: 1}
+	pausePartition      = bounds{ticks: 7, pauses: 1, partitions: 1}
+	pauseRestart        = bounds{ticks: 7, pauses: 1, restarts: 1}
+	replyPause          = bounds{ticks: 7, pauses: 1, replyPauses: 1}
+	replyPauseTwoPauses = bounds{ticks: 5, pauses: 2, replyPauses: 1}
+	callPauseRestarts   = bounds{ticks: 6, callPauses: 1, restarts: 2}
+	callPausePause      = bounds{ticks: 6, callPauses: 1, pauses: 1}
+	callPauseLosses     = bounds{ticks: 6, callPauses: 1, historyLosses: 2}
+	pauseLosses         = bounds{ticks: 6, pauses: 1, historyLosses: 2}
+	partitionLoss       = bounds{ticks: 6, partitions: 1, historyLosses: 1}
+	oneOfEach           = bounds{ticks: 5, pauses: 1, partitions: 1, restarts: 1}
 )
 
-// Two versions are named while processes stand still, are cut off, start anew and
-// hear of it from the store or each other. Whoever was undisturbed for a while
-// knows the time of each naming, or one that is earlier: taken for later, requests
-// begin on weights that are too old.
-func TestNoOrderOfEventsPutsOffANaming(t *testing.T) {
+// Two versions are announced while processes are paused, partitioned,
+// restarted, and learn of them from the store or from each other. A process
+// that was undisturbed for a while knows the time of each announcement or an
+// earlier one. With a later one, requests would start on weights that are too
+// old.
+func TestAnnouncementIsNotDelayedInAnyEventOrder(t *testing.T) {
 	tests := []struct {
 		name   string
 		bounds bounds
 	}{
-		{"two standstills", twoFreezes},
-		{"three standstills", threeFreezes},
-		{"two cuts", twoCuts},
-		{"a cut and a start", cutAndStart},
-		{"a standstill and a cut", freezeCut},
-		{"a standstill and a start", freezeStart},
-		{"an answer that is held up", trapped},
-		{"an answer that is held up and two standstills", trappedTwo},
-		{"a call that is held up and two starts", stallStart},
-		{"a call that is held up and a standstill", stallFreeze},
-		{"calls that are held up and lists", stallLoss},
-		{"a standstill and lists", freezeLoss},
-		{"a cut and a list", cutLoss},
-		{"a standstill, a cut and a start", oneOfEach},
+		{"two pauses", twoPauses},
+		{"three pauses", threePauses},
+		{"two partitions", twoPartitions},
+		{"a partition and a restart", partitionRestart},
+		{"a pause and a partition", pausePartition},
+		{"a pause and a restart", pauseRestart},
+		{"a delayed reply", replyPause},
+		{"a delayed reply and two pauses", replyPauseTwoPauses},
+		{"a delayed call and two restarts", callPauseRestarts},
+		{"a delayed call and a pause", callPausePause},
+		{"a delayed call and lists", callPauseLosses},
+		{"a pause and lists", pauseLosses},
+		{"a partition and a list", partitionLoss},
+		{"a pause, a partition and a restart", oneOfEach},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			got := model{bounds: tt.bounds, spare: calm}.run()
+			got := model{bounds: tt.bounds, quietEnd: settleTime}.run()
 			t.Log(got)
 			if !got.Whole {
 				t.Errorf("exploration: %v", got)
@@ -272,24 +282,25 @@
 	}
 }
 
-// Each safeguard is left out once; the checker must find what it prevents.
+// Each safeguard is disabled in turn; the exploration must then find a
+// violation.
 func TestEachSafeguardOfNamingsIsNeeded(t *testing.T) {
 	tests := []struct {
-		dropped dropped
+		dropped safeguard
 		bounds  bounds
 	}{
-		{dropGap, freezeCut},
-		{dropStood, twoFreezes},
-		{dropAnswered, twoFreezes},
-		{dropLower, threeFreezes},
-		{dropEarliest, trapped},
-		{dropReplaced, freezeStart},
-		{dropPrompt, trapped},
+		{liveGapCheck, pausePartition},
+		{pauseDetection, twoPauses},
+		{unreadAnswerGap, twoPauses},
+		{lowerBoundWhenLate, threePauses},
+		{earliestExact, replyPause},
+		{replacedVersionsSent, pauseRestart},
+		{promptReplyCheck, replyPause},
 	}
 	for _, tt := range tests {
 		t.Run(string(tt.dropped), func(t *testing.T) {
 			t.Parallel()
-			got := model{bounds: tt.bounds, dropped: tt.dropped, spare: calm}.run()
+			got := model{bounds: tt.bounds, disabled: tt.dropped, quietEnd: settleTime}.run()
 			if got.Err == nil {
 				t.Fatalf("no rule was broken without it: %v", got)
 			}
--- a/core/process/naming/naming.go
+++ b/core/process/naming/naming.go
@@ -1,6 +1,8 @@
-// Package naming keeps when versions of models were named, as closely as a
-// process can know it. Bounds on a version count from its naming, and a process
-// that was out of touch then hears of it later, by as much as it was.
+// Package naming records when the operator announced each version of a model,
+// as precisely as a process can know it. Package feed in io/process uses it:
+// limits on how long an older version may still be served count from the
+// announcement, and a process that was disconnected learns of the announcement
+// late, by as long as it was disconnected.
 package naming
 
 import (
@@ -9,29 +11,31 @@
 	"time"
 )
 
-// Entry is a version of a model that the operator named.
+// Entry is a version of a model that the operator announced.
 type Entry struct {
 	Model   string
 	Version uint64
-	// Since is when it was named, on a clock that counts suspension; when neither
-	// Heard nor Returned is set, the earliest moment at which it can have been.
+	// Since is when it was announced, on a clock that keeps counting while the
+	// machine is suspended. When neither Heard nor Returned is set, it is the
+	// earliest time at which it can have been announced.
 	Since time.Duration
-	// Heard is set when the process that says so, or the one that told it, was
-	// in touch at the naming.
+	// Heard is set when this process, or the peer that reported the version,
+	// was connected when the version was announced, so that Since is exact.
 	Heard bool
-	// Returned is set when the store was away from all who could have heard;
-	// Since is when it was back.
+	// Returned is set when no process that could have seen the announcement
+	// reached the store; Since is then when the store became reachable again.
 	Returned bool
-	// Read is set when this process has read the version itself; Until is when,
-	// and Away whether the store was out of its reach from the last belief until
-	// then though it ran all the while.
+	// Read is set when this process has read the version from the store itself.
+	// Until is when it did. Away reports whether the store was unreachable,
+	// although this process was running, from the last confirmation of its
+	// state until then.
 	Read  bool
 	Until time.Duration
 	Away  bool
 }
 
-// strength orders entries by what their moments rest on.
-func (e Entry) strength() int {
+// certainty ranks entries by how reliable Since is: higher is better.
+func (e Entry) certainty() int {
 	switch {
 	case e.Heard:
 		return 2
@@ -42,21 +46,23 @@
 	}
 }
 
-// mostKept bounds the versions that are kept of a model: replaced ones are of
-// use until their bounds have passed, which takes seconds.
-const mostKept = 8
+// maxVersionsPerModel bounds the versions kept of each model. Replaced versions
+// are needed only until the time limits that count from them have passed, which
+// takes seconds.
+const maxVersionsPerModel = 8
 
-// Ledger holds what is known of each naming. The zero value is ready for use.
+// Ledger holds what is known of each announcement. The zero value is ready to
+// use.
 type Ledger struct {
 	entries []Entry
 }
 
-// Add takes in what was learned of one naming. It returns whether that was news.
+// Add merges n into the ledger. It reports whether the ledger changed.
 func (l *Ledger) Add(n Entry) bool {
 	n.Returned = n.Returned && !n.Heard
 	for i, old := range l.entries {
 		if old.Model == n.Model && old.Version == n.Version {
-			l.entries[i] = merge(old, n)
+			l.entries[i] = mergeEntries(old, n)
 			return l.entries[i] != old
 		}
 	}
@@ -64,12 +70,12 @@
 	slices.SortStableFunc(l.entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
 	})
-	l.trim(n.Model)
+	l.dropOldest(n.Model)
 	return true
 }
 
-// trim drops the oldest versions of a model beyond those that are kept.
-func (l *Ledger) trim(model string) {
+// dropOldest removes the oldest versions of a model beyond maxVersionsPerModel.
+func (l *Ledger) dropOldest(model string) {
 	count := 0
 	for _, n := range l.entries {
 		if n.Model == model {
@@ -77,7 +83,7 @@
 		}
 	}
 	l.entries = slices.DeleteFunc(l.entries, func(n Entry) bool {
-		if n.Model != model || count <= mostKept {
+		if n.Model != model || count <= maxVersionsPerModel {
 			return false
 		}
 		count--
@@ -85,17 +91,17 @@
 	})
 }
 
-// merge joins two statements about the same naming. Who heard of it knows
-// better than who did not; of two that heard, or that saw the store return, the
-// later one did so late; of two that did neither, both are right that it cannot
-// have been earlier.
-func merge(a, b Entry) Entry {
+// mergeEntries combines two entries for the same version. The more certain one
+// wins. Of two that are exact, or that both count from the store's return, the
+// earlier one is kept, because the other learned of the event late. Of two
+// lower bounds both hold, so the later one is kept.
+func mergeEntries(a, b Entry) Entry {
 	out := a
 	switch {
-	case b.strength() > a.strength():
+	case b.certainty() > a.certainty():
 		out.Since, out.Heard, out.Returned = b.Since, b.Heard, b.Returned
-	case b.strength() < a.strength():
-	case a.strength() == 0:
+	case b.certainty() < a.certainty():
+	case a.certainty() == 0:
 		out.Since = max(a.Since, b.Since)
 	default:
 		out.Since = min(a.Since, b.Since)
@@ -106,11 +112,12 @@
 	return out
 }
 
-// All returns every naming, by model and version.
+// All returns all entries, sorted by model and version.
 func (l *Ledger) All() []Entry { return slices.Clone(l.entries) }
 
-// Unresolved reports whether the moment of some model's newest naming is not
-// known. Who knows it tells of the replaced versions as well.
+// Unresolved reports whether, for some model, no process is known to have seen
+// the newest version's announcement. Replaced versions don't count: a peer that
+// saw the newest one also reports the ones before it.
 func (l *Ledger) Unresolved() bool {
 	for i, n := range l.entries {
 		if !n.Heard && (i+1 == len(l.entries) || l.entries[i+1].Model != n.Model) {
--- a/core/process/naming/naming_test.go
+++ b/core/process/naming/naming_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-// Statements about one naming come in any order: what this process can rule out,
-// what peers heard, some of them late, when the store was back. The result is the
-// same in every order. It is never later than the earliest that heard, nor, without
-// one, than the earliest return; and never earlier than what a process rules out
-// while neither has been stated.
+// Entries about one version are added in any order: lower bounds, exact times
+// of which some are late, and returns of the store. The result doesn't depend
+// on the order. It is no later than the earliest exact time or, without one,
+// than the earliest return; without either it is no earlier than any lower
+// bound.
 func TestOrderOfStatementsDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		statements := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
@@ -31,7 +31,7 @@
 			shuffled.Add(n)
 		}
 		if diff := cmp.Diff(l.All(), shuffled.All()); diff != "" {
-			t.Fatalf("in another order (-want +got):\n%s", diff)
+			t.Fatalf("entries after adding in another order (-want +got):\n%s", diff)
 		}
 		for _, got := range l.All() {
 			for _, n := range statements {
@@ -39,48 +39,49 @@
 					continue
 				}
 				if n.Heard && (!got.Heard || got.Since > n.Since) {
-					t.Fatalf("%+v, though %+v heard", got, n)
+					t.Fatalf("got %+v, want it no later than the exact %+v", got, n)
 				}
 				if !got.Heard && n.Returned && (!got.Returned || got.Since > n.Since) {
-					t.Fatalf("%+v, though the store was back for %+v", got, n)
+					t.Fatalf("got %+v, want it no later than the store's return in %+v", got, n)
 				}
 				if !got.Heard && !got.Returned && got.Since < n.Since {
-					t.Fatalf("%+v, though %+v rules it out", got, n)
+					t.Fatalf("got %+v, want it no earlier than the lower bound %+v", got, n)
 				}
 			}
 		}
 	})
 }
 
-// The oldest versions are dropped, model by model, and only the newest of a
-// model leaves a question open.
+// The oldest versions are dropped for each model separately, and only a model's
+// newest version can be unresolved.
 func TestOldVersionsAreDropped(t *testing.T) {
 	var l Ledger
 	l.Add(Entry{Model: "other", Version: 1, Heard: true})
-	for v := range uint64(mostKept + 3) {
+	for v := range uint64(maxVersionsPerModel + 3) {
 		l.Add(Entry{Model: "m", Version: v + 1, Heard: v > 4})
 	}
 	all := l.All()
-	if diff := cmp.Diff(mostKept+1, len(all)); diff != "" {
-		t.Errorf("namings kept (-want +got):\n%s", diff)
+	if diff := cmp.Diff(maxVersionsPerModel+1, len(all)); diff != "" {
+		t.Errorf("number of entries kept (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff(uint64(4), all[0].Version); diff != "" {
 		t.Errorf("oldest version kept (-want +got):\n%s", diff)
 	}
 	if l.Unresolved() {
-		t.Error("a replaced version leaves a question open")
+		t.Error("a replaced version is unresolved")
 	}
 	l.Add(Entry{Model: "other", Version: 2})
 	if !l.Unresolved() {
-		t.Error("a newest version that nobody heard of leaves no question open")
+		t.Error("a newest version that nobody saw announced is not unresolved")
 	}
 }
 
-// A version is found at the end of an outage, and a peer says what it knows of it.
-// Only one from which the store was away as well, and that knows of nobody who heard,
-// makes it count from the return; else engines were told of it in time, and callers'
-// requests would begin on the old one past the bound.
-func TestWhoIsAWitnessOfAnOutage(t *testing.T) {
+// A version is found when the store becomes reachable again, and a peer reports
+// what it knows of it. The version counts from the store's return only if the
+// store was unreachable for the peer too and the peer knows of no process that
+// saw the announcement. Otherwise engines were told of it in time, and requests
+// would start on the old version after its time limit.
+func TestOutageReturnNeedsPeerThatWasAlsoCutOff(t *testing.T) {
 	const last, back = time.Second, 9 * time.Second
 	tests := []struct {
 		name  string
@@ -88,11 +89,11 @@
 		told  []Statement
 		want  bool
 	}{
-		{"still away", Reply{Away: true}, nil, true},
-		{"was away", Reply{}, []Statement{{Away: true}}, true},
-		{"in touch, without the version", Reply{}, nil, false},
-		{"in touch, with the version", Reply{}, []Statement{{}}, false},
-		{"was away, and was told that somebody heard", Reply{}, []Statement{{Away: true, Heard: true}}, false},
+		{"still unreachable", Reply{Away: true}, nil, true},
+		{"was unreachable", Reply{}, []Statement{{Away: true}}, true},
+		{"connected, without the version", Reply{}, nil, false},
+		{"connected, with the version", Reply{}, []Statement{{}}, false},
+		{"was unreachable, and knows that somebody saw it", Reply{}, []Statement{{Away: true, Heard: true}}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -101,7 +102,7 @@
 			for i := range tc.told {
 				tc.told[i].Model, tc.told[i].Version, tc.told[i].Age = "m", 2, time.Minute
 			}
-			// The answer is slow, so that what somebody heard is not taken from it.
+			// The answer is slow, so that its exact times are not used.
 			tc.reply.Asked, tc.reply.Got = back, back+2*MostRoundTrip
 			l.Take(tc.reply, tc.told, func(time.Duration) bool { return true })
 			want := Entry{Model: "m", Version: 2, Since: last, Read: true, Until: back, Away: true}
@@ -109,7 +110,7 @@
 				want.Since, want.Returned = back, true
 			}
 			if diff := cmp.Diff([]Entry{want}, l.All()); diff != "" {
-				t.Errorf("namings (-want +got):\n%s", diff)
+				t.Errorf("entries (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/core/process/naming/statement.go
+++ b/core/process/naming/statement.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// MostRoundTrip is how long a question to a peer may take for its answer to
-	// tell when a version was named: that is off by as much at most.
+	// MostRoundTrip is the longest round trip of a question to a peer for which
+	// the answer's ages are still taken as exact. It bounds their error.
 	MostRoundTrip = 100 * time.Millisecond
-	// LeastQuestions is how often peers are asked about each version: also one
-	// that heard of it may have heard a little late, and of a few answers the
-	// earliest counts.
+	// LeastQuestions is the minimum number of times that peers are asked about
+	// each version. Even a peer that saw the announcement may have seen it
+	// slightly late, and the earliest of several answers is used.
 	LeastQuestions = 2
-	// MostQuestions bounds how often while none that is asked has heard of it:
-	// those asked first may have been out of touch too, and after a loss of all
-	// power nobody knows.
+	// MostQuestions limits how often peers are asked while none of them saw the
+	// announcement. The peers asked first may have been disconnected too, and
+	// after a power loss of all machines no process knows.
 	MostQuestions = 6
 )
 
-// Statement is what a process tells its peers of a naming: how long ago it was, and
-// whether somebody heard of it at that moment, or the store was away from all then
-// and returned at that moment. Else Age is the most that it can be. Away tells that
-// the store was out of the process's reach until it read the version.
+// Statement is what a process reports to its peers about one version. Age is
+// how long ago it was announced. It is exact if Heard (some process saw the
+// announcement) or Returned (no process could reach the store then, and the age
+// counts from its return) is set, otherwise an upper bound. Away reports that
+// the store was unreachable for the sender until it read the version.
 type Statement struct {
 	Model   string        `msgpack:"model"`
 	Version uint64        `msgpack:"version"`
 	Age     time.Duration `msgpack:"age"`
 	Heard   bool          `msgpack:"heard"`
-	// Returned goes with Age as Heard does.
+	// Returned qualifies Age in the same way as Heard.
 	Returned bool `msgpack:"returned"`
 	Away     bool `msgpack:"away"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first field that is out of range.
 func (s *Statement) Check() error {
 	if s.Model == "" || s.Version == 0 {
 		return errors.Newf("factsTell: version %d of model %q: want a model and a version above 0", s.Version, s.Model)
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// Statements is what peers are told of the namings.
+// Statements returns the ledger's entries in the form sent to peers.
 func (l *Ledger) Statements(now time.Duration) []Statement {
 	var out []Statement
 	for _, n := range l.entries {
@@ -55,50 +56,57 @@
 	return out
 }
 
-// Reply is a peer's answer to a question. Waited is set when the peer was to answer
-// only once it had news.
+// Reply describes a peer's answer to a question. Waited is set for a long poll,
+// which the peer answers only once it has a change to report or the wait is
+// over.
 type Reply struct {
 	Asked  time.Duration
 	Got    time.Duration
 	Waited bool
-	// Away is set when the store has been out of the peer's reach, and still is.
+	// Away is set when the store has become unreachable for the peer and still
+	// is.
 	Away bool
 }
 
-// Since is when something was true that the peer had confirmed age before it
-// answered: at the latest age before it was asked.
+// Since returns the time at which a fact held that the peer had confirmed age
+// before it answered. The answer was given no earlier than the question was
+// sent, so this is a lower bound.
 func (r Reply) Since(age time.Duration) time.Duration { return r.Asked - age }
 
-// Prompt reports whether the reply came as it was given. One to a question that
-// waited for news is taken to have if this process ran all the while.
+// Prompt reports whether the reply was read shortly after it was given, so that
+// ages in it count from its arrival. The reply to a long poll is assumed to be
+// if this process was not suspended meanwhile.
 func (r Reply) Prompt(ran Ran) bool {
 	return r.Got-r.Asked <= MostRoundTrip || r.Waited && ran(r.Asked)
 }
 
-// Take adopts what a peer tells, whatever revision the peer holds: a process that
-// wakes may have read the store before its peers answer. It returns whether that
-// was news.
+// Take merges the statements of a peer, whatever revision the peer holds: a
+// process that resumes may have read the store before its peers answer. It
+// reports whether the ledger changed.
 func (l *Ledger) Take(r Reply, told []Statement, ran Ran) bool {
 	prompt := r.Prompt(ran)
 	news := false
 	for _, t := range told {
 		e := Entry{Model: t.Model, Version: t.Version, Since: r.Since(t.Age), Heard: t.Heard && prompt, Returned: t.Returned && prompt}
 		if e.Heard || e.Returned {
-			// Late by the way here, never early: with errors to both sides peers
-			// that ask each other would shift the moment on and on.
+			// Counting from arrival errs towards later by the transit time,
+			// never towards earlier. With errors in both directions, peers that
+			// ask each other would move the time further and further.
 			e.Since = r.Got - t.Age
 		}
 		news = l.Add(e) || news
 	}
-	return l.witness(r, told) || news
+	return l.countFromReturn(r, told) || news
 }
 
-// witness takes the statement of a peer from which the store was away as well. A
-// version that this process found at the store's return was then named while nobody
-// could hear of it, and is counted from the return: counted from before the outage,
-// it would be demanded of engines that nobody could tell of it. Should somebody
-// have heard of it after all, that goes before. It returns whether it was news.
-func (l *Ledger) witness(r Reply, told []Statement) bool {
+// countFromReturn handles a version that this process found when the store
+// became reachable again. If the peer could not reach the store either, no
+// process can have seen the announcement, and the version counts from the
+// store's return. Counted from before the outage, engines would have to serve
+// it by a time at which no process could have told them of it. If some process
+// did see the announcement after all, its time takes precedence. It reports
+// whether the ledger changed.
+func (l *Ledger) countFromReturn(r Reply, told []Statement) bool {
 	news := false
 	for i, e := range l.entries {
 		if !e.Read || !e.Away || e.Heard || e.Returned {
@@ -113,8 +121,8 @@
 	return news
 }
 
-// Questions reports whether peers are to be asked about the newest naming after
-// they were asked so often.
+// Questions reports whether peers have to be asked again about the newest
+// version, after they were asked the given number of times.
 func (l *Ledger) Questions(asked int) bool {
 	enough := asked >= MostQuestions || asked >= LeastQuestions && !l.Unresolved()
 	return !enough && len(l.entries) > 0
