--- a/core/process/gossip/action.go
+++ b/core/process/gossip/action.go
@@ -1,6 +1,6 @@
 package gossip
 
-// Action is something that a Node wants done.
+// Action is something that the caller of a Node has to do.
 type Action interface{ action() }
 
 // SendMarks, SendPull and SendDelta send a message to a peer.
@@ -19,21 +19,23 @@
 	}
 )
 
-// Adopt puts a state in force.
+// Adopt reports a new held state, which the caller has to put into effect.
 type Adopt struct {
 	Topic Topic
 	State State
 }
 
-// Ignore tells of a state that was read and is not above the held one.
+// Ignore reports a state that was read from the platform but does not supersede
+// the held one.
 type Ignore struct {
 	Topic Topic
 	Mark  Mark
 	Held  Mark
 }
 
-// Refuse tells of a state or a delta that is not sound. Peer is 0 when it
-// did not come from a peer.
+// Refuse reports an invalid state or delta. Peer is the sender of a delta that
+// could not be applied. It is 0 for a state that Accept rejected, even if it
+// came from a peer.
 type Refuse struct {
 	Topic Topic
 	Peer  PeerID
@@ -41,7 +43,8 @@
 	Err   error
 }
 
-// Conflict tells of a peer that holds the same version with other content.
+// Conflict reports a document with the held version but other content. Peer is
+// 0 when it was read from the platform.
 type Conflict struct {
 	Topic Topic
 	Peer  PeerID
--- a/core/process/gossip/bench_test.go
+++ b/core/process/gossip/bench_test.go
@@ -9,8 +9,9 @@
 	"hawthornferry/core/process/inidoc"
 )
 
-// The size to design for: entries and sides over zones, and a document of as
-// many sections as fit the service's bound of a megabyte.
+// The largest size designed for: the VMs of entries and sides over all zones,
+// and a document of as many sections as fit the configuration service's limit
+// of a megabyte.
 const (
 	benchVMs      = 10860
 	benchZones    = 39
@@ -105,8 +106,8 @@
 	}
 }
 
-// BenchmarkHeldMemory reports what a process holds after more changes of the
-// list and the document than its history keeps.
+// BenchmarkHeldMemory reports the memory that a process uses after more changes
+// of the list and the document than its history keeps.
 func BenchmarkHeldMemory(b *testing.B) {
 	heap := func() float64 {
 		runtime.GC()
--- a/core/process/gossip/document.go
+++ b/core/process/gossip/document.go
@@ -9,8 +9,8 @@
 	"hawthornferry/core/process/inidoc"
 )
 
-// EncodeDocument returns the state of a document: its sections, each an item
-// of its own, under the revision of the service.
+// EncodeDocument returns the state of a document. Each section is one item, and
+// the version is the revision that the configuration service assigned.
 func EncodeDocument(revision uint64, contents []inidoc.Content) (State, error) {
 	items := make([]Item, 0, len(contents))
 	for _, c := range contents {
@@ -23,7 +23,7 @@
 	return NewState(revision, items)
 }
 
-// DecodeDocument returns the checked document of a state.
+// DecodeDocument decodes and validates the document of a state.
 func DecodeDocument(name string, s State) (*envdoc.Document, error) {
 	contents := make([]inidoc.Content, 0, len(s.Items))
 	for _, it := range s.Items {
--- a/core/process/gossip/elect.go
+++ b/core/process/gossip/elect.go
@@ -8,60 +8,61 @@
 	"hawthornferry/core/process/rank"
 )
 
-// Readers is how many processes of a zone read the platform.
+// Readers is how many processes of each zone read from the platform.
 const Readers = 3
 
-// Turn is how long the same processes read. The next ones take over then, so
-// that reading whole documents and lists costs each process little on
-// average, however large they are.
+// Turn is how long the same processes stay readers. Rotating them keeps each
+// process's average cost of reading whole documents and lists low, however
+// large they are.
 const Turn = 30 * time.Second
 
-// turnOverlap is how long a reader goes on after its turn. Processes see the
-// turn change by their own clocks; without the overlap a zone would be
-// without readers when the old ones are ahead and the new ones behind.
+// turnOverlap is how long a reader continues after its turn. Processes see the
+// turn change by their own clocks. Without the overlap a zone would have no
+// readers while the old ones' clocks are ahead and the new ones' are behind.
 const turnOverlap = 5 * time.Second
 
-// A process that is no reader steps in when none of its zone's readers has
-// been heard of for standInAfter, later by standInStep for each process that
-// ranks before it. The news of a reader takes up to about five exchanges
-// through a zone; the wait is twice that.
+// A process that is not a reader takes over when no reader of its zone is known
+// to have been alive for failoverDelay, plus failoverStep for each process that
+// ranks before it. News of a live reader takes up to about five exchanges to
+// spread through a zone; the delay is twice that.
 const (
-	standInAfter = 10 * time.Second
-	standInStep  = time.Second
+	failoverDelay = 10 * time.Second
+	failoverStep  = time.Second
 )
 
-// aloneAfter is how long a process may be without any peer before it reads
-// for itself. Every process is without peers when it starts; if each became a
-// reader then, a fleet that starts would read twice as often.
-const aloneAfter = 2 * time.Second
+// noPeersTimeout is how long a process may be without peers before it reads
+// from the platform itself. Every process starts without peers; if each became
+// a reader at once, a starting fleet would read twice as often.
+const noPeersTimeout = 2 * time.Second
 
-// IsReader reports whether the process called self reads the platform at
-// now. members are the names of the live processes of its zone. A process
-// that has been without peers for aloneAfter reads for itself.
+// IsReader reports whether the process called self reads from the platform at
+// now. members are the names of the live processes of its zone. A process that
+// has been without peers for noPeersTimeout always reads.
 //
-// The VM list lags and its readers may all have died at once, in which case
-// it would never say so: a live reader is therefore also told from peer to
-// peer, by its age, and silence lets the next in rank step in. A reader that
-// is alive but cannot reach the platform keeps its turn, so that a platform
-// that is down does not draw the reads of every process.
+// The VM list lags, and if all its readers died at once it would never show
+// that. Peers therefore also pass on how long ago a reader was alive, and if
+// none was for long enough, the next process in rank starts to read. A reader
+// that is alive but cannot reach the platform stays a reader, so that an outage
+// of the platform doesn't cause every process to read.
 func (n *Node) IsReader(self string, members []string, now time.Time) bool {
-	if len(n.peers) == 0 && now.Sub(n.aloneSince) > aloneAfter {
+	if len(n.peers) == 0 && now.Sub(n.noPeersSince) > noPeersTimeout {
 		return true
 	}
-	place := position(self, members, n.Zone, now)
-	if place < Readers || position(self, members, n.Zone, now.Add(-turnOverlap)) < Readers {
+	place := readerRank(self, members, n.Zone, now)
+	if place < Readers || readerRank(self, members, n.Zone, now.Add(-turnOverlap)) < Readers {
 		return true
 	}
-	wait := standInAfter + time.Duration(place)*standInStep
+	wait := failoverDelay + time.Duration(place)*failoverStep
 	return n.ReaderAge(now) > wait
 }
 
-// position is the place of self in the order of readers at now. A process
-// that the list does not name comes last, and after the readers. A zone that
-// the list does not name at all has nobody else who reads for it: the list
-// lags behind a zone that starts, and without this its processes would each
-// hold the empty list for standInAfter and take themselves for the only ones.
-func position(self string, members []string, zone string, now time.Time) int {
+// readerRank returns the rank of self among the candidates for reader at now;
+// the first Readers of them read. A process that is not in the list ranks last
+// and never among the readers. If the zone is not in the list at all, self
+// ranks first: the list lags behind a starting zone, and otherwise its
+// processes would keep the empty list for failoverDelay and each take itself
+// for the only one.
+func readerRank(self string, members []string, zone string, now time.Time) int {
 	if len(members) == 0 {
 		return 0
 	}
@@ -76,34 +77,34 @@
 	return fmt.Sprintf("reader/%s/%d", zone, now.UnixNano()/int64(Turn))
 }
 
-// ReaderAge is the time since a reader of the zone is known to have been
+// ReaderAge returns how long ago a reader of the zone was last known to be
 // alive.
 func (n *Node) ReaderAge(now time.Time) time.Duration {
-	return max(0, now.Sub(n.readerSeen))
+	return max(0, now.Sub(n.lastReaderAlive))
 }
 
-// Reading records that this process is a reader at now.
-func (n *Node) Reading(now time.Time) { n.readerSeen = now }
+// Reading records that this process is itself a reader at now.
+func (n *Node) Reading(now time.Time) { n.lastReaderAlive = now }
 
-// How many peers a process connects to, in its own zone and in others. As
-// each also accepts about as many, the fleet is a random graph of about
-// twice that degree, in which news takes a handful of steps, and in which a
-// zone whose readers are all gone still hears from other zones.
+// The number of peers that a process connects to, in its own zone and in others.
+// As each process also accepts about as many connections, the fleet is a random
+// graph of about twice that degree. In it news spreads in a handful of steps,
+// and a zone without any reader still gets updates from other zones.
 const (
 	ZoneLinks  = 3
 	OtherLinks = 1
 )
 
-// Candidates are the processes to connect to, the preferred ones first. A
-// process takes the first ZoneLinks and OtherLinks of them that it reaches.
+// Candidates are the processes to connect to, in order of preference. A process
+// connects to the first ZoneLinks and OtherLinks of them that it can reach.
 type Candidates struct {
 	Zone  []fleet.VM
 	Other []fleet.VM
 }
 
-// Neighbours ranks the live processes of vms for the process called self.
-// The order differs from process to process, and a process that comes or
-// goes moves only the connections to itself.
+// Neighbours ranks the live processes in vms as peers for the process called
+// self. The order differs between processes, and when a process is added or
+// removed only the connections to it change.
 func Neighbours(self, zone string, vms []fleet.VM) Candidates {
 	var inZone, other []fleet.VM
 	for _, v := range vms {
--- a/core/process/gossip/elect_test.go
+++ b/core/process/gossip/elect_test.go
@@ -10,7 +10,7 @@
 	"hawthornferry/core/process/fleet"
 )
 
-func names(n int) []string {
+func sideNames(n int) []string {
 	var out []string
 	for i := range n {
 		out = append(out, fmt.Sprintf("side-%d", i))
@@ -18,8 +18,8 @@
 	return out
 }
 
-// withPeer returns a node that has one peer of its zone.
-func withPeer(now time.Time) *Node {
+// nodeWithPeer returns a node that has one peer of its zone.
+func nodeWithPeer(now time.Time) *Node {
 	n := &Node{Zone: "z", Accept: func(Topic, State) error { return nil }}
 	n.Start(now)
 	n.Connected(1, "z", now)
@@ -27,7 +27,7 @@
 }
 
 func readersAt(members []string, now time.Time) []string {
-	n := withPeer(now)
+	n := nodeWithPeer(now)
 	var out []string
 	for _, m := range members {
 		if n.IsReader(m, members, now) {
@@ -40,18 +40,18 @@
 func TestReadersDoNotGrowWithTheZone(t *testing.T) {
 	mid := epoch.Truncate(Turn).Add(Turn / 2)
 	for _, size := range []int{1, 3, 10, 50, 280} {
-		got := readersAt(names(size), mid)
+		got := readersAt(sideNames(size), mid)
 		if diff := cmp.Diff(min(size, Readers), len(got)); diff != "" {
-			t.Errorf("readers of %d (-want +got):\n%s", size, diff)
+			t.Errorf("number of readers among %d processes (-want +got):\n%s", size, diff)
 		}
 	}
 }
 
-// The readers of a turn go on for a while after it, so that processes whose
-// clocks disagree by less than the overlap never leave a zone unread: of the
-// new readers some are late to start, of the old ones some stop early.
+// Readers continue for a while after their turn, so that processes whose clocks
+// differ by less than the overlap never leave a zone without readers, when some
+// new readers start late and some old ones stop early.
 func TestTurnsOverlap(t *testing.T) {
-	members := names(40)
+	members := sideNames(40)
 	turn := epoch.Truncate(Turn).Add(Turn)
 	before := readersAt(members, turn.Add(-time.Second))
 	after := readersAt(members, turn.Add(time.Second))
@@ -66,13 +66,13 @@
 	}
 }
 
-// All readers of a zone die at once and the VM list, which they read, goes
-// on to name them. The others hear of no live reader any more; the one that
-// ranks first among them steps in first, and the rest only if it does not.
-func TestNextInRankStepsIn(t *testing.T) {
-	members := names(12)
+// All readers of a zone die at once, and the VM list still names them, as only
+// they read it. The other processes no longer hear of a live reader. The one
+// that ranks first among them takes over, and the rest only if it does not.
+func TestNextInRankTakesOverReading(t *testing.T) {
+	members := sideNames(12)
 	turn := epoch.Truncate(Turn).Add(turnOverlap + time.Second)
-	n := withPeer(turn)
+	n := nodeWithPeer(turn)
 	readers := map[string]bool{}
 	for _, m := range readersAt(members, turn) {
 		readers[m] = true
@@ -95,8 +95,8 @@
 	for _, d := range steps {
 		earliest = min(earliest, d)
 	}
-	if earliest <= standInAfter || earliest >= Turn {
-		t.Errorf("the first steps in after %v, want after %v and within a turn", earliest, standInAfter)
+	if earliest <= failoverDelay || earliest >= Turn {
+		t.Errorf("the first process takes over after %v, want after %v and within a turn", earliest, failoverDelay)
 	}
 	together := 0
 	for _, d := range steps {
@@ -105,17 +105,17 @@
 		}
 	}
 	if diff := cmp.Diff(1, together); diff != "" {
-		t.Errorf("processes that step in first (-want +got):\n%s", diff)
+		t.Errorf("number of processes that take over first (-want +got):\n%s", diff)
 	}
 }
 
-// A zone's readers are alive but the platform is down for long. Nobody else
-// starts to read: the news of live readers keeps arriving, and the platform
-// must not meet every process of the fleet when it comes back.
+// A zone's readers are alive, but the platform is down for long. Nobody else
+// starts to read while news of live readers keeps arriving; otherwise the
+// platform would be hit by every process of the fleet when it comes back.
 func TestLiveReaderKeepsOthersFromReading(t *testing.T) {
-	members := names(12)
+	members := sideNames(12)
 	now := epoch.Truncate(Turn).Add(turnOverlap + time.Second)
-	n := withPeer(now)
+	n := nodeWithPeer(now)
 	readers := map[string]bool{}
 	for _, m := range readersAt(members, now) {
 		readers[m] = true
@@ -125,14 +125,14 @@
 		n.Marks(1, Marks{ReaderAge: 2 * time.Second}, now)
 		for _, m := range members {
 			if !readers[m] && n.IsReader(m, members, now) {
-				t.Fatalf("%s reads beside live readers", m)
+				t.Fatalf("%s reads although readers are alive", m)
 			}
 		}
 	}
 }
 
-// The VM list restarts and answers with nothing, then with all again. Taken
-// at once, it would leave every entry without a target.
+// The VM list service restarts and returns an empty list, then all VMs again.
+// Accepted at once, the empty list would leave every entry without a target.
 func TestShrunkenListMustRepeat(t *testing.T) {
 	vm := func(name string, s fleet.State) fleet.VM {
 		return fleet.VM{Name: name, Role: fleet.RoleSide, Zone: "z", Region: "r", Address: testAddr, State: s}
@@ -162,15 +162,15 @@
 			got = append(got, len(held.Items))
 		}
 		if diff := cmp.Diff(tc.want, got); diff != "" {
-			t.Errorf("%s: VMs held (-want +got):\n%s", tc.name, diff)
+			t.Errorf("%s: number of VMs held (-want +got):\n%s", tc.name, diff)
 		}
 	}
 }
 
 // Two readers see the list with different lags: one has seen that a VM is
-// leaving, the other still answers that it is live. The VM gets no new work
-// again, until it has left the list and come back, or is live in three
-// answers running because it has been restarted where it was.
+// leaving, the other still reports it as live. The VM gets no new work again
+// until it has left the list and come back, or is live in three consecutive
+// answers because it was restarted in place.
 func TestLeavingStaysLeaving(t *testing.T) {
 	live := fleet.VM{Name: "a", Role: fleet.RoleSide, Zone: "z", Region: "r", Address: testAddr, State: fleet.StateLive}
 	other := live
@@ -214,6 +214,6 @@
 		fleet.StateLeaving, fleet.StateLeaving, fleet.StateLeaving, fleet.StateLive,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("states of a (-want +got):\n%s", diff)
+		t.Errorf("states of VM a (-want +got):\n%s", diff)
 	}
 }
--- a/core/process/gossip/explore_test.go
+++ b/core/process/gossip/explore_test.go
@@ -16,37 +16,38 @@
 	"hawthornferry/core/process/explor"
 )
 
-// dropped is a safeguard that an exploration leaves out.
-type dropped string
+// disabled is a safeguard of the protocol that an exploration disables.
+type disabled string
 
 const (
-	dropNothing dropped = ""
-	dropHigher  dropped = "a higher revision alone replaces one"
-	dropLate    dropped = "a delta that came late is not taken"
-	dropDigest  dropped = "a delta is checked against its digest"
-	dropRepeat  dropped = "what is held is told again"
+	noneDisabled       disabled = ""
+	higherRevisionOnly disabled = "only a higher revision replaces a document"
+	lateDeltaRejected  disabled = "a late delta is rejected"
+	digestCheck        disabled = "a delta is checked against its digest"
+	marksRepeated      disabled = "the marks held are sent repeatedly"
 )
 
-// spread is one state of the model: nodes that are all connected, or cut in
-// two, a service that gives any revision at any time, and messages in flight. Messages may be lost, repeated and arrive in any order.
-type spread struct {
-	nodes    []*Node
-	highest  []uint64
-	flight   []flying
-	reads    int
-	restarts int
-	repeats  int
-	cut      int
+// clusterState is one state of the model: nodes that are all connected or
+// partitioned in two, a configuration service that returns any revision at any
+// time, and messages in flight, which may be lost, duplicated and reordered.
+type clusterState struct {
+	nodes     []*Node
+	highest   []uint64
+	inFlight  []namedMessage
+	reads     int
+	restarts  int
+	repeats   int
+	partition int
 }
 
-// flying is a message in flight under a name that tells it from others.
-type flying struct {
-	sent
+// namedMessage is a message in flight with a name that is unique among them.
+type namedMessage struct {
+	message
 	name string
 }
 
-func newFlying(m sent) flying {
-	f := flying{sent: m}
+func newNamedMessage(m message) namedMessage {
+	f := namedMessage{message: m}
 	switch a := m.action.(type) {
 	case SendMarks:
 		f.name = "marks " + markName(a.Marks.Document)
@@ -63,29 +64,29 @@
 	return strconv.FormatUint(m.Version, 10) + "." + m.Sum.String()
 }
 
-// The bounds of an exploration.
-type spreadBounds struct {
-	nodes    int
-	reads    int
-	restarts int
-	repeats  int
-	cuts     int
+// clusterBounds limits how often each event occurs in an exploration.
+type clusterBounds struct {
+	nodes      int
+	reads      int
+	restarts   int
+	repeats    int
+	partitions int
 }
 
-// The states of a cut between node 0 and the others.
+// The states of a network partition between node 0 and the others.
 const (
-	cutNever = iota
-	cutNow
-	cutHealed
+	neverPartitioned = iota
+	partitionedNow
+	partitionHealed
 )
 
 // lastRevision is the last revision that the operators promote.
 const lastRevision = 3
 
-// published returns the documents that the service may give for a revision.
-// Revision 2 was given twice, by two promotions that raced over a restored
-// service.
-func published(revision uint64) []State {
+// publishedStates returns the documents that the configuration service may
+// return for a revision. Revision 2 was assigned twice, by two concurrent
+// promotions on a service restored from a backup.
+func publishedStates(revision uint64) []State {
 	doc := func(bodies ...string) State {
 		var items []Item
 		for i, b := range bodies {
@@ -107,13 +108,13 @@
 	}
 }
 
-type spreadModel struct {
-	bounds  spreadBounds
-	dropped dropped
+type clusterModel struct {
+	bounds   clusterBounds
+	disabled disabled
 }
 
-func (m spreadModel) initial() *spread {
-	s := &spread{}
+func (m clusterModel) initial() *clusterState {
+	s := &clusterState{}
 	for range m.bounds.nodes {
 		n := &Node{Zone: "z", Accept: func(Topic, State) error { return nil }}
 		n.Start(epoch)
@@ -126,11 +127,11 @@
 	return s
 }
 
-// connect connects node i with the one after it, or with both neighbours:
-// the nodes form a chain, so that news passes through one that may fail.
-func (m spreadModel) connect(s *spread, i int, after bool) {
+// connect connects node i with the next node, or with both neighbours. The
+// nodes form a chain, so that news passes through a node that may fail.
+func (m clusterModel) connect(s *clusterState, i int, after bool) {
 	for j := range s.nodes {
-		if j == i || (after && j < i) || s.apart(i, j) || max(i, j)-min(i, j) > 1 {
+		if j == i || (after && j < i) || s.partitioned(i, j) || max(i, j)-min(i, j) > 1 {
 			continue
 		}
 		s.perform(i, s.nodes[i].Connected(PeerID(j+1), "z", epoch))
@@ -138,10 +139,12 @@
 	}
 }
 
-func (s *spread) apart(i, j int) bool { return s.cut == cutNow && (i == 0 || j == 0) }
+func (s *clusterState) partitioned(i, j int) bool {
+	return s.partition == partitionedNow && (i == 0 || j == 0)
+}
 
-// perform sends what a node wants sent and notes what it adopts.
-func (s *spread) perform(from int, actions []Action) {
+// perform puts the messages among the actions of a node in flight.
+func (s *clusterState) perform(from int, actions []Action) {
 	for _, a := range actions {
 		to := -1
 		switch a := a.(type) {
@@ -152,25 +155,25 @@
 		case SendDelta:
 			to = int(a.Peer) - 1
 		}
-		m := newFlying(sent{from: from, to: to, action: a})
-		if to >= 0 && !slices.ContainsFunc(s.flight, func(o flying) bool { return o.name == m.name }) {
-			s.flight = append(s.flight, m)
+		m := newNamedMessage(message{from: from, to: to, action: a})
+		if to >= 0 && !slices.ContainsFunc(s.inFlight, func(o namedMessage) bool { return o.name == m.name }) {
+			s.inFlight = append(s.inFlight, m)
 		}
 	}
 }
 
-func (s *spread) clone() *spread {
+func (s *clusterState) clone() *clusterState {
 	c := *s
 	c.nodes = make([]*Node, len(s.nodes))
 	for i, n := range s.nodes {
-		c.nodes[i] = n.copied()
+		c.nodes[i] = n.deepCopy()
 	}
 	c.highest = slices.Clone(s.highest)
-	c.flight = slices.Clone(s.flight)
+	c.inFlight = slices.Clone(s.inFlight)
 	return &c
 }
 
-func (n *Node) copied() *Node {
+func (n *Node) deepCopy() *Node {
 	c := *n
 	c.replicas = map[Topic]*replica{}
 	for t, r := range n.replicas {
@@ -192,9 +195,9 @@
 	return &c
 }
 
-func (s *spread) key() string {
+func (s *clusterState) key() string {
 	var b strings.Builder
-	b.Write([]byte{byte(s.reads), byte(s.restarts), byte(s.repeats), byte(s.cut)})
+	b.Write([]byte{byte(s.reads), byte(s.restarts), byte(s.repeats), byte(s.partition)})
 	for i, n := range s.nodes {
 		r := n.replicas[TopicDocument]
 		b.Write([]byte{byte(s.highest[i]), byte(r.conflict)})
@@ -209,101 +212,101 @@
 			b.Write([]byte{'?', byte(p.peer)})
 		}
 	}
-	flight := make([]string, 0, len(s.flight))
-	for _, m := range s.flight {
-		flight = append(flight, m.name)
+	inFlight := make([]string, 0, len(s.inFlight))
+	for _, m := range s.inFlight {
+		inFlight = append(inFlight, m.name)
 	}
-	slices.Sort(flight)
-	b.WriteString(strings.Join(flight, ";"))
+	slices.Sort(inFlight)
+	b.WriteString(strings.Join(inFlight, ";"))
 	return b.String()
 }
 
-func (m spreadModel) moves(s *spread) []explor.Move[*spread] {
-	var out []explor.Move[*spread]
-	add := func(name string, change func(*spread)) {
+func (m clusterModel) moves(s *clusterState) []explor.Move[*clusterState] {
+	var out []explor.Move[*clusterState]
+	add := func(name string, change func(*clusterState)) {
 		c := s.clone()
 		change(c)
-		c.note()
-		out = append(out, explor.Move[*spread]{Name: name, Next: c})
+		c.recordHighest()
+		out = append(out, explor.Move[*clusterState]{Name: name, Next: c})
 	}
 	for i := range s.nodes {
 		if s.reads < m.bounds.reads {
 			m.readMoves(s, i, add)
 		}
 		if s.restarts < m.bounds.restarts {
-			add(fmt.Sprintf("node %d restarts", i), func(c *spread) { m.restart(c, i) })
+			add(fmt.Sprintf("node %d restarts", i), func(c *clusterState) { m.restart(c, i) })
 		}
 	}
-	for i := range s.flight {
-		name := s.flight[i].name
-		add(name+" arrives", func(c *spread) { m.arrive(c, i, false) })
+	for i := range s.inFlight {
+		name := s.inFlight[i].name
+		add(name+" arrives", func(c *clusterState) { m.deliver(c, i, false) })
 		if s.repeats < m.bounds.repeats {
-			add(name+" arrives and will again", func(c *spread) { m.arrive(c, i, true) })
+			add(name+" arrives and is duplicated", func(c *clusterState) { m.deliver(c, i, true) })
 		}
 	}
-	if s.cut == cutNever && m.bounds.cuts > 0 {
-		add("node 0 is cut off", m.cutOff)
+	if s.partition == neverPartitioned && m.bounds.partitions > 0 {
+		add("node 0 is partitioned", m.startPartition)
 	}
-	if s.cut == cutNow {
-		add("the cut heals", m.heal)
+	if s.partition == partitionedNow {
+		add("the partition heals", m.healPartition)
 	}
 	return out
 }
 
-func (m spreadModel) readMoves(s *spread, i int, add func(string, func(*spread))) {
+func (m clusterModel) readMoves(s *clusterState, i int, add func(string, func(*clusterState))) {
 	for v := uint64(1); v <= lastRevision; v++ {
-		for n, doc := range published(v) {
-			add(fmt.Sprintf("node %d reads revision %d, text %d", i, v, n), func(c *spread) { m.read(c, i, doc) })
+		for n, doc := range publishedStates(v) {
+			add(fmt.Sprintf("node %d reads revision %d, variant %d", i, v, n), func(c *clusterState) { m.read(c, i, doc) })
 		}
 	}
 }
 
-func (m spreadModel) read(s *spread, i int, doc State) {
+func (m clusterModel) read(s *clusterState, i int, doc State) {
 	s.reads++
 	n := s.nodes[i]
-	if m.dropped == dropHigher {
+	if m.disabled == higherRevisionOnly {
 		n.replicas[TopicDocument].adopt(doc)
 		return
 	}
 	s.perform(i, n.Read(TopicDocument, doc, epoch))
 }
 
-func (m spreadModel) restart(s *spread, i int) {
+func (m clusterModel) restart(s *clusterState, i int) {
 	s.restarts++
 	n := &Node{Zone: "z", Accept: func(Topic, State) error { return nil }}
 	n.Start(epoch)
 	s.nodes[i] = n
 	s.highest[i] = 0
-	s.flight = slices.DeleteFunc(s.flight, func(o flying) bool { return o.from == i || o.to == i })
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o namedMessage) bool { return o.from == i || o.to == i })
 	for j, other := range s.nodes {
 		s.perform(j, other.Gone(PeerID(i+1), epoch))
 	}
 	m.connect(s, i, false)
 }
 
-func (m spreadModel) cutOff(s *spread) {
-	s.cut = cutNow
-	s.flight = slices.DeleteFunc(s.flight, func(o flying) bool { return s.apart(o.from, o.to) })
+func (m clusterModel) startPartition(s *clusterState) {
+	s.partition = partitionedNow
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o namedMessage) bool { return s.partitioned(o.from, o.to) })
 	s.perform(0, s.nodes[0].Gone(2, epoch))
 	s.perform(1, s.nodes[1].Gone(1, epoch))
 }
 
-func (m spreadModel) heal(s *spread) {
-	s.cut = cutHealed
+func (m clusterModel) healPartition(s *clusterState) {
+	s.partition = partitionHealed
 	m.connect(s, 0, false)
 }
 
-func (m spreadModel) arrive(s *spread, i int, again bool) {
-	o := s.flight[i]
+func (m clusterModel) deliver(s *clusterState, i int, again bool) {
+	o := s.inFlight[i]
 	if again {
 		s.repeats++
 	} else {
-		s.flight = slices.Delete(s.flight, i, i+1)
+		s.inFlight = slices.Delete(s.inFlight, i, i+1)
 	}
-	m.hand(s, o.sent, epoch)
+	m.handle(s, o.message, epoch)
 }
 
-func (m spreadModel) hand(s *spread, o sent, now time.Time) {
+func (m clusterModel) handle(s *clusterState, o message, now time.Time) {
 	n := s.nodes[o.to]
 	from := PeerID(o.from + 1)
 	switch a := o.action.(type) {
@@ -316,27 +319,28 @@
 	}
 }
 
-// note keeps the highest revision that each node has had in this boot.
-func (s *spread) note() {
+// recordHighest keeps the highest revision that each node has held since it
+// started.
+func (s *clusterState) recordHighest() {
 	for i, n := range s.nodes {
 		s.highest[i] = max(s.highest[i], n.Held(TopicDocument).Mark.Version)
 	}
 }
 
-// delta hands a delta to n, without the safeguard that is left out.
-func (m spreadModel) delta(n *Node, from PeerID, d Delta, now time.Time) []Action {
+// delta lets n handle a delta, without the safeguard that is disabled.
+func (m clusterModel) delta(n *Node, from PeerID, d Delta, now time.Time) []Action {
 	r := n.replicas[TopicDocument]
 	if d.Topic != TopicDocument {
 		return n.Delta(from, d, now)
 	}
-	switch m.dropped {
-	case dropLate:
+	switch m.disabled {
+	case lateDeltaRejected:
 		if next, err := apply(r.held, d); err == nil {
 			delete(n.pulls, d.Topic)
 			r.adopt(next)
 			return nil
 		}
-	case dropDigest:
+	case digestCheck:
 		items := map[string]Item{}
 		for _, it := range append(slices.Clone(r.held.Items), d.Put...) {
 			items[it.Name] = NewItem(it.Name, it.Body)
@@ -349,41 +353,42 @@
 	return n.Delta(from, d, now)
 }
 
-// check is the rule: within a boot no node goes back, each holds a document
-// that was promoted whole, and once messages pass all hold the highest
-// revision that any of them has.
-func (m spreadModel) check(s *spread) error {
+// check is the rule: no node's revision goes back while it runs, each holds a
+// document that was promoted as a whole, and once messages are delivered all
+// hold the highest revision that any of them has.
+func (m clusterModel) check(s *clusterState) error {
 	for i, n := range s.nodes {
 		held := n.Held(TopicDocument).Mark
 		if held.Version < s.highest[i] {
-			return errors.Newf("node %d went back from %d to %d", i, s.highest[i], held.Version)
+			return errors.Newf("node %d went back from revision %d to %d", i, s.highest[i], held.Version)
 		}
 		whole := func(p State) bool { return p.Mark == held }
-		if held.Version > 0 && !slices.ContainsFunc(published(held.Version), whole) {
-			return errors.Newf("node %d holds a document that was not promoted", i)
+		if held.Version > 0 && !slices.ContainsFunc(publishedStates(held.Version), whole) {
+			return errors.Newf("node %d holds a document that was not promoted as a whole", i)
 		}
 	}
-	if s.cut == cutNow {
+	if s.partition == partitionedNow {
 		return nil
 	}
 	return m.converges(s.clone())
 }
 
-// converges lets two exchanges pass without a fault.
-func (m spreadModel) converges(s *spread) error {
+// converges runs four ticks without faults and checks that all nodes end up
+// with the highest revision.
+func (m clusterModel) converges(s *clusterState) error {
 	now := epoch
-	s.flight = nil
+	s.inFlight = nil
 	for range 4 {
 		now = now.Add(PullTimeout)
 		for i, n := range s.nodes {
-			if m.dropped != dropRepeat {
+			if m.disabled != marksRepeated {
 				s.perform(i, n.Tick(now))
 			}
 		}
-		for len(s.flight) > 0 {
-			o := s.flight[0]
-			s.flight = s.flight[1:]
-			m.hand(s, o.sent, now)
+		for len(s.inFlight) > 0 {
+			o := s.inFlight[0]
+			s.inFlight = s.inFlight[1:]
+			m.handle(s, o.message, now)
 		}
 	}
 	var highest uint64
@@ -392,49 +397,50 @@
 	}
 	for i, n := range s.nodes {
 		if got := n.Held(TopicDocument).Mark.Version; got != highest {
-			return errors.Newf("node %d stays at %d, another holds %d", i, got, highest)
+			return errors.Newf("node %d stays at revision %d, want the highest, %d", i, got, highest)
 		}
 	}
 	return nil
 }
 
-func (m spreadModel) run() explor.Result {
-	return explor.Explore(explor.Model[*spread]{
+func (m clusterModel) run() explor.Result {
+	return explor.Explore(explor.Model[*clusterState]{
 		Initial: m.initial(),
 		Moves:   m.moves,
-		Key:     (*spread).key,
+		Key:     (*clusterState).key,
 		Check:   m.check,
 		Max:     1 << 20,
 	})
 }
 
 var (
-	twoNodes   = spreadBounds{nodes: 2, reads: 2, restarts: 1}
-	repeated   = spreadBounds{nodes: 2, reads: 2, repeats: 1}
-	threeNodes = spreadBounds{nodes: 3, reads: 1, restarts: 0}
-	partition  = spreadBounds{nodes: 2, reads: 2, cuts: 1}
-	manyReads  = spreadBounds{nodes: 2, reads: 3}
+	twoNodes   = clusterBounds{nodes: 2, reads: 2, restarts: 1}
+	repeated   = clusterBounds{nodes: 2, reads: 2, repeats: 1}
+	threeNodes = clusterBounds{nodes: 3, reads: 1, restarts: 0}
+	partition  = clusterBounds{nodes: 2, reads: 2, partitions: 1}
+	manyReads  = clusterBounds{nodes: 2, reads: 3}
 )
 
-// Operators promote three revisions, one of them twice, while the service
-// answers with any it has given, nodes restart, a cut comes and heals, and
-// messages are lost, repeated and overtaken. No node's document goes back or
-// is put together from two, and when messages pass all hold the highest.
-func TestNoOrderOfEventsReverts(t *testing.T) {
+// Operators promote three revisions, one of them twice, while the configuration
+// service returns any of them, nodes restart, the network is partitioned and
+// heals, and messages are lost, duplicated and reordered. No node's document
+// goes back to an older revision or mixes two, and once messages are delivered
+// all nodes hold the highest.
+func TestNoEventOrderRevertsADocument(t *testing.T) {
 	tests := []struct {
 		name   string
-		bounds spreadBounds
+		bounds clusterBounds
 	}{
 		{"two nodes, one restart", twoNodes},
-		{"two nodes, one repetition", repeated},
+		{"two nodes, one duplicate", repeated},
 		{"three nodes", threeNodes},
-		{"two nodes, one cut", partition},
+		{"two nodes, one partition", partition},
 		{"two nodes, three reads", manyReads},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			got := spreadModel{bounds: tt.bounds}.run()
+			got := clusterModel{bounds: tt.bounds}.run()
 			t.Log(got)
 			if !got.Whole {
 				t.Errorf("exploration: %v", got)
@@ -443,21 +449,22 @@
 	}
 }
 
-// Each safeguard is left out once; the checker must find what it prevents.
-func TestEachRuleOfSpreadIsNeeded(t *testing.T) {
+// Each safeguard is disabled in turn; the exploration must then find a
+// violation.
+func TestEachSafeguardIsNeeded(t *testing.T) {
 	tests := []struct {
-		dropped dropped
-		bounds  spreadBounds
+		disabled disabled
+		bounds   clusterBounds
 	}{
-		{dropHigher, twoNodes},
-		{dropLate, twoNodes},
-		{dropDigest, manyReads},
-		{dropRepeat, twoNodes},
+		{higherRevisionOnly, twoNodes},
+		{lateDeltaRejected, twoNodes},
+		{digestCheck, manyReads},
+		{marksRepeated, twoNodes},
 	}
 	for _, tt := range tests {
-		t.Run(string(tt.dropped), func(t *testing.T) {
+		t.Run(string(tt.disabled), func(t *testing.T) {
 			t.Parallel()
-			got := spreadModel{bounds: tt.bounds, dropped: tt.dropped}.run()
+			got := clusterModel{bounds: tt.bounds, disabled: tt.disabled}.run()
 			if got.Err == nil {
 				t.Fatalf("no rule was broken without it: %v", got)
 			}
--- a/core/process/gossip/mark.go
+++ b/core/process/gossip/mark.go
@@ -1,7 +1,9 @@
-// Package gossip decides how the processes of a fleet keep the same document
-// and the same VM list: who reads the platform, who speaks to whom, which
-// state is taken and what is sent. It holds no socket and no clock; package
-// watch carries its actions out.
+// Package gossip keeps the environment document and the VM list identical on
+// all processes of a fleet. It decides who reads from the platform (the
+// configuration service and the VM list), which peers to connect to, which
+// state to adopt and what to send. It does no I/O and reads no clock: package
+// watch in io/process passes it events and performs the actions that it
+// returns.
 package gossip
 
 import (
@@ -13,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Topic names what is kept the same everywhere.
+// Topic is a kind of state that is replicated to all processes.
 type Topic string
 
 // The topics.
@@ -22,7 +24,7 @@
 	TopicVMs      Topic = "vms"
 )
 
-// Check reports an unknown topic.
+// Check returns an error if the topic is unknown.
 func (t Topic) Check() error {
 	if t != TopicDocument && t != TopicVMs {
 		return errors.Newf("unknown topic %q", string(t))
@@ -30,45 +32,47 @@
 	return nil
 }
 
-// sumSize is the length of a Sum in bytes: enough that no two states of a
-// fleet's life share one by chance.
-const sumSize = 16
+// digestSize is the length of a Sum in bytes, long enough that two states over
+// the lifetime of a fleet don't collide by chance.
+const digestSize = 16
 
-// Sum is a digest of an item or of a whole state.
-type Sum [sumSize]byte
+// Sum is the digest of an item or of a whole state.
+type Sum [digestSize]byte
 
-// String returns the first digits of the digest, for logs.
+// String returns the first 8 hex digits of the digest, for logs.
 func (s Sum) String() string { return hex.EncodeToString(s[:4]) }
 
-func sumOf(parts ...[]byte) Sum {
+func digestOf(parts ...[]byte) Sum {
 	h := sha256.New()
 	for _, p := range parts {
 		_, _ = h.Write(p)
 	}
-	return Sum(h.Sum(nil)[:sumSize])
+	return Sum(h.Sum(nil)[:digestSize])
 }
 
-// Mark names one state of a topic. For the document Version is the revision
-// that the configuration service gave; for the VM list it counts the changes
-// that were observed, one up from the version on which the change was seen.
+// Mark identifies one state of a topic by version and digest. For the document,
+// Version is the revision that the configuration service assigned. For the VM
+// list it counts observed changes: the reader that sees a change uses one more
+// than the version that it held.
 type Mark struct {
 	Version uint64 `msgpack:"v"`
 	Sum     Sum    `msgpack:"s"`
 }
 
-// above reports whether a state named m replaces one named other. A document
-// is replaced by a higher revision alone. Two readers may give different
-// observations of the VM list the same version; their digests then decide,
-// the same way everywhere.
-func (m Mark) above(t Topic, other Mark) bool {
+// supersedes reports whether a state marked m replaces one marked other. A
+// document is replaced only by a higher revision. For the VM list two readers
+// may assign the same version to different observations; the higher digest then
+// wins, so that all processes choose the same one.
+func (m Mark) supersedes(t Topic, other Mark) bool {
 	if m.Version != other.Version || t == TopicDocument {
 		return m.Version > other.Version
 	}
 	return bytes.Compare(m.Sum[:], other.Sum[:]) > 0
 }
 
-// conflicts reports whether two documents carry the same revision: the
-// service has given one number twice, for instance after it was restored.
+// conflicts reports whether two different documents carry the same revision:
+// the configuration service has assigned a number twice, for instance after it
+// was restored from a backup.
 func (m Mark) conflicts(t Topic, other Mark) bool {
 	return t == TopicDocument && m.Version == other.Version && m.Sum != other.Sum
 }
--- a/core/process/gossip/node.go
+++ b/core/process/gossip/node.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// PullTimeout is how long an asked peer may take before another is asked.
+// PullTimeout is how long to wait for a peer's answer to a pull before another
+// peer is asked.
 const PullTimeout = time.Second
 
-// PeerID names one connection to a peer; a peer that connects again gets
-// another.
+// PeerID identifies one connection to a peer. A peer that reconnects gets a new
+// one.
 type PeerID uint64
 
-// Node is the protocol of one process. Its methods take an event and the
-// time and return what is to be done. It is for one goroutine. Accept checks
-// a state before it is taken; set it before the first event.
+// Node is the protocol's state machine for one process. Its methods take an
+// event and the current time and return the actions to perform. A Node must be
+// used from a single goroutine. Accept validates a state before it is adopted;
+// it must be set before the first event.
 type Node struct {
 	Zone   string
 	Accept func(Topic, State) error
 
-	replicas   map[Topic]*replica
-	peers      map[PeerID]*peer
-	pulls      map[Topic]*pull
-	readerSeen time.Time
-	aloneSince time.Time
+	replicas        map[Topic]*replica
+	peers           map[PeerID]*peer
+	pulls           map[Topic]*pull
+	lastReaderAlive time.Time
+	noPeersSince    time.Time
 }
 
 type peer struct {
@@ -33,7 +35,7 @@
 	pending map[Topic]*Delta
 }
 
-// pull is a request that waits for its answer.
+// pull is a request to a peer that has not been answered yet.
 type pull struct {
 	peer  PeerID
 	asked time.Time
@@ -41,8 +43,8 @@
 
 var topics = []Topic{TopicDocument, TopicVMs}
 
-// Start sets the node up. A reader is taken to have been alive at now, so
-// that a starting process does not believe at once that none is.
+// Start initializes the node. It assumes that a reader is alive at now, so that
+// a starting process does not conclude at once that there is none.
 func (n *Node) Start(now time.Time) {
 	n.replicas = map[Topic]*replica{}
 	for _, t := range topics {
@@ -50,18 +52,19 @@
 	}
 	n.peers = map[PeerID]*peer{}
 	n.pulls = map[Topic]*pull{}
-	n.readerSeen = now
-	n.aloneSince = now
+	n.lastReaderAlive = now
+	n.noPeersSince = now
 }
 
-// Held returns the state of a topic; its version is 0 before the first.
+// Held returns the state held for a topic; its version is 0 if there is none
+// yet.
 func (n *Node) Held(t Topic) State { return n.replicas[t].held }
 
-// Refused returns the highest version that was offered and refused.
+// Refused returns the highest version that was offered and failed validation.
 func (n *Node) Refused(t Topic) uint64 { return n.replicas[t].refused.Version }
 
-// Conflict returns the held version when a peer or the platform has given it
-// other content, else 0.
+// Conflict returns the version of the held state if a peer or the platform has
+// other content under the same version, else 0.
 func (n *Node) Conflict(t Topic) uint64 {
 	if r := n.replicas[t]; r.conflict == r.held.Mark.Version {
 		return r.conflict
@@ -69,20 +72,21 @@
 	return 0
 }
 
-// Peers returns how many peers are connected.
+// Peers returns the number of connected peers.
 func (n *Node) Peers() int { return len(n.peers) }
 
-// Connected adds a peer of the given zone and greets it.
+// Connected adds a peer of the given zone and sends it the marks held.
 func (n *Node) Connected(id PeerID, zone string, now time.Time) []Action {
 	n.peers[id] = &peer{zone: zone, pending: map[Topic]*Delta{}}
-	return []Action{n.greet(id, now)}
+	return []Action{n.sendMarks(id, now)}
 }
 
-// Gone removes a peer; what it was asked for is asked of another.
+// Gone removes a disconnected peer. A pull that it has not answered is sent to
+// another peer.
 func (n *Node) Gone(id PeerID, now time.Time) []Action {
 	delete(n.peers, id)
 	if len(n.peers) == 0 {
-		n.aloneSince = now
+		n.noPeersSince = now
 	}
 	var out []Action
 	for _, t := range topics {
@@ -94,20 +98,20 @@
 	return out
 }
 
-// Marks takes what a peer says that it holds.
+// Marks handles a peer's message about the states that it holds.
 func (n *Node) Marks(id PeerID, m Marks, now time.Time) []Action {
 	p, ok := n.peers[id]
 	if !ok {
 		return nil
 	}
 	p.marks = m
-	if seen := now.Add(-m.ReaderAge); p.zone == n.Zone && seen.After(n.readerSeen) {
-		n.readerSeen = seen
+	if seen := now.Add(-m.ReaderAge); p.zone == n.Zone && seen.After(n.lastReaderAlive) {
+		n.lastReaderAlive = seen
 	}
 	var out []Action
 	for _, t := range topics {
 		r := n.replicas[t]
-		mark := m.of(t)
+		mark := m.forTopic(t)
 		if mark.conflicts(t, r.held.Mark) && r.conflict != mark.Version {
 			r.conflict = mark.Version
 			out = append(out, Conflict{Topic: t, Peer: id, Mark: mark})
@@ -117,20 +121,20 @@
 	return out
 }
 
-// Pull answers a peer that asks.
+// Pull answers a peer's request for the held state.
 func (n *Node) Pull(id PeerID, p Pull) []Action {
 	r := n.replicas[p.Topic]
-	if n.peers[id] == nil || !r.held.Mark.above(p.Topic, p.Have) {
+	if n.peers[id] == nil || !r.held.Mark.supersedes(p.Topic, p.Have) {
 		return nil
 	}
 	var out []Action
-	for _, d := range r.since(p.Have) {
+	for _, d := range r.deltasFrom(p.Have) {
 		out = append(out, SendDelta{Peer: id, Delta: d})
 	}
 	return out
 }
 
-// Delta takes one part of an answer.
+// Delta handles one part of the answer to a pull.
 func (n *Node) Delta(id PeerID, d Delta, now time.Time) []Action {
 	p, ok := n.peers[id]
 	if !ok {
@@ -152,16 +156,16 @@
 	}
 	next, err := apply(r.held, *whole)
 	if err != nil {
-		return n.misfit(id, *whole, err, now)
+		return n.refuseDelta(id, *whole, err, now)
 	}
 	return n.offer(d.Topic, next, now)
 }
 
-// misfit asks the peer for the whole state after a delta that did not lead
-// where it said. When it was the whole already the peer is asked again no
-// sooner than its next marks, so that a faulty peer cannot keep this process
-// busy.
-func (n *Node) misfit(id PeerID, d Delta, err error, now time.Time) []Action {
+// refuseDelta reports a delta that did not result in the state it announced,
+// and asks the peer for the whole state. If the delta already was the whole
+// state, the peer is not asked again before its next marks, so that a faulty
+// peer cannot keep this process busy.
+func (n *Node) refuseDelta(id PeerID, d Delta, err error, now time.Time) []Action {
 	t := d.Topic
 	out := []Action{Refuse{Topic: t, Peer: id, Mark: d.To, Err: err}}
 	if n.pulls[t] != nil || d.From.Version == 0 {
@@ -171,7 +175,7 @@
 	return append(out, SendPull{Peer: id, Pull: Pull{Topic: t}})
 }
 
-// Read takes a state that this process has read from the platform.
+// Read handles a state that this process has read from the platform.
 func (n *Node) Read(t Topic, s State, now time.Time) []Action {
 	r := n.replicas[t]
 	switch {
@@ -180,17 +184,18 @@
 	case s.Mark.conflicts(t, r.held.Mark):
 		r.conflict = s.Mark.Version
 		return []Action{Conflict{Topic: t, Mark: s.Mark}}
-	case !s.Mark.above(t, r.held.Mark):
+	case !s.Mark.supersedes(t, r.held.Mark):
 		return []Action{Ignore{Topic: t, Mark: s.Mark, Held: r.held.Mark}}
 	}
 	return n.offer(t, s, now)
 }
 
-// offer takes s when it is sound and tells the peers that do not hold it.
+// offer adopts s if it is valid, and sends the new marks to the peers that
+// don't hold it.
 func (n *Node) offer(t Topic, s State, now time.Time) []Action {
 	r := n.replicas[t]
 	if err := n.Accept(t, s); err != nil {
-		if s.Mark.above(t, r.refused) {
+		if s.Mark.supersedes(t, r.refused) {
 			r.refused = s.Mark
 		}
 		return []Action{Refuse{Topic: t, Mark: s.Mark, Err: err}}
@@ -198,26 +203,26 @@
 	r.adopt(s)
 	out := []Action{Adopt{Topic: t, State: s}}
 	for _, id := range n.peerIDs() {
-		if n.peers[id].marks.of(t) != s.Mark {
-			out = append(out, n.greet(id, now))
+		if n.peers[id].marks.forTopic(t) != s.Mark {
+			out = append(out, n.sendMarks(id, now))
 		}
 	}
 	return append(out, n.pull(t, now)...)
 }
 
-// pull asks one of the peers that hold what this process wants, unless one
-// has been asked already.
+// pull requests the state of a topic from a peer that holds a newer one, unless
+// a request is already pending.
 func (n *Node) pull(t Topic, now time.Time) []Action {
 	if n.pulls[t] != nil {
 		return nil
 	}
-	return n.pullBut(t, 0, now)
+	return n.pullExcept(t, 0, now)
 }
 
-func (n *Node) pullBut(t Topic, but PeerID, now time.Time) []Action {
+func (n *Node) pullExcept(t Topic, except PeerID, now time.Time) []Action {
 	r := n.replicas[t]
 	for _, id := range n.peerIDs() {
-		if id != but && r.wants(n.peers[id].marks.of(t)) {
+		if id != except && r.wants(n.peers[id].marks.forTopic(t)) {
 			n.pulls[t] = &pull{peer: id, asked: now}
 			return []Action{SendPull{Peer: id, Pull: Pull{Topic: t, Have: r.held.Mark}}}
 		}
@@ -225,8 +230,8 @@
 	return nil
 }
 
-// Tick repeats what may have been lost: it tells every peer what is held and
-// asks another peer when the one that was asked has not answered in time.
+// Tick repeats what may have been lost: it sends the marks held to every peer,
+// and repeats a pull that timed out, preferably at another peer.
 func (n *Node) Tick(now time.Time) []Action {
 	var out []Action
 	for _, t := range topics {
@@ -235,19 +240,19 @@
 			continue
 		}
 		delete(n.pulls, t)
-		if other := n.pullBut(t, p.peer, now); other != nil {
+		if other := n.pullExcept(t, p.peer, now); other != nil {
 			out = append(out, other...)
 			continue
 		}
 		out = append(out, n.pull(t, now)...)
 	}
 	for _, id := range n.peerIDs() {
-		out = append(out, n.greet(id, now))
+		out = append(out, n.sendMarks(id, now))
 	}
 	return out
 }
 
-func (n *Node) greet(id PeerID, now time.Time) Action {
+func (n *Node) sendMarks(id PeerID, now time.Time) Action {
 	return SendMarks{Peer: id, Marks: Marks{
 		Document:  n.replicas[TopicDocument].held.Mark,
 		VMs:       n.replicas[TopicVMs].held.Mark,
@@ -255,11 +260,12 @@
 	}}
 }
 
-// peerIDs returns the connected peers in a fixed order.
+// peerIDs returns the connected peers in a deterministic order.
 func (n *Node) peerIDs() []PeerID { return slices.Sorted(maps.Keys(n.peers)) }
 
-// collect adds a part to what the peer has sent so far and returns the whole
-// after the last part.
+// collect adds one part of a delta to those received before, and returns the
+// complete delta after the last part. A part of another delta, or one that
+// exceeds MaxBytes in total, discards the earlier parts.
 func (p *peer) collect(d Delta) *Delta {
 	have := p.pending[d.Topic]
 	if have == nil || have.From != d.From || have.To != d.To || have.size()+d.size() > MaxBytes {
--- a/core/process/gossip/node_test.go
+++ b/core/process/gossip/node_test.go
@@ -11,21 +11,21 @@
 	"pgregory.net/rapid"
 )
 
-// world is a few nodes, fully connected, and a network that loses, repeats
-// and reorders what they send. content is what the service gave for each
-// revision.
-type world struct {
-	nodes   []*Node
-	highest []uint64
-	flight  []sent
-	cut     map[[2]int]bool
-	content map[uint64]Sum
-	latest  uint64
-	now     time.Time
+// testCluster is a few nodes, fully connected, and a network that loses,
+// duplicates and reorders their messages. content is the digest of the document
+// that the configuration service returned for each revision.
+type testCluster struct {
+	nodes    []*Node
+	highest  []uint64
+	inFlight []message
+	cut      map[[2]int]bool
+	content  map[uint64]Sum
+	latest   uint64
+	now      time.Time
 }
 
-// sent is a message on its way.
-type sent struct {
+// message is a message in flight.
+type message struct {
 	from, to int
 	action   Action
 }
@@ -34,8 +34,8 @@
 
 var testAddr = netip.MustParseAddrPort("127.0.0.1:1")
 
-func newWorld(n int) *world {
-	w := &world{cut: map[[2]int]bool{}, content: map[uint64]Sum{}, now: epoch}
+func newTestCluster(n int) *testCluster {
+	w := &testCluster{cut: map[[2]int]bool{}, content: map[uint64]Sum{}, now: epoch}
 	for i := range n {
 		w.nodes = append(w.nodes, nil)
 		w.highest = append(w.highest, 0)
@@ -45,7 +45,7 @@
 }
 
 // restart replaces node i by one that holds nothing.
-func (w *world) restart(i int) {
+func (w *testCluster) restart(i int) {
 	n := &Node{Zone: "z", Accept: func(Topic, State) error { return nil }}
 	n.Start(w.now)
 	w.nodes[i] = n
@@ -60,26 +60,26 @@
 	}
 }
 
-func (w *world) perform(from int, actions []Action) {
+func (w *testCluster) perform(from int, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case SendMarks:
-			w.flight = append(w.flight, sent{from, int(a.Peer) - 1, a})
+			w.inFlight = append(w.inFlight, message{from, int(a.Peer) - 1, a})
 		case SendPull:
-			w.flight = append(w.flight, sent{from, int(a.Peer) - 1, a})
+			w.inFlight = append(w.inFlight, message{from, int(a.Peer) - 1, a})
 		case SendDelta:
-			w.flight = append(w.flight, sent{from, int(a.Peer) - 1, a})
+			w.inFlight = append(w.inFlight, message{from, int(a.Peer) - 1, a})
 		}
 	}
 }
 
-func (w *world) deliver(i int) {
-	m := w.flight[i]
-	w.flight = slices.Delete(w.flight, i, i+1)
-	w.hand(m)
+func (w *testCluster) deliver(i int) {
+	m := w.inFlight[i]
+	w.inFlight = slices.Delete(w.inFlight, i, i+1)
+	w.handle(m)
 }
 
-func (w *world) hand(m sent) {
+func (w *testCluster) handle(m message) {
 	if w.cut[[2]int{m.from, m.to}] {
 		return
 	}
@@ -94,15 +94,17 @@
 	}
 }
 
-// read lets node i read a revision of the service; it may be an old one.
-func (w *world) read(i int, revision uint64) {
+// read lets node i read a revision from the configuration service, which may be
+// an old one.
+func (w *testCluster) read(i int, revision uint64) {
 	s := documentState(revision)
 	w.content[revision] = s.Mark.Sum
 	w.perform(i, w.nodes[i].Read(TopicDocument, s, w.now))
 }
 
-// documentState is what the service gives for a revision: some sections stay
-// the same, some change and some come and go.
+// documentState returns the document of a revision. From one revision to the
+// next some sections stay the same, some change, and some are added and
+// removed.
 func documentState(revision uint64) State {
 	items := []Item{
 		NewItem("environment", []byte("same")),
@@ -116,12 +118,13 @@
 	return s
 }
 
-// check fails when a node went down or holds what no service gave.
-func (w *world) check(t *rapid.T) {
+// check fails if a node went back to an older revision or holds content that
+// the service did not return.
+func (w *testCluster) check(t *rapid.T) {
 	for i, n := range w.nodes {
 		held := n.Held(TopicDocument).Mark
 		if held.Version < w.highest[i] {
-			t.Fatalf("node %d went from revision %d to %d", i, w.highest[i], held.Version)
+			t.Fatalf("node %d went back from revision %d to %d", i, w.highest[i], held.Version)
 		}
 		w.highest[i] = held.Version
 		if held.Version > 0 && held.Sum != w.content[held.Version] {
@@ -130,29 +133,28 @@
 	}
 }
 
-// settle heals the network, loses nothing and lets time pass.
-func (w *world) settle() {
+// settle heals the network and runs three ticks without losing a message.
+func (w *testCluster) settle() {
 	clear(w.cut)
 	for range 3 {
 		w.now = w.now.Add(PullTimeout)
 		for i, n := range w.nodes {
 			w.perform(i, n.Tick(w.now))
 		}
-		for len(w.flight) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0)
 		}
 	}
 }
 
-// Operators see one revision in force everywhere, whatever the network and
-// the processes do meanwhile: messages are lost, repeated and reordered,
-// nodes restart and hold nothing, the service gives old revisions, and pairs
-// of nodes lose each other. No node ever goes down or holds a mixture, and
-// once messages pass again all hold the same, at least the highest that was
-// held.
+// The same revision ends up in effect on all nodes although messages are lost,
+// duplicated and reordered, nodes restart with nothing, the service returns old
+// revisions, and pairs of nodes cannot reach each other. No node ever goes back
+// to an older revision or holds a mixture of two. Once messages are delivered
+// again all hold the same, and no less than the highest revision held before.
 func TestNodesNeverRevertAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(2, 4).Draw(t, "nodes"))
+		w := newTestCluster(rapid.IntRange(2, 4).Draw(t, "nodes"))
 		node := rapid.IntRange(0, len(w.nodes)-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"promote": func(*rapid.T) { w.latest++ },
@@ -163,23 +165,23 @@
 				w.read(node.Draw(t, "node"), rapid.Uint64Range(1, w.latest).Draw(t, "revision"))
 			},
 			"deliver": func(t *rapid.T) {
-				if len(w.flight) == 0 {
+				if len(w.inFlight) == 0 {
 					return
 				}
-				w.deliver(rapid.IntRange(0, len(w.flight)-1).Draw(t, "message"))
+				w.deliver(rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message"))
 			},
 			"repeat": func(t *rapid.T) {
-				if len(w.flight) == 0 {
+				if len(w.inFlight) == 0 {
 					return
 				}
-				w.hand(w.flight[rapid.IntRange(0, len(w.flight)-1).Draw(t, "message")])
+				w.handle(w.inFlight[rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message")])
 			},
 			"lose": func(t *rapid.T) {
-				if len(w.flight) == 0 {
+				if len(w.inFlight) == 0 {
 					return
 				}
-				i := rapid.IntRange(0, len(w.flight)-1).Draw(t, "message")
-				w.flight = slices.Delete(w.flight, i, i+1)
+				i := rapid.IntRange(0, len(w.inFlight)-1).Draw(t, "message")
+				w.inFlight = slices.Delete(w.inFlight, i, i+1)
 			},
 			"tick": func(t *rapid.T) {
 				w.now = w.now.Add(PullTimeout / 2)
@@ -199,8 +201,8 @@
 		}
 		w.settle()
 		w.check(t)
-		// A message that was on its way may hold more than any node did: the
-		// node that sent it has restarted since.
+		// A message in flight may contain a higher revision than any node
+		// holds, if the node that sent it has restarted since.
 		first := w.nodes[0].Held(TopicDocument).Mark
 		if first.Version < want {
 			t.Fatalf("revision %d after healing, want at least %d", first.Version, want)
@@ -213,9 +215,9 @@
 	})
 }
 
-// The service is restored from an old copy and gives number 4 to another
-// document than before. A node that holds the first one keeps it, and the
-// operator is told that the number stands for two contents.
+// The configuration service is restored from an old copy and assigns number 4
+// to another document than before. A node that holds the first one keeps it and
+// reports the conflict.
 func TestSameRevisionOtherContentIsConflict(t *testing.T) {
 	n := &Node{Zone: "z", Accept: func(Topic, State) error { return nil }}
 	n.Start(epoch)
--- a/core/process/gossip/start_test.go
+++ b/core/process/gossip/start_test.go
@@ -9,11 +9,11 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// Operators see a new fleet draw the weights once for each side: the VM list
-// lags behind the fleet's start and answers empty, each process holds that as
-// the list's first version and, not being named in it, leaves the next read
-// to readers that do not exist. The list stayed empty for 10 s and each side
-// took itself for the only one.
+// Guards against every process of a new fleet taking itself for the only one
+// and downloading the weights itself. The VM list lags behind the start of the
+// fleet and is empty at first. Each process accepted that as the list's first
+// version and, as it was not in it, left the next read to readers that did not
+// exist; the list stayed empty for 10 s.
 func TestEmptyListAtStartIsReadAgain(t *testing.T) {
 	var o Observer
 	_, changed, err := o.Observe(State{}, nil)
@@ -21,7 +21,7 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(false, changed); diff != "" {
-		t.Errorf("empty answer at the start is a version (-want +got):\n%s", diff)
+		t.Errorf("empty answer at the start is accepted (-want +got):\n%s", diff)
 	}
 	tests := []struct {
 		name    string
@@ -29,19 +29,19 @@
 		want    bool
 	}{
 		{"zone not in the list", nil, true},
-		{"zone read by others", names(Readers), false},
+		{"zone read by others", sideNames(Readers), false},
 	}
 	for _, tc := range tests {
-		n := withPeer(epoch)
-		got := n.IsReader("new", tc.members, epoch.Add(aloneAfter/2))
+		n := nodeWithPeer(epoch)
+		got := n.IsReader("new", tc.members, epoch.Add(noPeersTimeout/2))
 		if diff := cmp.Diff(tc.want, got); diff != "" {
-			t.Errorf("%s: reads (-want +got):\n%s", tc.name, diff)
+			t.Errorf("%s: IsReader (-want +got):\n%s", tc.name, diff)
 		}
 	}
 }
 
-// A list that held VMs and answers empty once is still doubted, as before.
-func TestEmptyListLaterIsDoubted(t *testing.T) {
+// A list that held VMs and is then empty once is not accepted at once.
+func TestEmptyListAfterVMsMustRepeat(t *testing.T) {
 	var o Observer
 	vms := []fleet.VM{{
 		Name: "a", Role: fleet.RoleEntry, Zone: "z", Region: "r",
@@ -56,6 +56,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(false, changed); diff != "" {
-		t.Errorf("empty answer believed at once (-want +got):\n%s", diff)
+		t.Errorf("empty answer is accepted at once (-want +got):\n%s", diff)
 	}
 }
--- a/core/process/gossip/state.go
+++ b/core/process/gossip/state.go
@@ -7,7 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of a state, so that a peer cannot make a process hold more.
+// Limits on the size of a state, which bound the memory that a peer can make a
+// process use.
 const (
 	MaxItems = 1 << 16
 	MaxBody  = 64 << 10
@@ -15,33 +16,33 @@
 	maxName  = 256
 )
 
-// Item is one part of a state that changes by itself: a section of the
-// document or one VM.
+// Item is the unit in which a state changes: one section of the document or one
+// VM.
 type Item struct {
 	Name string `msgpack:"n"`
 	Body []byte `msgpack:"b"`
 
-	sum Sum
+	digest Sum
 }
 
-// NewItem returns an item with its digest.
+// NewItem returns an item with its digest computed.
 func NewItem(name string, body []byte) Item {
 	var size [4]byte
 	binary.BigEndian.PutUint32(size[:], uint32(len(name)))
-	return Item{Name: name, Body: body, sum: sumOf(size[:], []byte(name), body)}
+	return Item{Name: name, Body: body, digest: digestOf(size[:], []byte(name), body)}
 }
 
-// Sum is the digest of the item's name and body.
-func (i Item) Sum() Sum { return i.sum }
+// Sum returns the digest of the item's name and body.
+func (i Item) Sum() Sum { return i.digest }
 
-// State is one state of a topic; it is never changed. Items are sorted by
-// name and each name stands once.
+// State is an immutable state of a topic. Items are sorted by name, and names
+// are unique.
 type State struct {
 	Mark  Mark
 	Items []Item
 }
 
-// NewState returns the state of the given version with the items.
+// NewState returns the state with the given version and items.
 func NewState(version uint64, items []Item) (State, error) {
 	sorted := items
 	if !slices.IsSortedFunc(items, compareItems) {
@@ -51,40 +52,41 @@
 	if err := checkItems(sorted); err != nil {
 		return State{}, err
 	}
-	return State{Mark: Mark{Version: version, Sum: sumItems(sorted)}, Items: sorted}, nil
+	return State{Mark: Mark{Version: version, Sum: digestItems(sorted)}, Items: sorted}, nil
 }
 
-func sumItems(items []Item) Sum {
-	all := make([]byte, 0, len(items)*sumSize)
+func digestItems(items []Item) Sum {
+	all := make([]byte, 0, len(items)*digestSize)
 	for _, it := range items {
-		all = append(all, it.sum[:]...)
+		all = append(all, it.digest[:]...)
 	}
-	return sumOf(all)
+	return digestOf(all)
 }
 
 func checkItems(sorted []Item) error {
 	if len(sorted) > MaxItems {
-		return errors.Newf("%d items, want at most %d", len(sorted), MaxItems)
+		return errors.Newf("state has %d items, want at most %d", len(sorted), MaxItems)
 	}
 	size := 0
 	for i, it := range sorted {
 		if it.Name == "" || len(it.Name) > maxName || len(it.Body) > MaxBody {
-			return errors.Newf("item %.40q: name or body is out of bounds", it.Name)
+			return errors.Newf("item %.40q: name is empty, or name or body is too long", it.Name)
 		}
 		if i > 0 && sorted[i-1].Name == it.Name {
-			return errors.Newf("item %q stands twice", it.Name)
+			return errors.Newf("item %q appears twice", it.Name)
 		}
 		size += len(it.Name) + len(it.Body)
 	}
 	if size > MaxBytes {
-		return errors.Newf("%d bytes, want at most %d", size, MaxBytes)
+		return errors.Newf("state has %d bytes, want at most %d", size, MaxBytes)
 	}
 	return nil
 }
 
-// Delta leads from one state of a topic to another. A From of version 0
-// stands for the empty state, so that the delta is the whole. A delta that
-// does not fit one message is sent in several; More says that others follow.
+// Delta is the difference between two states of a topic. If From has version 0,
+// it stands for the empty state and the delta contains the whole state. A delta
+// too large for one message is sent in several parts; More is set on all but
+// the last.
 type Delta struct {
 	Topic Topic    `msgpack:"t"`
 	From  Mark     `msgpack:"f"`
@@ -94,18 +96,18 @@
 	More  bool     `msgpack:"m"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first field that is out of range.
 func (d *Delta) Check() error {
 	if err := d.Topic.Check(); err != nil {
 		return err
 	}
 	if len(d.Put) > MaxItems || len(d.Drop) > MaxItems {
-		return errors.Newf("delta of %d and %d items, want at most %d", len(d.Put), len(d.Drop), MaxItems)
+		return errors.Newf("delta puts %d and drops %d items, want at most %d each", len(d.Put), len(d.Drop), MaxItems)
 	}
 	return nil
 }
 
-// size is about the bytes that the delta takes in memory.
+// size returns the approximate size of the delta in memory, in bytes.
 func (d *Delta) size() int {
 	n := 0
 	for _, it := range d.Put {
@@ -117,7 +119,7 @@
 	return n
 }
 
-// diff returns the delta from a to b; both are sorted.
+// diff returns the delta from a to b. Both must be sorted by name.
 func diff(t Topic, a, b State) Delta {
 	d := Delta{Topic: t, From: a.Mark, To: b.Mark}
 	i := 0
@@ -128,7 +130,7 @@
 		}
 		if i < len(a.Items) && a.Items[i].Name == it.Name {
 			i++
-			if a.Items[i-1].sum == it.sum {
+			if a.Items[i-1].digest == it.digest {
 				continue
 			}
 		}
@@ -140,30 +142,30 @@
 	return d
 }
 
-// apply returns the state to which d leads from s. A delta whose result has
-// another digest than it names is refused: applied to a state that it was
-// not made from, it would give a document that no operator wrote.
+// apply returns the state that results from applying d to s. It refuses a delta
+// whose result has a digest other than announced: applied to a state that it
+// was not computed from, a delta would yield a document that no operator wrote.
 func apply(s State, d Delta) (State, error) {
 	base := State{}
 	if d.From.Version != 0 {
 		if d.From != s.Mark {
-			return State{}, errors.Newf("delta is from version %d (%v), held is %d (%v)", d.From.Version, d.From.Sum, s.Mark.Version, s.Mark.Sum)
+			return State{}, errors.Newf("delta applies to version %d (%v), but version %d (%v) is held", d.From.Version, d.From.Sum, s.Mark.Version, s.Mark.Sum)
 		}
 		base = s
 	}
-	items := merge(base.Items, d)
+	items := mergeItems(base.Items, d)
 	next, err := NewState(d.To.Version, items)
 	if err != nil {
 		return State{}, err
 	}
 	if next.Mark != d.To {
-		return State{}, errors.Newf("delta to version %d gives %v, want %v", d.To.Version, next.Mark.Sum, d.To.Sum)
+		return State{}, errors.Newf("delta to version %d results in digest %v, want %v", d.To.Version, next.Mark.Sum, d.To.Sum)
 	}
 	return next, nil
 }
 
-// merge returns the items of a sorted base with those of d put and dropped.
-func merge(base []Item, d Delta) []Item {
+// mergeItems returns the sorted items of base with the changes of d.
+func mergeItems(base []Item, d Delta) []Item {
 	put := make([]Item, 0, len(d.Put))
 	changed := make(map[string]bool, len(d.Put)+len(d.Drop))
 	for _, it := range d.Put {
--- a/core/process/gossip/state_test.go
+++ b/core/process/gossip/state_test.go
@@ -38,10 +38,9 @@
 	})
 }
 
-// A peer sends a delta with one section altered, by a fault of its own or of
-// its memory. The result has another digest than was announced, so that the
-// process keeps what it holds: nobody serves a document that no operator
-// wrote.
+// A faulty peer sends a delta with one section altered. The result has another
+// digest than announced, so the process keeps the state it holds: otherwise it
+// would serve a document that no operator wrote.
 func TestAlteredDeltaIsRefused(t *testing.T) {
 	a, b := documentState(1), documentState(2)
 	tests := []struct {
@@ -76,8 +75,8 @@
 	var whole *Delta
 	parts := split(diff(TopicVMs, State{}, s))
 	for _, part := range parts {
-		if part.size() > 2*maxPart {
-			t.Errorf("part has %d bytes, want at most %d", part.size(), 2*maxPart)
+		if part.size() > 2*maxPartBytes {
+			t.Errorf("part has %d bytes, want at most %d", part.size(), 2*maxPartBytes)
 		}
 		whole = p.collect(part)
 	}
--- a/core/process/gossip/vms.go
+++ b/core/process/gossip/vms.go
@@ -8,39 +8,42 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// confirmations is how many answers in a row must say what is doubted before
-// it is believed.
-const confirmations = 3
+// requiredAnswers is how many consecutive answers must repeat a doubtful change
+// before it is accepted.
+const requiredAnswers = 3
 
-// Observer turns answers of the platform's VM list into versions of it. It
-// is for one goroutine.
+// Observer turns answers of the platform's VM list into versioned states. It
+// must be used from a single goroutine.
 type Observer struct {
-	// shrunk counts answers in a row that lack more than half of the VMs.
-	shrunk int
-	// revived counts, for each VM held as leaving, answers in a row by which
-	// it is live.
-	revived map[string]int
-	decoder VMs
+	// smallAnswers counts consecutive answers that lack more than half of the
+	// VMs held.
+	smallAnswers int
+	// liveAnswers counts, for each VM held as leaving, the consecutive answers
+	// that say it is live.
+	liveAnswers map[string]int
+	decoder     VMs
 }
 
 // Observe returns the state that follows held when the platform answers with
-// vms, and false when nothing is to change. An empty answer is no first
-// version: it says only that the list lags behind this very process.
+// vms. The result is false if nothing changes. An empty answer is not accepted
+// as the first version: it only shows that the list does not include this
+// process yet.
 //
-// A list that has just restarted answers with few VMs or none. Believed at
-// once, it would take every target from every entry; it must lack them three
-// times running. A VM that was leaving stays so until it has left the list
-// or is live three times running: readers see the list with different lags,
-// and one older answer would otherwise send new work to a VM about to go.
+// A VM list service that has just restarted answers with few VMs or none.
+// Accepting that at once would leave every entry without targets, so more than
+// half of the VMs must be missing from three consecutive answers. A VM that is
+// leaving stays so until it is gone from the list or is live in three
+// consecutive answers: readers see the list with different lags, and one older
+// answer would otherwise send new work to a VM that is about to stop.
 func (o *Observer) Observe(held State, vms []fleet.VM) (State, bool, error) {
 	if len(vms) == 0 && held.Mark.Version == 0 {
 		return State{}, false, nil
 	}
-	if len(vms)*2 < len(held.Items) && o.shrunk+1 < confirmations {
-		o.shrunk++
+	if len(vms)*2 < len(held.Items) && o.smallAnswers+1 < requiredAnswers {
+		o.smallAnswers++
 		return State{}, false, nil
 	}
-	o.shrunk = 0
+	o.smallAnswers = 0
 	known, err := o.decoder.Decode(held)
 	if err != nil {
 		return State{}, false, err
@@ -68,14 +71,14 @@
 	for _, v := range vms {
 		old, doubted := leaving[v.Name]
 		if doubted && old.Address == v.Address && v.State == fleet.StateLive {
-			revived[v.Name] = o.revived[v.Name] + 1
+			revived[v.Name] = o.liveAnswers[v.Name] + 1
 		}
-		if n := revived[v.Name]; n > 0 && n < confirmations {
+		if n := revived[v.Name]; n > 0 && n < requiredAnswers {
 			v.State = fleet.StateLeaving
 		}
 		out = append(out, v)
 	}
-	o.revived = revived
+	o.liveAnswers = revived
 	return out
 }
 
@@ -94,35 +97,35 @@
 	return items, nil
 }
 
-// VMs decodes states of the VM list. It keeps what it has decoded, so that a
-// list of thousands of which one has changed costs the decoding of one. It is
-// for one goroutine.
+// VMs decodes states of the VM list. It caches decoded VMs, so that a change of
+// one VM in a list of thousands costs decoding one. It must be used from a
+// single goroutine.
 type VMs struct {
-	known map[string]knownVM
+	cache map[string]cachedVM
 }
 
-type knownVM struct {
-	sum Sum
-	vm  fleet.VM
+type cachedVM struct {
+	digest Sum
+	vm     fleet.VM
 }
 
-// Decode returns the checked VMs of a state, sorted by name.
+// Decode returns the validated VMs of a state, sorted by name.
 func (d *VMs) Decode(s State) ([]fleet.VM, error) {
-	known := make(map[string]knownVM, len(s.Items))
+	known := make(map[string]cachedVM, len(s.Items))
 	vms := make([]fleet.VM, 0, len(s.Items))
 	for _, it := range s.Items {
-		k, ok := d.known[it.Name]
-		if !ok || k.sum != it.sum {
+		k, ok := d.cache[it.Name]
+		if !ok || k.digest != it.digest {
 			vm, err := decodeVM(it)
 			if err != nil {
 				return nil, err
 			}
-			k = knownVM{sum: it.sum, vm: vm}
+			k = cachedVM{digest: it.digest, vm: vm}
 		}
 		known[it.Name] = k
 		vms = append(vms, k.vm)
 	}
-	d.known = known
+	d.cache = known
 	return vms, nil
 }
 
@@ -132,7 +135,7 @@
 		return v, errors.Wrapf(err, "decode VM %s", it.Name)
 	}
 	if v.Name != it.Name {
-		return v, errors.Newf("VM %s stands under the name %s", v.Name, it.Name)
+		return v, errors.Newf("VM %s is stored under the name %s", v.Name, it.Name)
 	}
 	return v, v.Check()
 }
