--- a/core/process/facts/facts.go
+++ b/core/process/facts/facts.go
@@ -1,5 +1,7 @@
-// Package facts holds what a process believes of the platform at one moment,
-// and how old that belief may be.
+// Package facts holds a process's copy of the platform's state (configuration,
+// targets and model versions) and how old that copy may be. Package feed in
+// io/process builds it from the store and from peers; the rest of the process
+// reads it through Source.
 package facts
 
 import (
@@ -11,8 +13,10 @@
 	"hawthornferry/core/request/table"
 )
 
-// Target is one running replica of a service. ID names one start of it; an
-// address may pass to another target once this one has ended.
+// Target is one running replica of a service. ID identifies one start of it.
+// Its address may be reused by another target after this one has ended. Slots
+// is how many requests it processes at once, 0 if it does not report that.
+// Leaving is set while it drains and must get no new work.
 type Target struct {
 	ID      string
 	Service string
@@ -20,40 +24,42 @@
 	Zone    string
 	Slots   int
 	Leaving bool
-	// Born is when this start of the target was, by its own clock; zero when it
-	// does not say.
+	// Born is when this run of the target started, by its own clock; zero if it
+	// does not report that.
 	Born time.Time
-	// Warming is how much longer the target is slow after its start.
+	// Warming is for how much longer the target is expected to be slow after
+	// its start.
 	Warming time.Duration
-	// Serving is the version of each model that the target last told of; 0
-	// stands for none.
+	// Serving is the version of each model that the target last reported; 0
+	// means none.
 	Serving map[string]uint64
-	// Whole is false while an engine lacks some of its layers.
+	// Whole is false while an engine lacks some of the layers of its weights.
 	Whole bool
 }
 
-// Named is a version of a model that the operator named. Since is when that was,
-// or the earliest that it can have been as far as this process knows.
+// Named is a version of a model that the operator announced. Since is when that
+// was or, if this process does not know, the earliest time at which it can have
+// been.
 type Named struct {
 	Model   string
 	Version uint64
 	Since   time.Time
-	// Read is set when this process has read the version itself, not only heard
-	// from peers that there was one.
+	// Read is set when this process has read the version from the store itself,
+	// rather than only learned from peers that it exists.
 	Read bool
 }
 
-// Origin is where the weights of the models are drawn from. Rate is its link
-// in bytes a second.
+// Origin is the server from which model weights are downloaded. Rate is the
+// bandwidth of its link in bytes per second.
 type Origin struct {
 	Address netip.AddrPort
 	Zone    string
 	Rate    int64
 }
 
-// Facts is one consistent belief; it is never changed once it is handed out.
-// Table is nil until a configuration was read. Revision is that of the store
-// from which all of it was read. Versions holds the latest few of each model.
+// Facts is one consistent, immutable snapshot. Table is nil until a
+// configuration has been read. Revision is the store revision of the whole
+// snapshot. Versions holds the latest few versions of each model.
 type Facts struct {
 	Revision uint64
 	Table    *table.Table
@@ -62,14 +68,14 @@
 	Origin   Origin
 }
 
-// Latest returns the newest version that is wanted of a model.
+// Latest returns the newest announced version of a model.
 func (f *Facts) Latest(model string) (Named, bool) {
 	return f.newest(model, func(Named) bool { return true })
 }
 
-// Due returns the newest version of a model that was named before the given
-// time. Each version has its own bound: one that is named soon after another
-// does not put off the time for the first.
+// Due returns the newest version of a model that was announced before the given
+// time. Each version has its own time limit: announcing another one soon
+// afterwards does not postpone the limit of the first.
 func (f *Facts) Due(model string, before time.Time) (Named, bool) {
 	return f.newest(model, func(v Named) bool { return v.Since.Before(before) })
 }
@@ -84,8 +90,8 @@
 	return best, best.Version > 0
 }
 
-// ReplacedSince returns when a version that is still in use was first replaced by
-// a newer one, false if it is the newest.
+// ReplacedSince returns when a version that is still being served was first
+// replaced by a newer one, or false if it is the newest.
 func (f *Facts) ReplacedSince(model string, serving uint64) (time.Time, bool) {
 	var first time.Time
 	for _, v := range f.Named(model) {
@@ -96,7 +102,7 @@
 	return first, !first.IsZero()
 }
 
-// Named returns the versions that were named of a model, the newest first.
+// Named returns the announced versions of a model, newest first.
 func (f *Facts) Named(model string) []Named {
 	var out []Named
 	for _, v := range f.Versions {
--- a/core/process/facts/present.go
+++ b/core/process/facts/present.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// seat is a place at which one target of a service can run at a time.
-type seat struct {
+// endpoint is an address of a service, at which one target can run at a time.
+type endpoint struct {
 	service string
 	address netip.AddrPort
 }
 
-// Present leaves out the targets whose address a later start of their service
-// has taken. One that lost power stays listed for some heartbeats beside the one
-// that runs in its place; what is sent to it is turned away, and while a whole
-// service starts anew such requests use up what may be sent once more.
+// Present removes the targets whose address has been taken over by a later
+// start of the same service. It modifies the given slice. A target that lost
+// power stays in the list for some heartbeats next to its successor. Requests
+// sent to the old one are rejected, and while a whole service restarts such
+// requests would use up the retry budget.
 func Present(all []Target) []Target {
-	latest := map[seat]time.Time{}
+	latest := map[endpoint]time.Time{}
 	for _, t := range all {
-		s := seat{t.Service, t.Address}
-		if t.Born.After(latest[s]) {
-			latest[s] = t.Born
+		e := endpoint{t.Service, t.Address}
+		if t.Born.After(latest[e]) {
+			latest[e] = t.Born
 		}
 	}
 	return slices.DeleteFunc(all, func(t Target) bool {
-		return !t.Born.IsZero() && t.Born.Before(latest[seat{t.Service, t.Address}])
+		return !t.Born.IsZero() && t.Born.Before(latest[endpoint{t.Service, t.Address}])
 	})
 }
--- a/core/process/facts/present_test.go
+++ b/core/process/facts/present_test.go
@@ -8,11 +8,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// All machines lose power. The store lists each target twice for seconds: as it
-// was, and as it has started anew at the same address. Requests to the former are
-// turned away and fall behind; only the latter counts. Targets that do not say when
-// they started, and those of another service, are left alone.
-func TestPresentTakesTheLatestStart(t *testing.T) {
+// After a power loss of all machines the store lists each target twice for
+// seconds: the old run, and the new one at the same address. Requests to the
+// old one are rejected and get delayed, so only the new one is kept. Targets
+// that do not report when they started, and those of another service, are not
+// affected.
+func TestPresentKeepsTheLatestStart(t *testing.T) {
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	a, b := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
 	got := Present([]Target{
--- a/core/process/facts/source.go
+++ b/core/process/facts/source.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Source is a belief that is replaced while it is read.
+// Source provides the current facts, which may be replaced at any time.
 type Source interface {
 	Current() *Facts
-	// Age is how long ago the belief was last known to be true; false while
-	// nothing is believed.
+	// Age returns how long ago the facts were last known to be current, and
+	// false while there are none.
 	Age() (time.Duration, bool)
 }
 
-// Age is how old a belief is at the most, if that is known.
+// Age is an upper bound on how old facts are, if known.
 type Age struct {
 	Most  time.Duration
 	Known bool
 }
 
-// OlderThan reports whether the belief may be older than d.
+// OlderThan reports whether the facts may be older than d.
 func (a Age) OlderThan(d time.Duration) bool { return !a.Known || a.Most > d }
 
-// Take returns the belief and its age. The age is read first: read last, it could be
-// that of a belief that came in between, and a revoked key would pass by the old
-// table. A belief that comes between the two is at most younger than it is taken
-// for, which costs a caller a moment's wait.
+// Take returns the current facts and their age. The age is read first. If it
+// were read last, it could belong to newer facts that arrived between the two
+// reads, and a revoked key would be accepted by the old table. Read first, the
+// facts can only be younger than the age says, which at worst makes a caller
+// wait for a moment.
 func Take(s Source) (*Facts, Age) {
 	most, known := s.Age()
 	return s.Current(), Age{Most: most, Known: known}
