--- a/core/process/rank/rank.go
+++ b/core/process/rank/rank.go
@@ -1,6 +1,8 @@
-// Package rank orders members by rendezvous hash, so that processes which see
-// the same members agree on an order without speaking to each other, and a
-// member that comes or goes moves only what it itself ranked first for.
+// Package rank orders members by rendezvous hashing (highest random weight).
+// Processes that see the same members agree on an order without communicating,
+// and adding or removing a member only affects the keys for which that member
+// ranks first. It is used to choose among processes, targets and peers
+// throughout the system.
 package rank
 
 import (
@@ -9,8 +11,8 @@
 	"slices"
 )
 
-// Order returns the members sorted for key, the highest score first. The
-// input is left as it is. Ties are broken by name.
+// Order returns the members sorted by descending score for key. The input is
+// not modified. Ties are broken by name.
 func Order[T any](key string, members []T, name func(T) string) []T {
 	scored := make([]scored[T], 0, len(members))
 	for _, m := range members {
@@ -24,10 +26,10 @@
 	return out
 }
 
-// Position returns the place of self in the order for key, 0 being the
-// first, and -1 when self is not among the members. It allocates nothing.
+// Position returns the rank of self in the order for key, starting at 0, or -1
+// if self is not among the members. It does not allocate.
 func Position(key, self string, members []string) int {
-	mine := Score(key, self)
+	selfScore := Score(key, self)
 	place := 0
 	found := false
 	for _, m := range members {
@@ -36,7 +38,7 @@
 			continue
 		}
 		s := Score(key, m)
-		if s > mine || (s == mine && m < self) {
+		if s > selfScore || (s == selfScore && m < self) {
 			place++
 		}
 	}
@@ -46,7 +48,7 @@
 	return place
 }
 
-// Score is the rendezvous weight of member for key.
+// Score returns the rendezvous weight of member for key.
 func Score(key, member string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(key))
@@ -72,8 +74,9 @@
 	return cmp.Compare(a.name, b.name)
 }
 
-// mix spreads the low entropy that FNV leaves in the high bits for short
-// inputs; without it names with a common prefix rank alike for many keys.
+// mix is the finalizer of MurmurHash3. For short inputs FNV leaves little
+// entropy in the high bits; without mix, names with a common prefix would rank
+// alike for many keys.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
