--- a/core/process/fleet/vm.go
+++ b/core/process/fleet/vm.go
@@ -1,5 +1,6 @@
-// Package fleet holds what the system knows of machines: VMs, availability
-// zones and regions, as the platform's VM list and the peers report them.
+// Package fleet defines the machines of the system, as reported by the
+// platform's VM list and by peers: VMs with their role, availability zone and
+// region.
 package fleet
 
 import (
@@ -8,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// State is a VM's standing in the platform's VM list.
+// State is the state of a VM in the platform's VM list.
 type State string
 
 // The states of a VM. A leaving VM gets no new work.
@@ -17,18 +18,19 @@
 	StateLeaving State = "leaving"
 )
 
-// Role says which process of the system runs on a VM.
+// Role is the kind of process that runs on a VM.
 type Role string
 
-// The roles of a process.
+// The roles of a process. An entry accepts callers' requests and chooses a target
+// for each; a side runs next to one target and passes the calls on to it.
 const (
 	RoleEntry Role = "entry"
 	RoleSide  Role = "side"
 )
 
-// VM is one machine of the fleet. Address is where the system's process on
-// that VM accepts its peers. Service names the service whose replica the
-// VM's target is; it is empty for an entry.
+// VM is one machine of the fleet. Address is where the system's process on that
+// VM accepts connections from peers. Service is the service of which the VM's
+// target is a replica; it is empty for an entry.
 type VM struct {
 	Name    string         `json:"name" msgpack:"name"`
 	Role    Role           `json:"role" msgpack:"role"`
@@ -39,7 +41,7 @@
 	State   State          `json:"state" msgpack:"state"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first field that is missing or invalid.
 func (v VM) Check() error {
 	if v.Name == "" {
 		return errors.New("vm: name is empty")
