--- a/core/process/gossip/elect.go
+++ b/core/process/gossip/elect.go
@@ -48,11 +48,11 @@
 	if len(n.peers) == 0 && now.Sub(n.noPeersSince) > noPeersTimeout {
 		return true
 	}
-	place := readerRank(self, members, n.Zone, now)
-	if place < Readers || readerRank(self, members, n.Zone, now.Add(-turnOverlap)) < Readers {
+	selfRank := readerRank(self, members, n.Zone, now)
+	if selfRank < Readers || readerRank(self, members, n.Zone, now.Add(-turnOverlap)) < Readers {
 		return true
 	}
-	wait := failoverDelay + time.Duration(place)*failoverStep
+	wait := failoverDelay + time.Duration(selfRank)*failoverStep
 	return n.ReaderAge(now) > wait
 }
 
@@ -66,11 +66,11 @@
 	if len(members) == 0 {
 		return 0
 	}
-	place := rank.Position(turnKey(zone, now), self, members)
-	if place < 0 {
+	selfRank := rank.Position(turnKey(zone, now), self, members)
+	if selfRank < 0 {
 		return max(len(members), Readers)
 	}
-	return place
+	return selfRank
 }
 
 func turnKey(zone string, now time.Time) string {
--- a/core/process/gossip/explore_test.go
+++ b/core/process/gossip/explore_test.go
@@ -177,20 +177,20 @@
 	c := *n
 	c.replicas = map[Topic]*replica{}
 	for t, r := range n.replicas {
-		one := *r
-		one.history = slices.Clone(r.history)
-		c.replicas[t] = &one
+		cp := *r
+		cp.history = slices.Clone(r.history)
+		c.replicas[t] = &cp
 	}
 	c.peers = map[PeerID]*peer{}
 	for id, p := range n.peers {
-		one := *p
-		one.pending = maps.Clone(p.pending)
-		c.peers[id] = &one
+		cp := *p
+		cp.pending = maps.Clone(p.pending)
+		c.peers[id] = &cp
 	}
 	c.pulls = map[Topic]*pull{}
 	for t, p := range n.pulls {
-		one := *p
-		c.pulls[t] = &one
+		cp := *p
+		c.pulls[t] = &cp
 	}
 	return &c
 }
--- a/core/process/gossip/vms.go
+++ b/core/process/gossip/vms.go
@@ -69,8 +69,8 @@
 	revived := map[string]int{}
 	out := make([]fleet.VM, 0, len(vms))
 	for _, v := range vms {
-		old, doubted := leaving[v.Name]
-		if doubted && old.Address == v.Address && v.State == fleet.StateLive {
+		old, wasLeaving := leaving[v.Name]
+		if wasLeaving && old.Address == v.Address && v.State == fleet.StateLive {
 			revived[v.Name] = o.liveAnswers[v.Name] + 1
 		}
 		if n := revived[v.Name]; n > 0 && n < requiredAnswers {
--- a/core/process/rank/rank.go
+++ b/core/process/rank/rank.go
@@ -30,7 +30,7 @@
 // if self is not among the members. It does not allocate.
 func Position(key, self string, members []string) int {
 	selfScore := Score(key, self)
-	place := 0
+	position := 0
 	found := false
 	for _, m := range members {
 		if m == self {
@@ -39,13 +39,13 @@
 		}
 		s := Score(key, m)
 		if s > selfScore || (s == selfScore && m < self) {
-			place++
+			position++
 		}
 	}
 	if !found {
 		return -1
 	}
-	return place
+	return position
 }
 
 // Score returns the rendezvous weight of member for key.
