--- a/core/process/gossip/vms.go
+++ b/core/process/gossip/vms.go
@@ -97,9 +97,9 @@
 	return items, nil
 }
 
-// VMs decodes states of the VM list. It caches decoded VMs, so that a change of
-// one VM in a list of thousands costs decoding one. It must be used from a
-// single goroutine.
+// VMs decodes states of the VM list. It caches what it decoded, so that a
+// change of one VM in a list of thousands costs decoding one. It must be used
+// from a single goroutine.
 type VMs struct {
 	cache map[string]cachedVM
 }
