--- /dev/null
+++ b/core/request/place/candidates.go
@@ -0,0 +1,113 @@
+package place
+
+import (
+	"net/netip"
+	"slices"
+	"time"
+
+	"hawthornferry/core/process/trail"
+)
+
+// exclusion is the reason why a target may not get a request now.
+type exclusion string
+
+// The exclusions, in the order in which they are checked.
+const (
+	notExcluded        exclusion = ""
+	excludedLeaving    exclusion = "leaving"
+	excludedPaused     exclusion = "paused"
+	excludedTried      exclusion = "tried"
+	excludedSilent     exclusion = "silent"
+	excludedLoading    exclusion = "loading"
+	excludedUnheard    exclusion = "unheard"
+	excludedOldVersion exclusion = "oldVersion"
+)
+
+// exclusionOf returns why a target may not get the request, regardless of its load.
+func exclusionOf(now time.Time, s *service, t *target, w *Work) exclusion {
+	switch {
+	case t.Leaving:
+		return excludedLeaving
+	case now.Before(t.pausedUntil):
+		return excludedPaused
+	case slices.Contains(w.Avoid, t.ID):
+		return excludedTried
+	case s.engine == nil:
+		return notExcluded
+	case t.reportFresh(now) && !t.alive:
+		return excludedSilent
+	case t.reportFresh(now) && t.loading:
+		return excludedLoading
+	}
+	v := t.servedVersion(now, s.engine.Model)
+	if t.reportsLost(now) && v < w.Newest {
+		// The request may arrive when the old version may no longer begin it, long
+		// after its caller and this entry have given it up.
+		return excludedUnheard
+	}
+	if v == 0 || !w.mayBegin(v, now) {
+		return excludedOldVersion
+	}
+	return notExcluded
+}
+
+// candidates counts the targets of the service by what kept each from getting a refused
+// request. Without the counts, the log says only that a service was full, and not
+// whether its targets were busy, had failed or were about to leave.
+func (s *service) candidates(now time.Time, w *Work) trail.Candidates {
+	searchedTargets := s.searchedTargets(now, w)
+	c := trail.Candidates{Targets: len(searchedTargets), Waiting: len(s.waiting)}
+	for _, t := range searchedTargets {
+		switch exclusionOf(now, s, t, w) {
+		case notExcluded:
+			load := t.load(now)
+			c.Usable++
+			c.Requests += load
+			c.FreePlaces += max(0, s.maxRequests(t)-load)
+		case excludedLeaving:
+			c.Leaving++
+		case excludedPaused:
+			c.Paused++
+		case excludedTried:
+			c.Tried++
+		case excludedSilent:
+			c.Silent++
+		case excludedLoading:
+			c.Loading++
+		case excludedUnheard:
+			c.Unheard++
+		case excludedOldVersion:
+			c.OldVersion++
+		}
+	}
+	return c
+}
+
+// maxRequests is how many requests a target may have.
+func (s *service) maxRequests(t *target) int {
+	if s.engine == nil {
+		return slotsOf(t.Target) + plainQueueLength
+	}
+	return slotsOf(t.Target)
+}
+
+// Served is the model version that a target serves, 0 for none.
+type Served struct {
+	Service string
+	Address netip.AddrPort
+	Version uint64
+}
+
+// Served returns the versions that the targets of engine services serve.
+func (p *Placer) Served(now time.Time) []Served {
+	var out []Served
+	for _, s := range p.services {
+		if s.engine == nil {
+			continue
+		}
+		for _, t := range s.all {
+			out = append(out, Served{Service: s.name, Address: t.Address, Version: t.servedVersion(now, s.engine.Model)})
+		}
+	}
+	return out
+}
--- a/core/request/place/stand_test.go
+++ b/core/request/place/candidates_test.go
@@ -10,16 +10,16 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Callers of a plain service are refused as full for seconds, and nobody can
-// tell why afterwards. One target leaves, one has just failed, and the third has
-// all the requests that it may have: the refusal says so in counts.
-func TestRefusalTellsWhatDecidedIt(t *testing.T) {
+// Guards against refusals that cannot be explained afterwards. Callers of a plain
+// service are refused as full: one target is leaving, one has just failed, and the
+// third has all the requests that it may have. The refusal counts each case.
+func TestRefusalCountsCandidates(t *testing.T) {
 	f := testFacts(nil, 1, "a", "b", "c")
 	f.Targets[0].Leaving = true
 	p := testPlacer(f)
 	first := p.Offer(start, testWork("1"))[0]
 	p.Done(start, "1", ResultFailed)
-	for i := range 1 + plainQueue {
+	for i := range 1 + plainQueueLength {
 		if v := p.Offer(start, testWork(fmt.Sprint("w", i)))[0]; v.Decision != Placed || v.Target.ID == first.Target.ID {
 			t.Fatalf("request %d: got %v, want it at the target that has not failed", i, decisions([]Verdict{v}))
 		}
@@ -35,15 +35,15 @@
 	}
 	want := trail.Candidates{Targets: 3, Usable: 1, Requests: 3, Waiting: 1, Leaving: 1, Paused: 1}
 	if diff := cmp.Diff(want, got[0].Candidates); diff != "" {
-		t.Errorf("what the refusal rests on (-want +got):\n%s", diff)
+		t.Errorf("candidates of the refusal (-want +got):\n%s", diff)
 	}
 }
 
-// No engine may begin a request, each for a reason of its own: it loads, does not
-// answer, or still serves the version before the one that is demanded. The
-// refusal names each, so that the way leads to that engine's side.
-func TestRefusalTellsOfEngines(t *testing.T) {
-	p := testPlacer(testFacts(modelEngine, 16, "a", "b", "c"))
+// Guards against refusals that do not show which engine was excluded for what. Of three
+// engines one is loading, one does not answer, and one still serves the version before
+// the required one.
+func TestRefusalCountsEngineExclusions(t *testing.T) {
+	p := testPlacer(testFacts(usualEngine, 16, "a", "b", "c"))
 	p.Report(start, "a", Report{Alive: true, Busy: true, Serving: 1})
 	p.Report(start, "b", Report{})
 	p.Report(start, "c", Report{Alive: true, Serving: 1})
@@ -55,16 +55,17 @@
 	}
 	want := trail.Candidates{Targets: 3, Silent: 1, Loading: 1, OldVersion: 1}
 	if diff := cmp.Diff(want, got[0].Candidates); diff != "" {
-		t.Errorf("what the refusal rests on (-want +got):\n%s", diff)
+		t.Errorf("candidates of the refusal (-want +got):\n%s", diff)
 	}
 }
 
-// A caller that was refused comes back, late already, and is refused again though
-// engines have places: what is late gets only half of them. Told as full, such a
-// refusal had engineers look for the load of a service that had room.
-func TestLateWorkIsNotToldAsFull(t *testing.T) {
+// Guards against refusing a late request as full while engines have free slots. A
+// caller that was refused comes back late; late requests may use only half of the
+// slots. Refused as full, it had engineers look for the load of a service that had
+// room.
+func TestLateWorkIsNotRefusedAsFull(t *testing.T) {
 	const slots = 4
-	p := testPlacer(testFacts(modelEngine, slots, "a"))
+	p := testPlacer(testFacts(usualEngine, slots, "a"))
 	p.Report(start, "a", Report{Alive: true, Serving: 1, Active: slots / 2})
 	w := testWork("1")
 	w.Asked = start.Add(-time.Second)
@@ -74,13 +75,13 @@
 	}
 	want := trail.Candidates{Targets: 1, Usable: 1, FreePlaces: slots / 2, Requests: slots / 2}
 	if diff := cmp.Diff(want, got[0].Candidates); diff != "" {
-		t.Errorf("what the refusal rests on (-want +got):\n%s", diff)
+		t.Errorf("candidates of the refusal (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against work that is sent to an engine on a replaced version and would
-// begin there only after the bound: it would be ended and sent again.
-func TestReplacedVersionIsLeftInTime(t *testing.T) {
+// Guards against sending a request to an engine on an old version that would begin it
+// only after the limit. It would be ended there and sent again.
+func TestOldVersionIsNotUsedPastItsLimit(t *testing.T) {
 	tests := []struct {
 		name string
 		left time.Duration
@@ -92,7 +93,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			p := testPlacer(testFacts(modelEngine, 16, "a"))
+			p := testPlacer(testFacts(usualEngine, 16, "a"))
 			p.Report(start, "a", Report{Alive: true, Serving: 1})
 			w := testWork("1")
 			w.Limits = []VersionLimit{{Version: 2, Until: start.Add(tc.left)}}
--- a/core/request/place/cut_test.go
+++ b/core/request/place/networkcut_test.go
@@ -8,11 +8,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The entry's network is cut for a moment, and all its connections are reset in
-// one go. Callers come back at once. Their targets are well, and were refused to
-// them for a time that grew with each failure: the entry took the cut for theirs.
-// A target that fails while the others go on is left alone as before.
-func TestCutOfTheEntryIsNotBlamedOnTargets(t *testing.T) {
+// Guards against pausing healthy targets after a short cut of the entry's own network,
+// which resets all its connections at once. Callers who come back right away were
+// refused, for a time that grew with each failure. A target that fails while the others
+// go on is still paused.
+func TestEntryNetworkCutDoesNotPauseTargets(t *testing.T) {
 	const targets = 6
 	tests := []struct {
 		name   string
@@ -23,7 +23,7 @@
 		{"one of six", 1, 0, 1},
 		{"three of six", 3, 0, 3},
 		{"all at once", targets, time.Millisecond, 0},
-		{"all in turn", targets, 2 * togetherWithin, 4},
+		{"all in turn", targets, 2 * simultaneousWindow, 4},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/request/place/place.go
+++ b/core/request/place/place.go
@@ -1,12 +1,12 @@
-// Package place decides at an entry which target runs a request, which
-// requests wait for one, and which are refused at the door. It answers the
-// load of bursts on model engines, where what makes a first token late is the
-// prompts that are still to be read before it and the writers beside it, not
-// the number of requests.
+// Package place decides for an entry (the process that accepts callers' requests) which
+// target runs a request, which requests wait, and which are refused. It is made for
+// bursts at model engines: what delays a first token there is the unread prompts ahead
+// of it and the answers written beside it, not the number of requests.
 //
-// One Placer serves an entry. It has no clock and starts nothing; each method
-// takes the time and returns the verdicts that follow from it, for the
-// request at hand and for any other that the event let in or refused.
+// One Placer serves an entry; package direct calls it. It has no clock and starts no
+// goroutines. Each method takes the current time and returns the resulting verdicts,
+// both for the request that it is called for and for waiting requests that the event
+// placed or refused.
 package place
 
 import (
@@ -18,44 +18,44 @@
 	"hawthornferry/core/request/table"
 )
 
-// TickEvery is how often Tick is to be called: a request that waits in vain
-// hears of it that soon.
+// TickEvery is how often Tick is to be called. A request for which waiting has become
+// pointless is refused within that time.
 const TickEvery = 20 * time.Millisecond
 
-// Work is a request that wants a target. Objective is when its first answer
-// is due, counted from Asked, the time at which its caller first asked.
+// Work is a request to be placed. Objective is the time from Asked, when its caller
+// first asked, to when the first answer is due. Prompt and Answer are in tokens.
 type Work struct {
 	ID      string
 	Service string
-	// Kind names the requests that it is compared with by size, such as its route.
+	// Kind groups requests whose sizes are compared with each other, such as by route.
 	Kind   string
 	Prompt int
 	Answer int
 	Asked  time.Time
-	// Objective is zero for work without one.
+	// Objective is zero for a request without one.
 	Objective time.Duration
 	Deadline  time.Time
 	Priority  int
-	// Limits bound the use of older versions of the model.
+	// Limits bound until when older versions of the model may begin the request.
 	Limits []VersionLimit
-	// Newest is the newest version that is named.
+	// Newest is the newest version named in the configuration.
 	Newest uint64
-	// Avoid are the targets that have failed it.
+	// Avoid lists the targets that have failed this request.
 	Avoid []string
-	// Begun is set for an answer that its caller has a part of: it goes
-	// before all others, and is not refused while there is a target.
+	// Begun is set if the caller already has a part of the answer. Such a request goes
+	// before all others, and waits until its deadline rather than being refused.
 	Begun bool
 }
 
-// VersionLimit is until when work may begin at a target that serves less than a
-// version of its model.
+// VersionLimit is the time until which a request may begin at a target that serves an
+// older version than Version.
 type VersionLimit struct {
 	Version uint64
 	Until   time.Time
 }
 
-// mayBegin reports whether the work may begin at a time at a target that serves a
-// version.
+// mayBegin reports whether the request may begin at the given time at a target that
+// serves the given version.
 func (w *Work) mayBegin(serving uint64, at time.Time) bool {
 	for _, l := range w.Limits {
 		if serving < l.Version && !at.Before(l.Until) {
@@ -65,7 +65,7 @@
 	return true
 }
 
-// Decision is what becomes of offered work.
+// Decision says whether a request was placed or refused.
 type Decision string
 
 // The decisions.
@@ -74,7 +74,7 @@
 	Refused Decision = "refused"
 )
 
-// Reason says why work was refused.
+// Reason says why a request was refused.
 type Reason string
 
 // The reasons of refusal.
@@ -82,13 +82,13 @@
 	ReasonNoTarget Reason = "noTarget"
 	ReasonLate     Reason = "objectiveCannotBeMet"
 	ReasonFull     Reason = "full"
-	// ReasonLateFull is for a caller that came back after its objective: such work
-	// gets only part of the places.
+	// ReasonLateFull is for a caller that came back after its objective had passed.
+	// Such requests may use only part of the slots.
 	ReasonLateFull Reason = "noRoomForLate"
 )
 
-// Verdict is the decision on one request. Target is set for a placed one,
-// RetryAfter for a refused one.
+// Verdict is the decision on one request. Target is set for a placed one, RetryAfter
+// for a refused one.
 type Verdict struct {
 	ID         string
 	Decision   Decision
@@ -96,22 +96,22 @@
 	Reason     Reason
 	RetryAfter time.Duration
 	Waited     time.Duration
-	// Expected is the time to the first answer that was foreseen; of one that
-	// is refused as late, at an engine with a single place left.
+	// Expected is the estimated time to the first answer. For a request refused with
+	// ReasonLate it is that at an engine with a single slot left.
 	Expected time.Duration
 	// Serving is the version of the model that the target is known to serve.
 	Serving uint64
 	// Load is the number of requests at the target, this one included.
 	Load int
-	// Candidates is what a refusal rests on.
+	// Candidates counts the targets that were considered for a refused request.
 	Candidates trail.Candidates
 }
 
 // Result says how a request ended at its target.
 type Result string
 
-// The results. Unreached is a request that never came to its target; Turned
-// one that the target refused to run.
+// The results. ResultUnreached means that the request never reached its target,
+// ResultTurned that the target rejected it, and ResultLeft that the caller went away.
 const (
 	ResultDone      Result = "done"
 	ResultFailed    Result = "failed"
@@ -120,11 +120,11 @@
 	ResultLeft      Result = "callerLeft"
 )
 
-// Placer decides for one entry. Set the exported fields before the first
+// Placer places the requests of one entry. Set the exported fields before the first
 // call. It is not safe for concurrent use.
 type Placer struct {
-	// Name is the entry's; it decides to which targets of a large service this
-	// entry keeps.
+	// Name is the name of the entry. It determines which subset of a large service's
+	// targets the entry uses.
 	Name    string
 	Zone    string
 	Regions map[string]string
@@ -132,73 +132,73 @@
 
 	services map[string]*service
 	targets  map[string]*target
-	running  map[string]*run
-	// ways holds the round trip to the targets of each zone, as far as known.
-	ways map[string]time.Duration
+	active   map[string]*activeRequest
+	// roundTrips holds the measured round trip to the targets of each zone.
+	roundTrips map[string]time.Duration
 }
 
-// run is a request at its target.
-type run struct {
-	work   Work
-	target *target
-	since  time.Time
-	begun  bool
-	// reading and passing are the parts of the time to its first answer, as
-	// foreseen.
-	reading time.Duration
-	passing time.Duration
+// activeRequest is a request that was placed and has not ended.
+type activeRequest struct {
+	work      Work
+	target    *target
+	since     time.Time
+	answering bool
+	// readTime and passDelay are the estimated parts of the time to its first answer.
+	readTime  time.Duration
+	passDelay time.Duration
 }
 
 // service is the state of one service.
 type service struct {
 	name   string
 	engine *table.Engine
-	// targets are those that the entry keeps to, and all the whole service's.
-	targets []*target
-	all     []*target
-	waiting []*wait
-	stretch stretch
-	kinds   map[string]*kind
+	// subset holds the targets that this entry uses by default, all those of the whole
+	// service.
+	subset     []*target
+	all        []*target
+	waiting    []*waitingRequest
+	passFactor passFactor
+	kinds      map[string]*kind
 }
 
-// Update takes the services and targets that are known now.
+// Update sets the current services and targets.
 func (p *Placer) Update(now time.Time, f *facts.Facts) []Verdict {
-	p.prepare()
+	p.initMaps()
 	old := p.targets
 	p.targets = make(map[string]*target, len(f.Targets))
 	for _, t := range old {
-		t.kept = false
+		t.inSubset = false
 	}
 	for _, s := range p.services {
-		s.targets, s.all = nil, nil
+		s.subset, s.all = nil, nil
 	}
 	for _, t := range f.Targets {
 		s := p.service(t.Service)
 		if sv, ok := f.Table.ServiceByName(t.Service); ok {
 			s.engine = sv.Engine
 		}
-		k := old[t.ID]
-		if k == nil {
-			k = &target{distance: p.distance(t.Zone)}
+		state := old[t.ID]
+		if state == nil {
+			state = &target{distance: p.distance(t.Zone)}
 		}
-		k.learn(now, t)
-		k.way = p.wayTo(t.Zone)
-		p.targets[t.ID] = k
-		s.all = append(s.all, k)
+		state.update(now, t)
+		state.extraRoundTrip = p.extraRoundTripTo(t.Zone)
+		p.targets[t.ID] = state
+		s.all = append(s.all, state)
 	}
 	for _, s := range p.services {
-		p.keepTo(s)
+		p.selectSubset(s)
 	}
-	return p.settle(now)
+	return p.decideAll(now)
 }
 
-// keepTo has a service use the targets that this entry keeps to. Plain targets tell
-// nothing of their load, so that all of them can be used.
-func (p *Placer) keepTo(s *service) {
+// selectSubset determines the subset of a service's targets that this entry uses. Plain
+// targets do not report their load, so all of them are used.
+func (p *Placer) selectSubset(s *service) {
 	if s.engine == nil {
-		s.targets = s.all
+		s.subset = s.all
 		for _, t := range s.all {
-			t.kept = true
+			t.inSubset = true
 		}
 		return
 	}
@@ -206,37 +206,37 @@
 	for _, t := range s.all {
 		listed = append(listed, t.Target)
 	}
-	for i, kept := range Subset(p.Name, p.Zone, listed) {
-		if kept {
-			s.all[i].kept = true
-			s.targets = append(s.targets, s.all[i])
+	for i, inSubset := range Subset(p.Name, p.Zone, listed) {
+		if inSubset {
+			s.all[i].inSubset = true
+			s.subset = append(s.subset, s.all[i])
 		}
 	}
 }
 
-// Offer takes a new request.
+// Offer places, queues or refuses a new request.
 func (p *Placer) Offer(now time.Time, w Work) []Verdict {
-	p.prepare()
+	p.initMaps()
 	s := p.service(w.Service)
-	q := &wait{work: w, since: now}
+	q := &waitingRequest{work: w, since: now}
 	if !w.Begun {
-		s.kindOf(&w).learn(w.Prompt)
+		s.kindOf(&w).addPrompt(w.Prompt)
 	}
-	if !s.heldBack(&w) {
-		if v, ok := p.try(now, s, q); ok {
+	if !s.isHeldBack(&w) {
+		if v, ok := p.tryPlace(now, s, q); ok {
 			return []Verdict{v}
 		}
 	}
-	if v, ok := p.hopeless(now, s, q); ok {
+	if v, ok := p.refuseHopeless(now, s, q); ok {
 		return []Verdict{v}
 	}
 	s.waiting = append(s.waiting, q)
 	return nil
 }
 
-// Withdraw takes back a request whose caller went away while it waited.
+// Withdraw removes a waiting request whose caller went away.
 func (p *Placer) Withdraw(id, serviceName string) {
-	p.prepare()
+	p.initMaps()
 	s := p.service(serviceName)
 	for i, q := range s.waiting {
 		if q.work.ID == id {
@@ -246,57 +246,58 @@
 	}
 }
 
-// Began tells that the target has sent the first part of an answer: its
-// prompt is read.
+// Began records that the target has sent the first part of an answer, which means that
+// it has read the prompt.
 func (p *Placer) Began(now time.Time, id string) []Verdict {
-	r, ok := p.running[id]
-	if !ok || r.begun {
+	r, ok := p.active[id]
+	if !ok || r.answering {
 		return nil
 	}
-	r.begun = true
-	r.target.unread -= r.work.Prompt
-	r.target.answered(now)
+	r.answering = true
+	r.target.unreadPrompt -= r.work.Prompt
+	r.target.resetFailures(now)
 	s := p.service(r.work.Service)
-	if s.engine != nil && r.passing > 0 {
-		s.stretch.observe(float64(now.Sub(r.since)-r.reading) / float64(r.passing))
+	if s.engine != nil && r.passDelay > 0 {
+		s.passFactor.observe(float64(now.Sub(r.since)-r.readTime) / float64(r.passDelay))
 	}
-	return p.fill(now, s, r.target)
+	return p.placeAt(now, s, r.target)
 }
 
-// Done tells that a placed request has ended at its target.
+// Done records that a placed request has ended at its target.
 func (p *Placer) Done(now time.Time, id string, result Result) []Verdict {
-	r, ok := p.running[id]
+	r, ok := p.active[id]
 	if !ok {
 		return nil
 	}
-	delete(p.running, id)
-	if !r.begun {
-		r.target.unread -= r.work.Prompt
+	delete(p.active, id)
+	if !r.answering {
+		r.target.unreadPrompt -= r.work.Prompt
 	}
-	r.target.own--
-	r.target.ended(now, result, now.Sub(r.since))
+	r.target.ownRequests--
+	r.target.recordEnd(now, result, now.Sub(r.since))
 	s := p.service(r.work.Service)
 	if result == ResultFailed {
-		s.forgive(now)
-		return p.settleService(now, s)
+		s.undoSimultaneousPauses(now)
+		return p.decideService(now, s)
 	}
-	return p.fill(now, s, r.target)
+	return p.placeAt(now, s, r.target)
 }
 
-// Report takes what a target says of its own load.
+// Report records a load report of a target.
 func (p *Placer) Report(now time.Time, id string, r Report) []Verdict {
 	t, ok := p.targets[id]
 	if !ok {
 		return nil
 	}
-	t.report(now, r)
-	return p.fill(now, p.service(t.Service), t)
+	t.applyReport(now, r)
+	return p.placeAt(now, p.service(t.Service), t)
 }
 
-// Tick refuses what has waited in vain.
+// Tick places waiting requests that now fit and refuses those for which waiting has
+// become pointless.
 func (p *Placer) Tick(now time.Time) []Verdict {
-	p.prepare()
-	return p.settle(now)
+	p.initMaps()
+	return p.decideAll(now)
 }
 
 func (p *Placer) service(name string) *service {
@@ -308,17 +309,17 @@
 	return s
 }
 
-func (p *Placer) prepare() {
+func (p *Placer) initMaps() {
 	if p.services != nil {
 		return
 	}
 	p.services = map[string]*service{}
 	p.targets = map[string]*target{}
-	p.running = map[string]*run{}
+	p.active = map[string]*activeRequest{}
 }
 
-// distance ranks a zone: 0 for the entry's own, 1 for one in its region, 2
-// for any other.
+// distance ranks a zone: 0 for the entry's own, 1 for one in its region, 2 for any
+// other.
 func (p *Placer) distance(zone string) int {
 	switch {
 	case zone == p.Zone:
--- a/core/request/place/place_test.go
+++ b/core/request/place/place_test.go
@@ -48,9 +48,9 @@
 	return out
 }
 
-// Callers wait for a target that turns every request away at once: it always
-// looks idle, and without a pause all requests would go to it.
-func TestTurnedAwayIsPaused(t *testing.T) {
+// Guards against sending every request to a target that rejects each at once: such a
+// target always looks idle unless it is paused.
+func TestTargetThatRejectsIsPaused(t *testing.T) {
 	p := testPlacer(testFacts(nil, 8, "a", "b"))
 	first := p.Offer(start, testWork("1"))[0].Target.ID
 	p.Done(start, "1", ResultTurned)
@@ -62,12 +62,12 @@
 	}
 }
 
-// A caller's first token is late when the prompts before its own take too long
-// to read, however few they are: the request waits at the entry and is refused
-// as soon as waiting cannot help any more, while it could still be served
-// elsewhere or later.
-func TestPromptsBeforeItMakeItLate(t *testing.T) {
-	p := testPlacer(testFacts(modelEngine, 16, "a"))
+// Guards against late first tokens when the prompts ahead take too long to read,
+// however few they are. The request waits at the entry, and is refused as soon as
+// waiting cannot help any more, while its caller can still be served elsewhere or
+// later.
+func TestUnreadPromptsMakeRequestLate(t *testing.T) {
+	p := testPlacer(testFacts(usualEngine, 16, "a"))
 	long := testWork("long")
 	long.Prompt = 6000
 	long.Objective = time.Second
@@ -92,11 +92,10 @@
 	}
 }
 
-// Callers with the longest prompts were never served where engines read slowly:
-// no engine could answer them on time, and they were refused at once. They are
-// late, but served, when an engine has room.
+// Guards against refusing the longest prompts at engines that read slowly. No engine
+// can answer them on time; they are served late when an engine has room.
 func TestLongPromptAtSlowEngineIsServed(t *testing.T) {
-	slow := *modelEngine
+	slow := *usualEngine
 	slow.ReadRate = 8000
 	p := testPlacer(testFacts(&slow, 16, "a"))
 	w := testWork("long")
@@ -106,20 +105,19 @@
 	}
 }
 
-// Engines read so slowly that the longest prompts can just be answered on time by
-// an idle one, and passes turn out to take half as long again as declared. No engine
-// with any load fits the objective then: the longest prompts waited for one that is
-// idle, which never came while there was load, and were refused, when four of five
-// of the other requests were served.
-func TestLongPromptJustWithinReachIsServed(t *testing.T) {
-	slow := *modelEngine
+// Guards against refusing the longest prompts where only an idle engine can answer them
+// on time, and passes take half as long again as declared. No engine with any load fits
+// the objective then. The longest prompts waited for an idle engine in vain and were
+// refused, while four of five of the other requests were served.
+func TestLongPromptNeedingIdleEngineIsServed(t *testing.T) {
+	slow := *usualEngine
 	slow.ReadRate, slow.Step = 13800, 13900*time.Microsecond
 	tests := []struct {
-		name    string
-		prompt  int
-		stretch float64
-		load    int
-		want    string
+		name       string
+		prompt     int
+		passFactor float64
+		load       int
+		want       string
 	}{
 		{"long, idle engine", 3800, 1.5, 0, "new placed a"},
 		{"long, some load", 3800, 1.5, 6, "new placed a"},
@@ -129,7 +127,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			p := testPlacer(testFacts(&slow, 16, "a"))
-			p.service("svc").stretch.value = tc.stretch
+			p.service("svc").passFactor.value = tc.passFactor
 			p.Report(start, "a", Report{Alive: true, Serving: 1, Pace: 1, Active: tc.load})
 			w := testWork("new")
 			w.Prompt, w.Objective = tc.prompt, 500*time.Millisecond
@@ -142,10 +140,10 @@
 	}
 }
 
-// A plain service is full, and its callers wait for 1.5 s in all. They were told to
-// come back after 1.7 s, when they have given up; the service had room again within a
-// fraction of a second, and none of them was served.
-func TestCallersAreToldToComeBackInTime(t *testing.T) {
+// Guards against a Retry-After beyond the caller's deadline. Callers of a full plain
+// service waited for 1.5 s in all and were told to come back after 1.7 s. The service
+// had room again within a fraction of a second, but none of them was served.
+func TestRetryAfterIsWithinDeadline(t *testing.T) {
 	tests := []struct {
 		name     string
 		deadline time.Duration
@@ -171,8 +169,8 @@
 	}
 }
 
-// A caller whose stream broke off gets the rest before anyone else is served.
-func TestBegunGoesFirst(t *testing.T) {
+// Guards against serving new requests before the rest of an interrupted stream.
+func TestBegunAnswerGoesFirst(t *testing.T) {
 	p := testPlacer(testFacts(nil, 1, "a"))
 	for _, id := range []string{"1", "2", "3"} {
 		p.Offer(start, testWork(id))
@@ -187,8 +185,8 @@
 	}
 }
 
-// No request may go to a target that is leaving, has failed it, is dead, is
-// loading, lacks weights, or serves too old ones.
+// Guards against sending a request to a target that is leaving, has failed it, is dead
+// or loading, has no weights, or serves too old ones.
 func TestUnusableTargets(t *testing.T) {
 	alive := Report{Alive: true, Serving: 1, Pace: 1}
 	tests := []struct {
@@ -207,7 +205,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			f := testFacts(modelEngine, 16, "a")
+			f := testFacts(usualEngine, 16, "a")
 			if tc.target != nil {
 				tc.target(&f.Targets[0])
 			}
@@ -228,32 +226,33 @@
 	}
 }
 
-// Requests arrive after their callers have gone when a machine's link is
-// choked; its side is not heard of then. While a new version is named nothing
-// is sent there, and otherwise less.
-func TestSilentSideGetsLess(t *testing.T) {
-	f := testFacts(modelEngine, 16, "a", "b")
+// Guards against sending requests to a machine whose link is congested, where they
+// arrive after their callers have gone. The reports of its side stop then. It gets
+// fewer requests, and none if it serves an older version than the newest.
+func TestTargetWithoutReportsGetsLess(t *testing.T) {
+	f := testFacts(usualEngine, 16, "a", "b")
 	p := testPlacer(f)
 	p.Report(start, "a", Report{Alive: true, Serving: 1, Pace: 1})
-	now := start.Add(reportAge + time.Millisecond)
+	now := start.Add(maxReportAge + time.Millisecond)
 	p.Report(now, "b", Report{Alive: true, Serving: 1, Pace: 1})
 	w := testWork("1")
 	w.Asked = now
 	if got := p.Offer(now, w)[0].Target.ID; got != "b" {
 		t.Errorf("placed at %s, whose side is silent", got)
 	}
-	p.Update(now, testFacts(modelEngine, 16, "a"))
+	p.Update(now, testFacts(usualEngine, 16, "a"))
 	w.ID, w.Newest = "2", 2
 	if got := p.Offer(now, w); len(got) > 0 && got[0].Decision == Placed {
 		t.Error("placed at a target of the old version whose side is silent")
 	}
 }
 
-// Three entries hear that a target has become free and fill it at the same
-// moment; its prompts then take seconds to read. Each reckons with the others.
-func TestEntriesDoNotFillTogether(t *testing.T) {
+// Guards against entries that all fill a target at the moment when a report shows it
+// free; its prompts would take seconds to read. Each entry takes the others into
+// account.
+func TestEntriesDoNotOverfillTargetTogether(t *testing.T) {
 	const entries = 3
-	f := testFacts(modelEngine, 16, "a")
+	f := testFacts(usualEngine, 16, "a")
 	placed := 0
 	for e := range entries {
 		p := testPlacer(f)
@@ -274,23 +273,23 @@
 	}
 }
 
-// The load of a burst on the model of the users' engines. Callers get more than
-// by counting requests, at loads below and above what the engines carry, and
-// those with large prompts are not left out.
-func TestLoadBeatsCounting(t *testing.T) {
+// Guards against being worse than counting requests in a simulated burst, at loads
+// below and above what the engines can serve, and against leaving out callers with
+// large prompts.
+func TestPlacerBeatsFewestRequests(t *testing.T) {
 	for _, perSecond := range []float64{80, 110, 140, 180} {
-		best, limit := outcomes{owed: 1}, 0
+		best, limit := outcomes{maxCredit: 1}, 0
 		for _, n := range []int{3, 4, 5, 6} {
-			got := usualLoad(12, 3, perSecond, 15*time.Second).play(func(_ int, f *facts.Facts) policyOf { return newCounting(f, n) })
-			if got.share() > best.share() {
+			got := usualScenario(12, 3, perSecond, 15*time.Second).simulate(func(_ int, f *facts.Facts) policy { return newFewestRequests(f, n) })
+			if got.creditShare() > best.creditShare() {
 				best, limit = got, n
 			}
 		}
-		got := usualLoad(12, 3, perSecond, 15*time.Second).play(newModelPlacer)
+		got := usualScenario(12, 3, perSecond, 15*time.Second).simulate(newSimPlacer)
 		t.Logf("%3.0f/s: credit %.3f (on time %d, late %d, refused %d of %d); best count, %d a target: %.3f",
-			perSecond, got.share(), got.onTime, got.late, got.refused, got.asked, limit, best.share())
-		if got.share() < best.share() {
-			t.Errorf("%.0f/s: credit %.3f, by counting %.3f", perSecond, got.share(), best.share())
+			perSecond, got.creditShare(), got.onTime, got.late, got.refused, got.asked, limit, best.creditShare())
+		if got.creditShare() < best.creditShare() {
+			t.Errorf("%.0f/s: credit %.3f, by counting %.3f", perSecond, got.creditShare(), best.creditShare())
 		}
 		served := float64(got.onTime+got.late) / float64(got.asked)
 		if large := float64(got.largeServed) / float64(got.largeAsked); large < served/2 {
@@ -302,16 +301,17 @@
 func BenchmarkLoad(b *testing.B) {
 	var got outcomes
 	for b.Loop() {
-		got = usualLoad(12, 3, 140, 15*time.Second).play(newModelPlacer)
+		got = usualScenario(12, 3, 140, 15*time.Second).simulate(newSimPlacer)
 	}
-	b.ReportMetric(got.share(), "credit")
+	b.ReportMetric(got.creditShare(), "credit")
 	b.ReportMetric(float64(got.onTime)/float64(got.asked), "onTime")
 }
 
-// A machine lost power and its engine has started anew at the same address. The
-// list still shows the former one, and the report of the new one must not make it
-// look as if it served: requests to it are turned away.
-func TestReportOfAnotherStart(t *testing.T) {
+// Guards against using the report of another start of an engine. A machine lost power
+// and its engine has started again at the same address, while the list still shows the
+// former one. Its report must not make the former one look ready, since it would reject
+// the requests.
+func TestReportOfAnotherEngineStart(t *testing.T) {
 	former, present := start.Add(-time.Minute), start.Add(-time.Second)
 	tests := []struct {
 		name   string
@@ -325,7 +325,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			f := testFacts(modelEngine, 16, "a")
+			f := testFacts(usualEngine, 16, "a")
 			f.Targets[0].Born = tc.listed
 			p := testPlacer(f)
 			p.Report(start, "a", Report{Alive: true, Serving: 1, Born: present})
@@ -336,18 +336,18 @@
 	}
 }
 
-// More entries share more engines, as on a site that has grown. Each sees only its
-// own requests at once, and the more there are the more it has to guess: callers
-// with large prompts must still be on time while the engines have room.
+// Guards against late answers when more entries share more engines. Each entry sees
+// only its own requests at once and must estimate those of the others. Callers with
+// large prompts must still be on time while the engines have room.
 func TestManyEntriesShareEngines(t *testing.T) {
 	for _, perEngine := range []float64{5, 7, 9} {
 		const engines, entries = 45, 12
-		got := usualLoad(engines, entries, perEngine*engines, 10*time.Second).play(newModelPlacer)
+		got := usualScenario(engines, entries, perEngine*engines, 10*time.Second).simulate(newSimPlacer)
 		large := float64(got.largeOnTime) / float64(got.largeAsked)
 		t.Logf("%2.0f/s an engine: credit %.3f (on time %d, late %d, refused %d of %d), large on time %.3f",
-			perEngine, got.share(), got.onTime, got.late, got.refused, got.asked, large)
-		if got.share() < 0.98 || large < 0.93 {
-			t.Errorf("%.0f/s an engine: credit %.3f, large on time %.3f, want 0.98 and 0.93", perEngine, got.share(), large)
+			perEngine, got.creditShare(), got.onTime, got.late, got.refused, got.asked, large)
+		if got.creditShare() < 0.98 || large < 0.93 {
+			t.Errorf("%.0f/s an engine: credit %.3f, large on time %.3f, want 0.98 and 0.93", perEngine, got.creditShare(), large)
 		}
 	}
 }
--- a/core/request/place/queue.go
+++ b/core/request/place/queue.go
@@ -5,55 +5,57 @@
 	"time"
 )
 
-// wait is a request that waits for a target.
-type wait struct {
+// waitingRequest is a request that waits for a target.
+type waitingRequest struct {
 	work  Work
 	since time.Time
 }
 
-func (p *Placer) settle(now time.Time) []Verdict {
+func (p *Placer) decideAll(now time.Time) []Verdict {
 	var out []Verdict
 	for _, s := range p.services {
-		out = append(out, p.settleService(now, s)...)
+		out = append(out, p.decideService(now, s)...)
 	}
 	return out
 }
 
-// settleService places what waits, and refuses what has no hope left.
-func (p *Placer) settleService(now time.Time, s *service) []Verdict {
-	return s.decideWaiting(now, func(q *wait, mayPlace bool) (Verdict, bool) {
+// decideService places waiting requests of a service and refuses those for which
+// waiting is pointless.
+func (p *Placer) decideService(now time.Time, s *service) []Verdict {
+	return s.decideWaiting(now, func(q *waitingRequest, mayPlace bool) (Verdict, bool) {
 		if mayPlace {
-			if v, ok := p.try(now, s, q); ok {
+			if v, ok := p.tryPlace(now, s, q); ok {
 				return v, true
 			}
 		}
-		return p.hopeless(now, s, q)
+		return p.refuseHopeless(now, s, q)
 	})
 }
 
-// fill places what waits at a target that may have come to have room. The other
-// targets have had none when they changed last; what time alone brings is for Tick.
-// A target that is gone still ends what runs there, and gets nothing more.
-func (p *Placer) fill(now time.Time, s *service, t *target) []Verdict {
-	if !t.kept || t.load(now) >= s.places(t)+plainQueue {
+// placeAt places waiting requests at a target that may have gained room. The other
+// targets had no room at their own last change; requests that fit merely because time
+// has passed are left to Tick. A target that was removed from the list still ends its
+// requests but gets no new ones.
+func (p *Placer) placeAt(now time.Time, s *service, t *target) []Verdict {
+	if !t.inSubset || t.load(now) >= s.maxRequests(t)+plainQueueLength {
 		return nil
 	}
-	return s.decideWaiting(now, func(q *wait, mayPlace bool) (Verdict, bool) {
+	return s.decideWaiting(now, func(q *waitingRequest, mayPlace bool) (Verdict, bool) {
 		if !mayPlace {
 			return Verdict{}, false
 		}
-		return p.tryAt(now, s, q, t)
+		return p.tryPlaceAt(now, s, q, t)
 	})
 }
 
-// decideWaiting asks for a decision on each request that waits, the most pressing
-// first, and keeps those that have none. Once one that is left out waits on, only
-// begun answers may be placed before it.
-func (s *service) decideWaiting(now time.Time, decide func(q *wait, mayPlace bool) (Verdict, bool)) []Verdict {
+// decideWaiting calls decide for each waiting request, the most urgent first, and keeps
+// those without a decision. Once an underserved request stays in the queue, only
+// interrupted answers may be placed after it.
+func (s *service) decideWaiting(now time.Time, decide func(q *waitingRequest, mayPlace bool) (Verdict, bool)) []Verdict {
 	if len(s.waiting) == 0 {
 		return nil
 	}
-	s.sort(now)
+	s.sortByUrgency(now)
 	var out []Verdict
 	kept := s.waiting[:0]
 	held := false
@@ -62,25 +64,25 @@
 			out = append(out, v)
 			continue
 		}
-		held = held || s.holdsBack(&q.work)
+		held = held || s.holdsBackOthers(&q.work)
 		kept = append(kept, q)
 	}
 	s.waiting = kept
 	return out
 }
 
-// sort puts the most pressing first: begun answers, then what can still be on
-// time, then by priority, then by the latest time at which the work can be placed
-// and be on time.
-func (s *service) sort(now time.Time) {
-	slices.SortStableFunc(s.waiting, func(a, b *wait) int {
+// sortByUrgency sorts interrupted answers first, then requests that can still be on
+// time, then by priority, then by the latest time at which a request can be placed and
+// be on time.
+func (s *service) sortByUrgency(now time.Time) {
+	slices.SortStableFunc(s.waiting, func(a, b *waitingRequest) int {
 		if a.work.Begun != b.work.Begun {
 			if a.work.Begun {
 				return -1
 			}
 			return 1
 		}
-		if late := a.work.returned(now); late != b.work.returned(now) {
+		if late := a.work.objectivePassed(now); late != b.work.objectivePassed(now) {
 			if late {
 				return 1
 			}
@@ -89,12 +91,13 @@
 		if a.work.Priority != b.work.Priority {
 			return a.work.Priority - b.work.Priority
 		}
-		return s.latest(&a.work).Compare(s.latest(&b.work))
+		return s.latestPlacement(&a.work).Compare(s.latestPlacement(&b.work))
 	})
 }
 
-// latest is when a request must be placed to be answered on time.
-func (s *service) latest(w *Work) time.Time {
+// latestPlacement is the latest time at which a request can be placed for its prompt to
+// be read by its objective.
+func (s *service) latestPlacement(w *Work) time.Time {
 	at := w.Asked.Add(w.Objective)
 	if s.engine != nil {
 		at = at.Add(-time.Duration(float64(w.Prompt) / s.engine.ReadRate * float64(time.Second)))
--- a/core/request/place/refuse.go
+++ b/core/request/place/refuse.go
@@ -5,107 +5,108 @@
 	"time"
 )
 
-// late reports whether a first answer after expected comes too late.
-func (s *service) late(now time.Time, w *Work, expected time.Duration) bool {
+// isLate reports whether a first answer after the expected time comes too late.
+func (s *service) isLate(now time.Time, w *Work, expected time.Duration) bool {
 	if w.Objective <= 0 {
 		return false
 	}
-	return now.Add(expected).Sub(w.Asked) > s.allowed(now, w)
+	return now.Add(expected).Sub(w.Asked) > s.allowedTime(now, w)
 }
 
-// allowed is the time that a first answer may take. Work that no engine could
-// answer on time, or only one that is idle, such as the longest prompts at slow
-// engines, is served as soon as one can: held to its objective, the largest requests
-// would hardly ever be served.
-func (s *service) allowed(now time.Time, w *Work) time.Duration {
-	usual := time.Duration(onTime * float64(w.Objective))
+// allowedTime is the longest time that a first answer may take. A request that no
+// engine, or only an idle one, could answer on time, such as the longest prompts at
+// slow engines, gets its shortest possible time plus an allowance. If it were held to
+// its objective, the largest requests would hardly ever be served.
+// An underserved request gets the allowance on top of its usual time.
+func (s *service) allowedTime(now time.Time, w *Work) time.Duration {
+	usual := time.Duration(onTimeShare * float64(w.Objective))
 	if s.engine == nil {
 		return usual
 	}
-	// What passes were seen to take is left out: it grows with the load, and more
-	// work would be let in late the more there is.
-	least, over := s.leastTime(now, w), time.Duration(overTime*float64(w.Objective))
+	// The measured pass factor is left out: it grows with the load, so that a higher
+	// load would let in more late requests.
+	least, over := s.minFirstAnswer(now, w), time.Duration(lateAllowance*float64(w.Objective))
 	if float64(least) > tightShare*float64(usual) {
 		return least + over
 	}
-	if s.behind(w) {
+	if s.underserved(w) {
 		return usual + over
 	}
 	return usual
 }
 
-// returned reports whether the objective has passed already: the caller was
-// refused before and has come back.
-func (w *Work) returned(now time.Time) bool {
+// objectivePassed reports whether the objective has passed already, as for a caller
+// that was refused before and has come back.
+func (w *Work) objectivePassed(now time.Time) bool {
 	return w.Objective > 0 && now.Sub(w.Asked) > w.Objective
 }
 
-// retryAfter is what its caller is told to wait. One that is told to come back after
-// its deadline never does.
+// retryAfter returns the Retry-After for the caller. A caller that is told to come back
+// after its deadline never does.
 func (w *Work) retryAfter() time.Duration {
 	whole := w.Deadline.Sub(w.Asked)
-	return min(mostRetryAfter, time.Duration(retryShare*float64(whole)))
+	return min(maxRetryAfter, time.Duration(retryAfterShare*float64(whole)))
 }
 
-// hopeless refuses a request that waiting does not help.
-func (p *Placer) hopeless(now time.Time, s *service, q *wait) (Verdict, bool) {
+// refuseHopeless refuses a request that cannot be served by waiting.
+func (p *Placer) refuseHopeless(now time.Time, s *service, q *waitingRequest) (Verdict, bool) {
 	w := &q.work
-	reason, ok := p.hope(now, s, q)
+	reason, ok := p.worthWaiting(now, s, q)
 	if ok {
 		return Verdict{}, false
 	}
-	s.noteChance(w, false)
+	s.recordPlacement(w, false)
 	v := Verdict{
 		ID: w.ID, Decision: Refused, Reason: reason,
 		RetryAfter: w.retryAfter(), Waited: now.Sub(q.since), Candidates: s.candidates(now, w),
 	}
 	if reason == ReasonLate {
-		v.Expected = s.leastTime(now, w)
+		v.Expected = s.minFirstAnswer(now, w)
 	}
 	return v, true
 }
 
-// hope reports whether the request may still be served by waiting, and why
-// not.
-func (p *Placer) hope(now time.Time, s *service, q *wait) (Reason, bool) {
+// worthWaiting reports whether waiting may still get the request served. If not, the
+// reason says why.
+func (p *Placer) worthWaiting(now time.Time, s *service, q *waitingRequest) (Reason, bool) {
 	w := &q.work
 	if w.Begun {
-		// What its caller has would be lost; it waits for as long as it may.
+		// A refusal would lose the part that the caller has, so wait until the
+		// deadline.
 		return ReasonFull, now.Before(w.Deadline)
 	}
-	if !anyUsable(now, s, w) {
+	if !anyMayServe(now, s, w) {
 		return ReasonNoTarget, false
 	}
 	if s.engine == nil {
 		return ReasonFull, now.Sub(q.since) < w.Objective/2
 	}
-	if w.returned(now) {
+	if w.objectivePassed(now) {
 		return ReasonLateFull, false
 	}
-	least := s.leastTime(now, w)
-	if s.late(now, w, least) {
+	least := s.minFirstAnswer(now, w)
+	if s.isLate(now, w, least) {
 		return ReasonLate, false
 	}
 	return "", true
 }
 
-// leastTime is the time to the first answer at an engine with a single place
-// left.
-func (s *service) leastTime(now time.Time, w *Work) time.Duration {
+// minFirstAnswer is the estimated time to the first answer at an engine with a single
+// slot left.
+func (s *service) minFirstAnswer(now time.Time, w *Work) time.Duration {
 	read := time.Duration(float64(w.Prompt) / s.engine.ReadRate * float64(time.Second))
 	pass := passTime(s.engine, s.engine.Slots)
-	return hop + s.leastWay(now, w) + pass + pass/2 + read
+	return baseRoundTrip + s.minExtraRoundTrip(now, w) + pass + pass/2 + read
 }
 
-// anyUsable reports whether some target may run the work now or once it has
-// room.
-func anyUsable(now time.Time, s *service, w *Work) bool {
+// anyMayServe reports whether some target may run the request now or once it has room.
+func anyMayServe(now time.Time, s *service, w *Work) bool {
 	return slices.ContainsFunc(s.all, func(t *target) bool {
 		return s.mayServe(now, t, w)
 	})
 }
 
-// mayServe reports whether a target may run the work now or once it has room.
+// mayServe reports whether a target may run the request now or once it has room.
 func (s *service) mayServe(now time.Time, t *target, w *Work) bool {
 	if t.Leaving || slices.Contains(w.Avoid, t.ID) {
 		return false
@@ -113,6 +114,6 @@
 	if s.engine == nil {
 		return true
 	}
-	v := t.serves(now, s.engine.Model)
+	v := t.servedVersion(now, s.engine.Model)
 	return v > 0 && w.mayBegin(v, now)
 }
--- /dev/null
+++ b/core/request/place/relocate.go
@@ -0,0 +1,53 @@
+package place
+
+import (
+	"slices"
+	"time"
+)
+
+// fewRequestsShare is the share of an engine's slots up to which its remaining requests
+// count as few.
+const fewRequestsShare = 0.2
+
+// FewLeft reports whether a target that waits to load a version has few requests left.
+// Its other slots stay empty until the last of them has ended. Moving them to another
+// target costs only one prompt to read for each.
+func (p *Placer) FewLeft(target string, r Report) bool {
+	t, ok := p.targets[target]
+	if !ok || !r.Alive || !r.Busy || r.Active == 0 {
+		return false
+	}
+	return float64(r.Active) <= fewRequestsShare*float64(slotsOf(t.Target))
+}
+
+// relocateLoadShare is the share of a target's slots that may be in use for it to
+// receive a moved answer.
+const relocateLoadShare = 0.5
+
+// Relocate places an answer under way that could also end where it is. It only chooses
+// a target that serves the newest version, is at most half full and is expected to go
+// on within the given time, and only while no request waits. The request counts at its
+// new target at once, so that answers that leave a target together do not overfill
+// another.
+func (p *Placer) Relocate(now time.Time, w Work, within time.Duration) (Verdict, bool) {
+	p.initMaps()
+	s := p.service(w.Service)
+	if len(s.waiting) > 0 {
+		return Verdict{}, false
+	}
+	open := s.openTo(now, &w, func(t *target) bool {
+		return !s.outdated(now, t, &w) && float64(t.load(now)) <= relocateLoadShare*float64(slotsOf(t.Target))
+	})
+	o, ok := p.drawCheapest(slices.DeleteFunc(open, func(o option) bool { return o.expected > within }))
+	if !ok {
+		return Verdict{}, false
+	}
+	return p.assign(now, s, &waitingRequest{work: w, since: now}, o), true
+}
+
+// Replace places an answer under way whose target has gone silent at any other target
+// that has room now.
+func (p *Placer) Replace(now time.Time, w Work) (Verdict, bool) {
+	p.initMaps()
+	return p.tryPlace(now, p.service(w.Service), &waitingRequest{work: w, since: now})
+}
--- a/core/request/place/move_test.go
+++ b/core/request/place/relocate_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			p := testPlacer(testFacts(modelEngine, 16, "a"))
+			p := testPlacer(testFacts(usualEngine, 16, "a"))
 			if diff := cmp.Diff(tc.want, p.FewLeft("a", tc.report)); diff != "" {
 				t.Errorf("few left (-want +got):\n%s", diff)
 			}
@@ -29,21 +29,21 @@
 	}
 }
 
-// leaving is an answer under way at target a, which goes on elsewhere.
-func leaving(id string, newest uint64) Work {
+// interruptedWork is an answer under way at target a that is to go on elsewhere.
+func interruptedWork(id string, newest uint64) Work {
 	w := testWork(id)
 	w.Prompt, w.Begun, w.Newest, w.Avoid = 10, true, newest, []string{"a"}
 	return w
 }
 
-// Guards against streams that leave a target together for the same place, and against
-// one that leaves while every other place is taken.
-func TestStreamMovesToAFreePlaceOnly(t *testing.T) {
-	p := testPlacer(testFacts(modelEngine, 2, "a", "b"))
+// Guards against streams that leave a target together for the same slot, and against
+// one that leaves while every other slot is taken.
+func TestStreamMovesToFreeSlotOnly(t *testing.T) {
+	p := testPlacer(testFacts(usualEngine, 2, "a", "b"))
 	p.Report(start, "a", Report{Alive: true, Busy: true, Active: 1, Serving: 1})
 	var got []bool
 	for i := range 3 {
-		_, ok := p.Relocate(start, leaving(fmt.Sprint(i), 1), mostExpected)
+		_, ok := p.Relocate(start, interruptedWork(fmt.Sprint(i), 1), maxResumeDelay)
 		got = append(got, ok)
 	}
 	if diff := cmp.Diff([]bool{true, true, false}, got); diff != "" {
@@ -51,9 +51,9 @@
 	}
 }
 
-// Guards against a stream that is taken from its target and lost in the middle: the
-// target that it goes on at is full by then, or others wait for it.
-func TestStreamMovesToClearRoomOnly(t *testing.T) {
+// Guards against a stream that is taken from its target and lost, because the new
+// target is full by then or other requests wait for it.
+func TestStreamMovesToLightlyLoadedTargetOnly(t *testing.T) {
 	const slots = 8
 	tests := []struct {
 		name    string
@@ -67,14 +67,14 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			p := testPlacer(testFacts(modelEngine, slots, "a", "b"))
+			p := testPlacer(testFacts(usualEngine, slots, "a", "b"))
 			p.Report(start, "a", Report{Alive: true, Busy: true, Active: 1, Serving: 1})
 			p.Report(start, "b", Report{Alive: true, Serving: 1, Active: slots})
 			if tc.waiting && len(p.Offer(start, testWork("1"))) > 0 {
 				t.Fatal("the request does not wait")
 			}
-			p.targets["b"].others = tc.active
-			_, ok := p.Relocate(start, leaving("2", 1), mostExpected)
+			p.targets["b"].otherRequests = tc.active
+			_, ok := p.Relocate(start, interruptedWork("2", 1), maxResumeDelay)
 			if diff := cmp.Diff(tc.want, ok); diff != "" {
 				t.Errorf("moved (-want +got):\n%s", diff)
 			}
@@ -82,14 +82,14 @@
 	}
 }
 
-// Guards against a stream that goes on at an engine which is about to load and turns it
-// away: it is neither moved there, nor sent there while another one can take it.
-func TestBegunAnswerGoesWhereNoLoadIsDue(t *testing.T) {
-	p := testPlacer(testFacts(modelEngine, 8, "a", "b", "c"))
+// Guards against resuming a stream at an engine that is about to load and rejects it:
+// Relocate does not choose it, and Offer does not while another one has room.
+func TestBegunAnswerAvoidsEngineDueToLoad(t *testing.T) {
+	p := testPlacer(testFacts(usualEngine, 8, "a", "b", "c"))
 	p.Report(start, "a", Report{Alive: true, Busy: true, Active: 1, Serving: 1})
 	p.Report(start, "b", Report{Alive: true, Serving: 1})
 	p.Report(start, "c", Report{Alive: true, Serving: 2, Active: 6})
-	_, ok := p.Relocate(start, leaving("2", 2), mostExpected)
+	_, ok := p.Relocate(start, interruptedWork("2", 2), maxResumeDelay)
 	if diff := cmp.Diff(false, ok); diff != "" {
 		t.Errorf("moved with only the old version idle (-want +got):\n%s", diff)
 	}
--- a/core/request/place/way_test.go
+++ b/core/request/place/roundtrip_test.go
@@ -7,15 +7,16 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// farRoundTrip is that between two continents.
+// farRoundTrip is a round trip between two continents.
 const farRoundTrip = 180 * time.Millisecond
 
-// A third of the engines are a round trip of 180 ms away. The placer counted that
-// as 50 ms at most, and sent work there as soon as a near engine was busy for as
-// long: it was late by the way alone, where the near engine would have answered on
-// time. The surplus was learnt as slowness of all engines, the near ones too, so
-// that these seemed to be late as well and refused what they could have served.
-func TestTheWayCountsInTheChoice(t *testing.T) {
+// Guards against underestimating a long round trip. A third of the engines were 180 ms
+// away, which the placer counted as 50 ms at most. It sent requests there as soon as a
+// near engine was busy for that long; they were late because of the network alone,
+// while the near engine would have answered on time. The difference was learnt as
+// slowness of all engines, so that near ones refused requests that they could have
+// served.
+func TestRoundTripCountsInChoice(t *testing.T) {
 	tests := []struct {
 		name      string
 		roundTrip time.Duration
@@ -26,7 +27,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			f := testFacts(modelEngine, 16, "near", "far")
+			f := testFacts(usualEngine, 16, "near", "far")
 			f.Targets[1].Zone = "z1"
 			p := testPlacer(f)
 			p.Way("z0", time.Millisecond)
@@ -41,11 +42,11 @@
 	}
 }
 
-// All engines are a round trip of 180 ms away, and no answer can be on time. What
-// they serve is late but served, the way is not learnt as slowness of the engines,
-// and a caller that has come back is not refused for the way.
+// Guards against refusals when all engines are a round trip of 180 ms away and no
+// answer can be on time. Requests are still served, the round trip is not learnt as
+// slowness of the engines, and a caller that comes back is not refused because of it.
 func TestFarEnginesServe(t *testing.T) {
-	f := testFacts(modelEngine, 16, "far")
+	f := testFacts(usualEngine, 16, "far")
 	f.Targets[0].Zone = "z1"
 	p := testPlacer(f)
 	p.Way("z1", farRoundTrip)
@@ -60,8 +61,8 @@
 		p.Began(now, id)
 		p.Done(now, id, ResultDone)
 	}
-	if got := p.service("svc").stretch.value; got > 1.1 {
-		t.Errorf("passes are taken to be %.2f times as long as worked out", got)
+	if got := p.service("svc").passFactor.value; got > 1.1 {
+		t.Errorf("pass factor is %.2f, want at most 1.1", got)
 	}
 	back := testWork("back")
 	back.Asked = now.Add(-2 * time.Second)
--- a/core/request/place/model_test.go
+++ b/core/request/place/simulation_test.go
@@ -12,47 +12,45 @@
 	"hawthornferry/core/request/table"
 )
 
-// The load and the engines of the model, as large as a day of the users: their
-// engines' declared speeds, three zones, prompts and answers that vary as
-// theirs do.
+// The simulated engines and network, like a large day of the users: declared engine
+// speeds, three zones, and prompts and answers that vary as theirs do.
 const (
-	modelStep     = time.Millisecond
-	modelSlots    = 16
-	modelStride   = 5
-	modelChunk    = 2048
-	modelReadRate = 20700.0
-	// slowSlots and slowReadRate are those of the slower engines of a large
-	// deployment.
-	slowSlots     = 8
-	slowReadRate  = 13800.0
-	reportEvery   = 50 * time.Millisecond
-	networkWay    = 3 * time.Millisecond
-	modelDeadline = 6 * time.Second
-	// modelObjective is when a first event is due.
-	modelObjective = 450 * time.Millisecond
-	// modelLoad is how long an empty engine takes to load.
-	modelLoad   = 300 * time.Millisecond
-	modelWindow = 2 * time.Second
-	// backInVain is what a caller loses, in answers, that comes back as it was
-	// told and is refused again.
-	backInVain = 0.3
+	simStep      = time.Millisecond
+	simSlots     = 16
+	simStride    = 5
+	simReadChunk = 2048
+	simReadRate  = 20700.0
+	// slowSlots and slowReadRate are those of the slower engines of a large deployment.
+	slowSlots      = 8
+	slowReadRate   = 13800.0
+	reportEvery    = 50 * time.Millisecond
+	networkLatency = 3 * time.Millisecond
+	simDeadline    = 6 * time.Second
+	// simObjective is when a first event is due.
+	simObjective = 450 * time.Millisecond
+	// simLoadTime is how long an empty engine takes to load a version.
+	simLoadTime = 300 * time.Millisecond
+	simWindow   = 2 * time.Second
+	// secondRefusalCost is deducted, as a share of the answer, for a caller that comes
+	// back when it was told to and is refused again.
+	secondRefusalCost = 0.3
 )
 
-var modelEngine = &table.Engine{
-	Model: "m", Slots: modelSlots, Stride: modelStride, Step: 9270 * time.Microsecond,
+var usualEngine = &table.Engine{
+	Model: "m", Slots: simSlots, Stride: simStride, Step: 9270 * time.Microsecond,
 	PerSequence: 23 * time.Microsecond, PerContext: 32 * time.Microsecond,
-	ReadRate: modelReadRate, UsualPrompt: 979, UsualAnswer: 92,
+	ReadRate: simReadRate, UsualPrompt: 979, UsualAnswer: 92,
 }
 
-// slowEngine is of a large deployment: an idle one needs most of an objective for
-// its largest prompts.
+// slowEngine is an engine of a large deployment. An idle one needs most of an objective
+// for its largest prompts.
 var slowEngine = &table.Engine{
-	Model: "m", Slots: slowSlots, Stride: modelStride, Step: 13900 * time.Microsecond,
+	Model: "m", Slots: slowSlots, Stride: simStride, Step: 13900 * time.Microsecond,
 	PerSequence: 35 * time.Microsecond, PerContext: 48 * time.Microsecond,
 	ReadRate: slowReadRate, UsualPrompt: 979, UsualAnswer: 70,
 }
 
-// job is one request of the model.
+// job is one simulated request.
 type job struct {
 	id        string
 	entry     int
@@ -66,7 +64,7 @@
 	written   int
 }
 
-// engineSim is one engine: it reads prompts between the passes in which it
+// engineSim simulates one engine. It reads prompts between the passes in which it
 // writes an event for each request whose prompt is read.
 type engineSim struct {
 	*table.Engine
@@ -76,20 +74,21 @@
 	active  []*job
 	queue   []*job
 	passEnd time.Duration
-	// loadAt is when it is ordered to load a version, 0 for never, and loadEnd
-	// when it has, 0 until what runs has ended.
+	// loadAt is when it is ordered to load a version, 0 for never. loadEnd is when the
+	// load ends, 0 until all active requests have ended.
 	loadAt  time.Duration
 	loadEnd time.Duration
 }
 
-// busy reports whether the engine takes nothing new since it is to load.
+// busy reports whether the engine starts no requests because it waits to load or loads
+// a version.
 func (e *engineSim) busy(now time.Duration) bool {
 	return e.loadAt > 0 && now >= e.loadAt && (e.loadEnd == 0 || now < e.loadEnd)
 }
 
 func (e *engineSim) step(now time.Duration, begun, done func(j *job)) {
 	if e.busy(now) && len(e.active) == 0 && e.loadEnd == 0 {
-		e.loadEnd = now + modelLoad
+		e.loadEnd = now + simLoadTime
 	}
 	for !e.busy(now) && len(e.active) < e.Slots && len(e.queue) > 0 {
 		e.active = append(e.active, e.queue[0])
@@ -104,7 +103,7 @@
 			continue
 		}
 		writers++
-		j.written += modelStride
+		j.written += simStride
 		if j.first == 0 {
 			j.first = now
 			begun(j)
@@ -116,7 +115,7 @@
 	}
 	read := 0
 	for _, j := range e.active {
-		n := min(j.unread, modelStride*modelChunk-read)
+		n := min(j.unread, simStride*simReadChunk-read)
 		j.unread -= n
 		read += n
 	}
@@ -124,26 +123,28 @@
 	if writers > 0 || read > 0 {
 		pass += passTime(e.Engine, max(writers, 1))
 	}
-	e.passEnd = now + max(pass, modelStep)
+	e.passEnd = now + max(pass, simStep)
 }
 
-// topPrompt is the prompt above which a tenth of the model's lie.
-const topPrompt = 2000
+// largePrompt is the prompt length that a tenth of the simulated prompts exceed.
+const largePrompt = 2000
 
-// outcomes is what the callers of a run got, weighed by size.
+// outcomes sums up what the callers of a run got. credit is weighted by the size of
+// requests, maxCredit is that of a run with all of them on time.
 type outcomes struct {
 	asked, onTime, late, refused int
-	credit, owed                 float64
+	credit, maxCredit            float64
 	largeAsked, largeServed      int
 	largeOnTime                  int
-	// windows count the requests asked in each window, and those on time.
+	// windows counts, by time window, the requests asked in it and how many of them
+	// were on time.
 	windows []window
 }
 
 type window struct{ asked, onTime int }
 
-// worst is the least share on time of any window.
-func (o outcomes) worst() float64 {
+// worstWindow is the lowest share on time of any window.
+func (o outcomes) worstWindow() float64 {
 	least := 1.0
 	for _, w := range o.windows {
 		if w.asked > 0 {
@@ -155,17 +156,17 @@
 
 // window returns the counts of the window in which a request is asked.
 func (o *outcomes) window(asked time.Duration) *window {
-	i := int(asked / modelWindow)
+	i := int(asked / simWindow)
 	for len(o.windows) <= i {
 		o.windows = append(o.windows, window{})
 	}
 	return &o.windows[i]
 }
 
-func (o outcomes) share() float64 { return o.credit / o.owed }
+func (o outcomes) creditShare() float64 { return o.credit / o.maxCredit }
 
-// policyOf decides for one entry of the model; Placer is the one under test.
-type policyOf interface {
+// policy places the requests of one simulated entry. Placer is the one under test.
+type policy interface {
 	Offer(now time.Time, w Work) []Verdict
 	Began(now time.Time, id string) []Verdict
 	Done(now time.Time, id string, r Result) []Verdict
@@ -173,34 +174,34 @@
 	Tick(now time.Time) []Verdict
 }
 
-var modelStart = time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)
+var simStart = time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)
 
-// modelZones are the zones of the model; engines and entries lie in them by turns.
-var modelZones = []string{"z0", "z1", "z2"}
+// simZones are the simulated zones, to which engines and entries are assigned in turn.
+var simZones = []string{"z0", "z1", "z2"}
 
-// load is what callers ask of engines that entries share: perSecond requests a second
-// for a length of time. Loads are when the engines, in order, are ordered to load a
+// scenario is a load of perSecond requests a second, for a length of time, on engines
+// that all entries share. loadTimes holds when each engine, in order, is to load a
 // version.
-type load struct {
+type scenario struct {
 	engine    *table.Engine
 	objective time.Duration
 	engines   int
 	entries   int
 	perSecond float64
 	length    time.Duration
-	loads     []time.Duration
+	loadTimes []time.Duration
 }
 
-// usualLoad is one on the model's usual engines.
-func usualLoad(engines, entries int, perSecond float64, length time.Duration) load {
-	return load{
-		engine: modelEngine, objective: modelObjective, engines: engines, entries: entries,
+// usualScenario returns a scenario with usualEngine and simObjective.
+func usualScenario(engines, entries int, perSecond float64, length time.Duration) scenario {
+	return scenario{
+		engine: usualEngine, objective: simObjective, engines: engines, entries: entries,
 		perSecond: perSecond, length: length,
 	}
 }
 
-// play plays the load, with a policy of its own at each entry.
-func (l load) play(make func(entry int, f *facts.Facts) policyOf) outcomes {
+// simulate runs the scenario with a separate policy at each entry.
+func (l scenario) simulate(make func(entry int, f *facts.Facts) policy) outcomes {
 	rng := rand.New(rand.NewPCG(1, 2))
 	t := &table.Table{Services: []table.Service{{Name: "svc", Engine: l.engine}}}
 	t.Index()
@@ -208,9 +209,9 @@
 	var sims []*engineSim
 	byID := map[string]*engineSim{}
 	for i := range l.engines {
-		e := &engineSim{Engine: l.engine, id: "i" + strconv.Itoa(i), zone: modelZones[i%len(modelZones)]}
-		if i < len(l.loads) {
-			e.loadAt = l.loads[i]
+		e := &engineSim{Engine: l.engine, id: "i" + strconv.Itoa(i), zone: simZones[i%len(simZones)]}
+		if i < len(l.loadTimes) {
+			e.loadAt = l.loadTimes[i]
 		}
 		sims = append(sims, e)
 		byID[e.id] = e
@@ -219,7 +220,7 @@
 			Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80),
 		})
 	}
-	var policies []policyOf
+	var policies []policy
 	for i := range l.entries {
 		policies = append(policies, make(i, f))
 	}
@@ -231,25 +232,25 @@
 	}
 	var timers []later
 	after := func(at time.Duration, do func(now time.Duration)) { timers = append(timers, later{at, do}) }
-	size := func(j *job) float64 { return 0.3 + 0.7*float64(j.prompt+10*j.answer)/1900 }
+	weight := func(j *job) float64 { return 0.3 + 0.7*float64(j.prompt+10*j.answer)/1900 }
 	var deliver func(now time.Duration, vs []Verdict)
 	offer := func(now time.Duration, j *job) {
-		deliver(now, policies[j.entry].Offer(modelStart.Add(now), Work{
-			ID: j.id, Service: "svc", Prompt: j.prompt, Answer: j.answer, Asked: modelStart.Add(j.asked),
-			Objective: j.objective, Deadline: modelStart.Add(j.asked + modelDeadline),
+		deliver(now, policies[j.entry].Offer(simStart.Add(now), Work{
+			ID: j.id, Service: "svc", Prompt: j.prompt, Answer: j.answer, Asked: simStart.Add(j.asked),
+			Objective: j.objective, Deadline: simStart.Add(j.asked + simDeadline),
 		}))
 	}
 	deliver = func(now time.Duration, vs []Verdict) {
 		for _, v := range vs {
 			j := jobs[v.ID]
 			if v.Decision == Placed {
-				after(now+networkWay, func(time.Duration) { e := byID[v.Target.ID]; e.queue = append(e.queue, j) })
+				after(now+networkLatency, func(time.Duration) { e := byID[v.Target.ID]; e.queue = append(e.queue, j) })
 				continue
 			}
-			if j.returned || now+v.RetryAfter > j.asked+modelDeadline/2 {
+			if j.returned || now+v.RetryAfter > j.asked+simDeadline/2 {
 				o.refused++
 				if j.returned {
-					o.credit -= backInVain * size(j)
+					o.credit -= secondRefusalCost * weight(j)
 				}
 				continue
 			}
@@ -258,7 +259,7 @@
 		}
 	}
 	next, n := time.Duration(0), 0
-	for now := time.Duration(0); now < l.length+modelDeadline; now += modelStep {
+	for now := time.Duration(0); now < l.length+simDeadline; now += simStep {
 		for next <= now && next < l.length {
 			j := &job{id: strconv.Itoa(n), entry: n % l.entries, asked: next, objective: l.objective}
 			j.prompt = min(int(979*math.Exp(rng.NormFloat64()*0.8-0.32)), 3880)
@@ -268,8 +269,8 @@
 			n++
 			o.asked++
 			o.window(next).asked++
-			o.owed += size(j)
-			if j.prompt > topPrompt {
+			o.maxCredit += weight(j)
+			if j.prompt > largePrompt {
 				o.largeAsked++
 			}
 			offer(now, j)
@@ -286,59 +287,59 @@
 		}
 		for _, e := range sims {
 			e.step(now, func(j *job) {
-				after(now+networkWay, func(now time.Duration) { deliver(now, policies[j.entry].Began(modelStart.Add(now), j.id)) })
+				after(now+networkLatency, func(now time.Duration) { deliver(now, policies[j.entry].Began(simStart.Add(now), j.id)) })
 			}, func(j *job) {
-				on := j.first+networkWay-j.asked <= j.objective
+				on := j.first+networkLatency-j.asked <= j.objective
 				if on {
 					o.onTime++
 					o.window(j.asked).onTime++
-					if j.prompt > topPrompt {
+					if j.prompt > largePrompt {
 						o.largeOnTime++
 					}
-					o.credit += size(j)
+					o.credit += weight(j)
 				} else {
 					o.late++
-					o.credit += size(j) / 4
+					o.credit += weight(j) / 4
 				}
-				if j.prompt > topPrompt {
+				if j.prompt > largePrompt {
 					o.largeServed++
 				}
-				after(now+networkWay, func(now time.Duration) { deliver(now, policies[j.entry].Done(modelStart.Add(now), j.id, ResultDone)) })
+				after(now+networkLatency, func(now time.Duration) { deliver(now, policies[j.entry].Done(simStart.Add(now), j.id, ResultDone)) })
 			})
 		}
 		if now%reportEvery == 0 {
 			for _, e := range sims {
 				r := Report{Alive: true, Active: len(e.active), Queued: len(e.queue), Pace: 1, Serving: 1, Busy: e.busy(now), Entries: len(policies)}
-				after(now+networkWay, func(now time.Duration) {
+				after(now+networkLatency, func(now time.Duration) {
 					for _, p := range policies {
-						deliver(now, p.Report(modelStart.Add(now), e.id, r))
+						deliver(now, p.Report(simStart.Add(now), e.id, r))
 					}
 				})
 			}
 		}
 		if now%TickEvery == 0 {
 			for _, p := range policies {
-				deliver(now, p.Tick(modelStart.Add(now)))
+				deliver(now, p.Tick(simStart.Add(now)))
 			}
 		}
 	}
 	return o
 }
 
-// counting is the baseline: the target with the fewest of the entry's own
-// requests, at most limit at each, refused for a second beyond.
-type counting struct {
+// fewestRequests is the baseline policy. It chooses the target with the fewest of the
+// entry's own requests, and refuses for a second once each has limit requests.
+type fewestRequests struct {
 	limit   int
 	targets []facts.Target
 	own     map[string]int
 	at      map[string]string
 }
 
-func newCounting(f *facts.Facts, limit int) *counting {
-	return &counting{limit: limit, targets: f.Targets, own: map[string]int{}, at: map[string]string{}}
+func newFewestRequests(f *facts.Facts, limit int) *fewestRequests {
+	return &fewestRequests{limit: limit, targets: f.Targets, own: map[string]int{}, at: map[string]string{}}
 }
 
-func (c *counting) Offer(_ time.Time, w Work) []Verdict {
+func (c *fewestRequests) Offer(_ time.Time, w Work) []Verdict {
 	best := -1
 	for i, t := range c.targets {
 		if best < 0 || c.own[t.ID] < c.own[c.targets[best].ID] {
@@ -354,22 +355,22 @@
 	return []Verdict{{ID: w.ID, Decision: Placed, Target: t}}
 }
 
-func (c *counting) Began(time.Time, string) []Verdict { return nil }
+func (c *fewestRequests) Began(time.Time, string) []Verdict { return nil }
 
-func (c *counting) Done(_ time.Time, id string, _ Result) []Verdict {
+func (c *fewestRequests) Done(_ time.Time, id string, _ Result) []Verdict {
 	c.own[c.at[id]]--
 	return nil
 }
 
-func (c *counting) Report(time.Time, string, Report) []Verdict { return nil }
-func (c *counting) Tick(time.Time) []Verdict                   { return nil }
+func (c *fewestRequests) Report(time.Time, string, Report) []Verdict { return nil }
+func (c *fewestRequests) Tick(time.Time) []Verdict                   { return nil }
 
-func newModelPlacer(entry int, f *facts.Facts) policyOf {
+func newSimPlacer(entry int, f *facts.Facts) policy {
 	p := &Placer{
-		Zone:    modelZones[entry%len(modelZones)],
+		Zone:    simZones[entry%len(simZones)],
 		Regions: map[string]string{"z0": "r0", "z1": "r1", "z2": "r2"},
 		Rand:    rand.New(rand.NewPCG(uint64(entry), 7)),
 	}
-	p.Update(modelStart, f)
+	p.Update(simStart, f)
 	return p
 }
--- a/core/request/place/subset.go
+++ b/core/request/place/subset.go
@@ -5,20 +5,20 @@
 	"hawthornferry/core/process/rank"
 )
 
-// How many targets of a service an entry keeps to. What an entry hears of targets,
-// and what each target's side tells, then stays the same as the fleet grows. Those
-// of other zones take what its own zone cannot; where that has few targets, they make
-// up for them.
+// How many targets of a service an entry uses in its own zone, and in each other one.
+// With a fixed number, the reports that an entry receives and a side sends do not grow
+// with the fleet. Targets of other zones take what the own zone cannot; where that has
+// few targets, more of the others are used to make up for them.
 const (
 	ownZoneTargets   = 48
 	otherZoneTargets = 8
 )
 
-// quota is how many targets an entry keeps to in its own zone, and in each other one.
+// quota is how many targets an entry uses in its own zone, and in each other one.
 type quota struct{ own, other int }
 
-// quotaOf returns the quota of an entry whose own zone has the given number of
-// targets, beside the given number of other zones with targets.
+// quotaOf returns the quota of an entry whose own zone has own targets, with others
+// other zones that have targets.
 func quotaOf(own, others int) quota {
 	q := quota{own: ownZoneTargets, other: otherZoneTargets}
 	if missing := ownZoneTargets - own; others > 0 && missing > 0 {
@@ -27,9 +27,9 @@
 	return q
 }
 
-// Subset returns which of a service's targets an entry in the given zone keeps to,
-// by their place in targets. Entries choose by rendezvous, so that each target is
-// chosen by about as many, and one that comes or goes changes little.
+// Subset reports for each of a service's targets, by index, whether an entry in the
+// given zone uses it. Entries choose by rendezvous hashing, so that each target is
+// chosen by about as many entries, and a target that comes or goes changes little.
 func Subset(entry, zone string, targets []facts.Target) []bool {
 	zones := map[string][]int{}
 	for i, t := range targets {
@@ -46,13 +46,14 @@
 		if len(members) > most {
 			members = rank.Order(entry, members, func(i int) string { return targets[i].Address.String() })
 		}
-		keep(kept, targets, members, most)
+		markKept(kept, targets, members, most)
 	}
 	return kept
 }
 
-// keep marks the first members up to the given number of those that do not leave.
-func keep(kept []bool, targets []facts.Target, members []int, most int) {
+// markKept marks members in order until most of them are marked that are not leaving.
+// Leaving members on the way are marked as well.
+func markKept(kept []bool, targets []facts.Target, members []int, most int) {
 	for _, i := range members {
 		if most == 0 {
 			return
@@ -64,9 +65,9 @@
 	}
 }
 
-// Coverage is the part of the entries of a target's own zone, and of those of other
-// zones, that keep to the target, where each of the given number of zones has n
-// targets of its service.
+// Coverage returns which share of the entries in a target's own zone, and which share
+// of those in other zones, have the target in their subset, if each of the given number
+// of zones has n targets of its service.
 func Coverage(n, zones int) (own, other float64) {
 	n = max(n, 1)
 	q := quotaOf(n, zones-1)
--- a/core/request/place/subset_test.go
+++ b/core/request/place/subset_test.go
@@ -15,7 +15,7 @@
 
 // zonedFacts has the same number of engines in each of several zones.
 func zonedFacts(zones, each int) *facts.Facts {
-	f := testFacts(modelEngine, 8)
+	f := testFacts(usualEngine, 8)
 	for z := range zones {
 		for i := range each {
 			f.Targets = append(f.Targets, facts.Target{
@@ -28,7 +28,7 @@
 	return f
 }
 
-func keptBy(entry, zone string, f *facts.Facts) []string {
+func subsetOf(entry, zone string, f *facts.Facts) []string {
 	var out []string
 	for i, kept := range Subset(entry, zone, f.Targets) {
 		if kept {
@@ -38,9 +38,8 @@
 	return out
 }
 
-// Guards against an entry whose cost grows with the fleet: what it hears of targets,
-// and what each of them tells, took most of the processors of 35 entries and 204
-// sides.
+// Guards against an entry whose cost grows with the fleet. Sending and receiving the
+// reports of all targets took most of the processors of 35 entries and 204 sides.
 func TestSubsetDoesNotGrowWithTheFleet(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -55,21 +54,22 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := len(keptBy("entry", "z1", zonedFacts(tc.zones, tc.each))); got != tc.want {
+			if got := len(subsetOf("entry", "z1", zonedFacts(tc.zones, tc.each))); got != tc.want {
 				t.Errorf("the entry keeps to %d targets, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// Guards against targets that no entry keeps to, which would stand idle: with 7
-// entries in each of 5 zones each target has its own zone's and a few others.
-func TestEveryTargetIsKeptByEntries(t *testing.T) {
+// Guards against targets that are in no entry's subset and would stay idle. With 7
+// entries in each of 5 zones, each target is used by those of its own zone and a few
+// others.
+func TestEveryTargetIsInSomeSubsets(t *testing.T) {
 	f := zonedFacts(5, 41)
 	by := map[string]int{}
 	for z := range 5 {
 		for i := range 7 {
-			for _, id := range keptBy(fmt.Sprintf("entry%d-%d", z, i), fmt.Sprintf("z%d", z), f) {
+			for _, id := range subsetOf(fmt.Sprintf("entry%d-%d", z, i), fmt.Sprintf("z%d", z), f) {
 				by[id]++
 			}
 		}
@@ -81,8 +81,8 @@
 	}
 }
 
-// Guards against a leaving target that takes the place of one that serves.
-func TestLeavingTargetTakesNoPlace(t *testing.T) {
+// Guards against a leaving target that takes the place of a serving one in the subset.
+func TestLeavingTargetIsNotCountedInSubset(t *testing.T) {
 	const each = 60
 	f := zonedFacts(2, each)
 	for i := range f.Targets {
@@ -99,13 +99,13 @@
 	}
 }
 
-// Guards against callers who are refused while engines are free that their entry
-// does not keep to: it turns to those when its own may serve nobody.
-func TestOtherTargetsServeWhenOwnCannot(t *testing.T) {
+// Guards against refusing callers while engines outside the entry's subset are free.
+// The entry uses those if none in its subset is usable.
+func TestTargetsOutsideSubsetServeWhenSubsetCannot(t *testing.T) {
 	f := zonedFacts(2, 60)
 	p := &Placer{Name: "entry", Zone: "z0", Regions: map[string]string{"z0": "r0", "z1": "r1"}, Rand: rand.New(rand.NewPCG(1, 1))}
 	p.Update(start, f)
-	kept := keptBy("entry", "z0", f)
+	kept := subsetOf("entry", "z0", f)
 	for _, id := range kept[1:] {
 		p.Report(start, id, Report{})
 	}
@@ -120,8 +120,8 @@
 	}
 }
 
-// Guards against entries that take too much of the bound on repeated requests: each
-// has its part by the number of entries, of which a side hears only some.
+// Guards against entries that use too much of the bound on repeated requests. Each has
+// a part of it by the number of entries, of which a side sees only some.
 func TestCensusCountsEntriesThatASideDoesNotHear(t *testing.T) {
 	const zones, entries = 5, 7
 	for _, each := range []int{4, 8, 24, 41, 100} {
@@ -130,7 +130,7 @@
 		for z := range zones {
 			for i := range entries {
 				zone := fmt.Sprintf("z%d", z)
-				for _, id := range keptBy(fmt.Sprintf("entry%d-%d", z, i), zone, f) {
+				for _, id := range subsetOf(fmt.Sprintf("entry%d-%d", z, i), zone, f) {
 					if id[:2] == zone {
 						own[id]++
 					} else {
@@ -152,10 +152,11 @@
 	}
 }
 
-// Guards against a request that waits although a target that reports has room for
-// it: only the target of an event is looked at, all others with the next tick.
+// Guards against a request that waits although a target that reports has room for it.
+// An event leads to a check of its own target only; all others are checked at the next
+// tick.
 func TestWaitingWorkIsPlacedByAReport(t *testing.T) {
-	p := testPlacer(testFacts(modelEngine, 8, "a", "b"))
+	p := testPlacer(testFacts(usualEngine, 8, "a", "b"))
 	full := Report{Alive: true, Serving: 1, Active: 8}
 	p.Report(start, "a", full)
 	p.Report(start, "b", full)
@@ -171,16 +172,16 @@
 	}
 }
 
-// Guards against requests to a target that has left: what ends there frees a place,
-// which what waits would take.
-func TestTargetThatIsGoneIsNotFilled(t *testing.T) {
+// Guards against requests to a target that was removed from the list. A request that
+// ends there frees a slot, which a waiting request would take.
+func TestRemovedTargetGetsNoRequests(t *testing.T) {
 	tests := []struct {
 		name   string
 		engine bool
 	}{{"engine", true}, {"plain", false}}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			engine := modelEngine
+			engine := usualEngine
 			if !tc.engine {
 				engine = nil
 			}
@@ -196,7 +197,7 @@
 			now := start.Add(time.Millisecond)
 			for i := range placed {
 				id := fmt.Sprint(i)
-				if r := p.running[id]; r == nil || r.target.ID != "a" {
+				if r := p.active[id]; r == nil || r.target.ID != "a" {
 					continue
 				}
 				for _, v := range append(p.Began(now, id), p.Done(now, id, ResultDone)...) {
@@ -209,9 +210,9 @@
 	}
 }
 
-// BenchmarkReport takes a report while twenty requests wait for engines that are
-// full, as on a busy day: 8 us at 30 and at 300 targets. When each report had all
-// targets looked at, 121 us at 30 and 1.26 ms at 300.
+// BenchmarkReport processes a report while twenty requests wait for engines that are
+// full, as on a busy day: 8 us at 30 and at 300 targets. It took 121 us at 30 and 1.26
+// ms at 300 when each report led to a check of all targets.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/request/place/target.go
+++ b/core/request/place/target.go
@@ -7,10 +7,11 @@
 	"hawthornferry/core/process/facts"
 )
 
-// Report is what the process beside an engine reads from it. Active and
-// Queued count the requests of all entries; Serving is the version of the
-// model that it serves, 0 for none. Alive is false once the engine does not
-// answer.
+// Report is what the side, the process beside an engine, reports of it. Active and
+// Queued count the requests of all entries; Serving is the version of the model that it
+// serves, 0 for none. Alive is false once the engine does not answer. Pace is how many
+// times longer than declared the engine's steps take, and Busy is set while it loads a
+// version or waits to.
 type Report struct {
 	Alive   bool
 	Active  int
@@ -18,158 +19,159 @@
 	Pace    float64
 	Serving uint64
 	Busy    bool
-	// Entries is how many entries hear the same reports, and Fleet how many there
-	// are in all, as far as known.
+	// Entries is how many entries listen to the same reports, and Fleet the estimated
+	// number of all entries.
 	Entries int
 	Fleet   int
-	// Born is when the engine started, zero when it does not tell.
+	// Born is when the engine started, zero if unknown.
 	Born time.Time
 }
 
-// Times of a target's health.
+// Parameters of a target's health and load.
 const (
-	// firstPause and mostPause bound how long a target is left alone after a
-	// failure; each further one in a row doubles it. A target that fails at
-	// once always looks idle: without the pause every request would go to it.
+	// firstPause and maxPause bound how long a target gets no requests after a failure;
+	// each further one in a row doubles the pause. A target that fails at once always
+	// looks idle, and without the pause every request would go to it.
 	firstPause = 200 * time.Millisecond
-	mostPause  = 3 * time.Second
-	// turnedPause is the same after a target has refused to run a request: it
-	// is full or is loading, which ends soon.
-	turnedPause = 60 * time.Millisecond
-	// reportAge is how old a report may be and still count. Reports come ten
-	// and more times a second.
-	reportAge = 700 * time.Millisecond
-	// onTheWay is how old a request must be for a report to show it: the way
-	// to a near target and back.
-	onTheWay = 10 * time.Millisecond
-	// alikeShare is the part of its own requests that an entry takes each other
-	// entry to have sent to the same target meanwhile: less than all, since
-	// each prefers targets of its own zone.
-	alikeShare = 0.5
+	maxPause   = 3 * time.Second
+	// rejectionPause is the pause after a target has rejected a request. It is full or
+	// is loading, which ends soon.
+	rejectionPause = 60 * time.Millisecond
+	// maxReportAge is how old a report may be and still count. Reports come ten and
+	// more times a second.
+	maxReportAge = 700 * time.Millisecond
+	// reportLag is how old a request must be for a report to include it: the round trip
+	// to a nearby target.
+	reportLag = 10 * time.Millisecond
+	// othersShare is how many requests each other entry is assumed to have sent to a
+	// target since the last report, as a share of this entry's own. It is below 1 since
+	// each entry prefers targets of its own zone.
+	othersShare = 0.5
 )
 
-// target is what the entry knows of one target.
+// target is the state of one target as this entry knows it.
 type target struct {
 	facts.Target
 	distance int
-	// kept is set while the target is listed and the entry keeps to it.
-	kept bool
-	// way is how much longer than hop its answers are on their way.
-	way time.Duration
-
-	// own counts this entry's requests at the target, unread the prompt
-	// tokens of those that have not begun to be answered.
-	own    int
-	unread int
-
-	// others is how many requests of other entries the last report showed,
-	// othersWait those of them that waited. entries is how many entries share
-	// the target.
-	others     int
-	othersWait int
-	entries    int
-	// sent are this entry's requests that the last report cannot show yet.
-	sent       []sending
-	pace       float64
-	reported   time.Time
-	alive      bool
-	busy       bool
-	serving    uint64
-	hasServing bool
-
-	failures int
-	pausedTo time.Time
-	// last is the last failure.
-	last failure
-	// spent is the usual time of a whole answer, for plain services.
-	spent time.Duration
+	// inSubset is set while the target is listed and in the entry's subset.
+	inSubset bool
+	// extraRoundTrip is how much longer than baseRoundTrip its answers take on the
+	// network.
+	extraRoundTrip time.Duration
+
+	// ownRequests counts this entry's requests at the target, unreadPrompt the prompt
+	// tokens of those whose answers have not begun.
+	ownRequests  int
+	unreadPrompt int
+
+	// otherRequests is how many requests of other entries the last report included,
+	// otherQueued how many of those were queued. entries is how many entries share the
+	// target.
+	otherRequests int
+	otherQueued   int
+	entries       int
+	// unreported holds this entry's requests that are too recent for the last report to
+	// include.
+	unreported   []sentRequest
+	pace         float64
+	reportedAt   time.Time
+	alive        bool
+	loading      bool
+	serving      uint64
+	servingKnown bool
+
+	failures    int
+	pausedUntil time.Time
+	lastFailure failureSnapshot
+	// answerTime is a moving mean of the time of a whole answer, for plain services.
+	answerTime time.Duration
 }
 
-func (t *target) learn(_ time.Time, f facts.Target) { t.Target = f }
+func (t *target) update(_ time.Time, f facts.Target) { t.Target = f }
 
-// sending is a request that was sent to a target lately.
-type sending struct {
+// sentRequest is a request that was sent to a target recently.
+type sentRequest struct {
 	at     time.Time
 	prompt int
 }
 
-func (t *target) report(now time.Time, r Report) {
+func (t *target) applyReport(now time.Time, r Report) {
 	if !t.Born.IsZero() && !r.Born.IsZero() && !r.Born.Equal(t.Born) {
 		if r.Born.Before(t.Born) {
 			return
 		}
-		// Another engine runs at this address: this one has ended, though the
-		// list does not tell yet.
+		// Another engine runs at this address. The one in the list has ended, though
+		// the list does not show it yet.
 		r = Report{Entries: r.Entries}
 	}
-	t.reported = now
-	t.sent = slices.DeleteFunc(t.sent, func(s sending) bool { return now.Sub(s.at) > onTheWay+t.way })
+	t.reportedAt = now
+	t.unreported = slices.DeleteFunc(t.unreported, func(s sentRequest) bool { return now.Sub(s.at) > reportLag+t.extraRoundTrip })
 	t.entries = r.Entries
 	t.alive = r.Alive
-	t.busy = r.Busy
+	t.loading = r.Busy
 	t.pace = r.Pace
-	t.serving, t.hasServing = r.Serving, true
-	t.others = max(0, r.Active+r.Queued-(t.own-len(t.sent)))
-	t.othersWait = min(t.others, r.Queued)
+	t.serving, t.servingKnown = r.Serving, true
+	t.otherRequests = max(0, r.Active+r.Queued-(t.ownRequests-len(t.unreported)))
+	t.otherQueued = min(t.otherRequests, r.Queued)
 }
 
-func (t *target) fresh(now time.Time) bool {
-	return !t.reported.IsZero() && now.Sub(t.reported) <= reportAge
+func (t *target) reportFresh(now time.Time) bool {
+	return !t.reportedAt.IsZero() && now.Sub(t.reportedAt) <= maxReportAge
 }
 
-// lost reports whether the process beside the target has told of it before and
-// does not any more: it may be gone alone, or the machine may be cut off or its
-// link choked, in which case what is sent there arrives late or never.
-func (t *target) lost(now time.Time) bool {
-	return !t.reported.IsZero() && !t.fresh(now)
+// reportsLost reports whether the target's side has sent reports before and has
+// stopped. The side may have ended on its own, or the machine may be cut off or its
+// link congested, in which case requests sent there arrive late or never.
+func (t *target) reportsLost(now time.Time) bool {
+	return !t.reportedAt.IsZero() && !t.reportFresh(now)
 }
 
 // load is the number of requests at the target, as far as known.
 func (t *target) load(now time.Time) int {
-	if !t.fresh(now) {
-		return t.own
+	if !t.reportFresh(now) {
+		return t.ownRequests
 	}
 	n, _ := t.unseen()
-	return t.own + t.others + n
+	return t.ownRequests + t.otherRequests + n
 }
 
 // slowness is how many times longer than declared the target's steps take.
 func (t *target) slowness(now time.Time) float64 {
-	if t.fresh(now) && t.pace > 1 {
+	if t.reportFresh(now) && t.pace > 1 {
 		return t.pace
 	}
 	return 1
 }
 
 // unseen estimates the requests, and their prompt tokens, that other entries
-// have sent since the last report. Entries see the same report and choose
-// alike: without this all of them fill the target that has just become free,
-// each up to its slots, and the prompts take seconds to read.
+// have sent since the last report. Entries see the same report and choose alike.
+// Without this estimate each of them would fill a target that has just become free up
+// to its slots, and its prompts would take seconds to read.
 func (t *target) unseen() (requests, prompt int) {
-	others := alikeShare * float64(max(t.entries-1, 0))
-	for _, s := range t.sent {
+	others := othersShare * float64(max(t.entries-1, 0))
+	for _, s := range t.unreported {
 		prompt += s.prompt
 	}
-	return int(others * float64(len(t.sent))), int(others * float64(prompt))
+	return int(others * float64(len(t.unreported))), int(others * float64(prompt))
 }
 
-func (t *target) answered(time.Time) {
+func (t *target) resetFailures(time.Time) {
 	t.failures = 0
 }
 
-// ended takes the end of a request.
-func (t *target) ended(now time.Time, result Result, spent time.Duration) {
+// recordEnd updates the target's health with the result of a request.
+func (t *target) recordEnd(now time.Time, result Result, answerTime time.Duration) {
 	switch result {
 	case ResultDone:
 		t.failures = 0
-		t.spent += (spent - t.spent) / 8
+		t.answerTime += (answerTime - t.answerTime) / 8
 	case ResultTurned:
-		t.pausedTo = later(t.pausedTo, now.Add(turnedPause))
+		t.pausedUntil = later(t.pausedUntil, now.Add(rejectionPause))
 	case ResultFailed, ResultUnreached:
-		t.noteFailure(now)
-		pause := min(firstPause<<min(t.failures, 8), mostPause)
+		t.snapshotFailure(now)
+		pause := min(firstPause<<min(t.failures, 8), maxPause)
 		t.failures++
-		t.pausedTo = later(t.pausedTo, now.Add(pause))
+		t.pausedUntil = later(t.pausedUntil, now.Add(pause))
 	case ResultLeft:
 	}
 }
@@ -181,10 +183,10 @@
 	return b
 }
 
-// serves returns the version of the model that the target serves, 0 for none.
-// The report of the process beside it is younger than the platform's list.
-func (t *target) serves(now time.Time, model string) uint64 {
-	if t.hasServing && now.Sub(t.reported) <= mostPause {
+// servedVersion returns the version of the model that the target serves, 0 for none. A
+// report of its side is more recent than the platform's list.
+func (t *target) servedVersion(now time.Time, model string) uint64 {
+	if t.servingKnown && now.Sub(t.reportedAt) <= maxPause {
 		return t.serving
 	}
 	return t.Serving[model]
