--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -1,22 +1,23 @@
-// Package admit decides at the entry which calls may go on to a target, which
-// wait, and which are refused at the door.
+// Package admit decides at an entry (the process that accepts callers' requests) which
+// calls may go on to a target, which wait, and which are refused. Package front and the
+// policy benchmark in bench/policy call it.
 //
-// One Admitter serves an entry. It has no clock and starts nothing; each
-// method takes the time and returns the verdicts that follow from it, for the
-// call at hand and for any other that the event let in or refused:
+// One Admitter serves an entry. It has no clock and starts no goroutines. Each method
+// takes the current time and returns the resulting verdicts, both for the call that it
+// is called for and for waiting calls that the event admitted or refused:
 //
-//	a.SetShares(doc.Customers)            // at each new document
-//	a.Report(now, service, vm, report)    // at each load report of a target
+//	a.SetShares(doc.Customers)            // for each new document
+//	a.Report(now, service, vm, report)    // for each load report of a target
 //	deliver(a.Offer(now, offer))          // a call arrives
 //	deliver(a.Withdraw(now, id))          // its caller went away, at any time
 //	deliver(a.Done(now, admit.Done{...})) // an admitted call has ended
 //	deliver(a.Tick(now))                  // every TickEvery
 //
-// The goroutine of a call waits until deliver hands it the verdict of its ID:
-// on Admitted it chooses a target and must call Done in the end, on Refused
-// it answers 429 with RetryAfter and the outcome notRun, which is true since
-// nothing was sent. Before sending a call again to another target, ask
-// Retry; when it says no, the call fails with what it has.
+// The goroutine of a call waits until deliver passes it the verdict with its ID. On
+// Admitted it chooses a target and must call Done in the end. On Refused it answers 429
+// with RetryAfter and the outcome notRun, which is true since nothing was sent. Before
+// sending a call to another target, ask Retry; if it returns false, the call fails with
+// the result that it has.
 package admit
 
 import (
@@ -44,13 +45,13 @@
 	DefaultCallAge   = 30 * time.Minute
 )
 
-// MaxRemembered is the most services, customers and targets that an Admitter
-// with default settings remembers, beside its calls.
+// MaxRemembered is the highest number of services, customers and targets that an
+// Admitter with default settings stores, apart from its calls.
 const MaxRemembered = DefaultServices * (1 + DefaultCustomers + DefaultTargets)
 
-// Offer is a call that wants to go on. ID must not be in use. Deadline is the
-// latest time at which the first byte of the answer is of use to the caller;
-// the zero time is none.
+// Offer is a call that asks for admission. ID must not be in use. Deadline is the
+// latest time at which the first byte of the answer is of use to the caller; the zero
+// time means none.
 type Offer struct {
 	ID       string
 	Customer string
@@ -59,7 +60,7 @@
 	Deadline time.Time
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (o Offer) Check() error {
 	if o.ID == "" || o.Service == "" {
 		return errors.New("offer: id or service is empty")
@@ -70,14 +71,14 @@
 	return nil
 }
 
-// Done tells that an admitted call has ended. FirstByte is the time from
-// admission to the first byte of the answer, zero when there was none.
+// Done is the end of an admitted call. FirstByte is the time from admission to the
+// first byte of the answer, zero if there was none.
 type Done struct {
 	ID        string
 	FirstByte time.Duration
 }
 
-// Decision is what becomes of an offered call.
+// Decision says whether a call was admitted or refused.
 type Decision string
 
 // The decisions.
@@ -96,8 +97,8 @@
 	ReasonTooMany   Reason = "tooManyServices"
 )
 
-// Verdict is the decision on one call. RetryAfter, for a refused one, is when
-// the queue that is there now should have room; it is in whole seconds.
+// Verdict is the decision on one call. RetryAfter, for a refused one, is the time in
+// whole seconds after which the present queue should have room.
 type Verdict struct {
 	ID         string
 	Decision   Decision
@@ -114,23 +115,24 @@
 	Waiting  int
 }
 
-// Admitter decides for one entry. Set the exported fields before the first
+// Admitter admits the calls of one entry. Set the exported fields before the first
 // call; zero values stand for the defaults. It is not safe for concurrent use.
 type Admitter struct {
-	// Queue is the most calls that wait for one service.
+	// Queue is the maximum number of calls that wait for one service.
 	Queue int
-	// Services, Customers and Targets bound the tables; Customers and Targets
-	// are for each service.
+	// Services, Customers and Targets bound the tables. Customers and Targets apply to
+	// each service.
 	Services  int
 	Customers int
 	Targets   int
-	// Age is how long a service or customer without calls is remembered.
+	// Age is how long a service or customer without calls is kept.
 	Age time.Duration
 	// ReportAge is how old a load report may be and still count.
 	ReportAge time.Duration
-	// CallAge is when an admitted call is given up without a Done.
+	// CallAge is the time without a Done after which an admitted call is taken to have
+	// ended.
 	CallAge time.Duration
-	// Limit is how the number of calls in flight is learnt.
+	// Limit configures the adaptive limit of calls in flight.
 	Limit LimitSettings
 
 	shares   map[string]int
@@ -139,8 +141,8 @@
 	ready    bool
 }
 
-// SetShares takes the customers' shares of the document in force. A customer
-// that is not named has the share of one.
+// SetShares sets the customers' shares from the document in force. A customer that is
+// not named has a share of one.
 func (a *Admitter) SetShares(customers []envdoc.Customer) {
 	shares := make(map[string]int, len(customers))
 	for _, c := range customers {
@@ -149,17 +151,17 @@
 	a.shares = shares
 }
 
-// Report takes a target's load report.
+// Report records a target's load report.
 func (a *Admitter) Report(now time.Time, serviceName, target string, r route.Report) {
-	a.prepare()
+	a.setDefaults()
 	if s := a.service(now, serviceName); s != nil {
 		s.reports.Put(now, target, r)
 	}
 }
 
-// Offer takes a new call. An offer whose ID is in use is ignored.
+// Offer admits, queues or refuses a new call. An offer whose ID is in use is ignored.
 func (a *Admitter) Offer(now time.Time, o Offer) []Verdict {
-	a.prepare()
+	a.setDefaults()
 	if _, ok := a.calls[o.ID]; ok {
 		return nil
 	}
@@ -170,24 +172,23 @@
 	c := &call{Offer: o, offered: now}
 	out := s.offer(now, c, a.share(o.Customer))
 	a.calls[o.ID] = c
-	return a.settle(append(out, s.release(now)...))
+	return a.forgetRefused(append(out, s.release(now)...))
 }
 
-// Done takes the end of an admitted call. An unknown ID is ignored.
+// Done records the end of an admitted call. An unknown ID is ignored.
 func (a *Admitter) Done(now time.Time, d Done) []Verdict {
 	return a.end(now, d.ID, d.FirstByte)
 }
 
-// Withdraw takes back a call whose caller went away. An unknown ID is
-// ignored.
+// Withdraw removes a call whose caller went away. An unknown ID is ignored.
 func (a *Admitter) Withdraw(now time.Time, id string) []Verdict {
 	return a.end(now, id, 0)
 }
 
-// Tick refuses waiting calls that can no longer make their deadline, adjusts
-// the limits, and drops what is too old.
+// Tick refuses waiting calls that can no longer meet their deadline, adjusts the
+// limits, and removes expired state.
 func (a *Admitter) Tick(now time.Time) []Verdict {
-	a.prepare()
+	a.setDefaults()
 	var out []Verdict
 	for name, s := range a.services.All(now) {
 		if !s.idle() {
@@ -195,24 +196,23 @@
 		}
 		out = append(out, s.tick(now)...)
 	}
-	out = append(a.settle(out), a.expire(now)...)
+	out = append(a.forgetRefused(out), a.endStuckCalls(now)...)
 	a.services.Expire(now)
 	return out
 }
 
-// Retry reports whether a call of the service may be sent once more. Each
-// offered call earns a part of one retry: when targets fail, the retries
-// then add a tenth to the load, where unbounded ones would multiply it and
-// keep the targets from ever recovering.
+// Retry reports whether a call of the service may be sent once more. Each offered call
+// earns a part of one retry. When targets fail, retries then add a tenth to the load;
+// unlimited ones would multiply it and keep the targets from ever recovering.
 func (a *Admitter) Retry(now time.Time, serviceName string) bool {
-	a.prepare()
+	a.setDefaults()
 	s := a.service(now, serviceName)
-	return s != nil && s.budget.take()
+	return s != nil && s.retries.take()
 }
 
-// States returns a summary of each service, the latest used first.
+// States returns a summary of each service, the most recently used first.
 func (a *Admitter) States(now time.Time) []State {
-	a.prepare()
+	a.setDefaults()
 	var out []State
 	for name, s := range a.services.All(now) {
 		out = append(out, State{Service: name, Limit: s.limit.calls(), InFlight: s.inFlight, Waiting: s.waiting.size})
@@ -220,7 +220,7 @@
 	return out
 }
 
-// Size returns the number of calls, services and customers remembered.
+// Size returns how many calls, services, customers and load reports are stored.
 func (a *Admitter) Size(now time.Time) int {
 	n := len(a.calls) + a.services.Len()
 	for _, s := range a.services.All(now) {
@@ -240,11 +240,11 @@
 		return nil
 	}
 	s.end(now, c, firstByte)
-	return a.settle(s.release(now))
+	return a.forgetRefused(s.release(now))
 }
 
-// settle forgets refused calls.
-func (a *Admitter) settle(out []Verdict) []Verdict {
+// forgetRefused removes refused calls from the table of calls.
+func (a *Admitter) forgetRefused(out []Verdict) []Verdict {
 	for _, v := range out {
 		if v.Decision == Refused {
 			delete(a.calls, v.ID)
@@ -253,9 +253,10 @@
 	return out
 }
 
-// expire gives up admitted calls that never ended. Each would otherwise hold
-// a place for good; after weeks the service would have none left.
-func (a *Admitter) expire(now time.Time) []Verdict {
+// endStuckCalls ends admitted calls for which Done was not called within CallAge. Each
+// would otherwise hold a slot forever, and after weeks the service would have none
+// left.
+func (a *Admitter) endStuckCalls(now time.Time) []Verdict {
 	var stuck []string
 	for id, c := range a.calls {
 		if !c.admitted.IsZero() && now.Sub(c.admitted) > a.CallAge {
@@ -272,8 +273,8 @@
 
 func (a *Admitter) share(customer string) int { return max(a.shares[customer], 1) }
 
-// service returns the state of a service and marks it as used, or nil when
-// there are too many services.
+// service returns the state of a service and marks it as used. It returns nil if the
+// service is new and there are too many.
 func (a *Admitter) service(now time.Time, name string) *service {
 	s, ok := a.services.Get(now, name)
 	if !ok {
@@ -287,7 +288,7 @@
 	return s
 }
 
-func (a *Admitter) prepare() {
+func (a *Admitter) setDefaults() {
 	if a.ready {
 		return
 	}
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -18,10 +18,10 @@
 	return Offer{ID: id, Customer: customer, Service: "helper", Priority: route.PriorityInteractive}
 }
 
-// served runs a closed loop: places come free one at a time, every customer
-// keeps a backlog, and the last n admissions are counted for each, when the
-// time that a call holds its place has been learnt.
-func served(t *testing.T, a *Admitter, backlog []string, n int) map[string]int {
+// admissionsByCustomer runs a closed loop in which one slot becomes free at a time and
+// every customer keeps a backlog. It counts the last n admissions of each, by when the
+// time that a call holds its slot is known.
+func admissionsByCustomer(t *testing.T, a *Admitter, backlog []string, n int) map[string]int {
 	t.Helper()
 	now := start
 	owner := map[string]string{}
@@ -51,12 +51,12 @@
 	return got
 }
 
-// A large customer sends as much as it can. The small ones get their shares
-// all the same: of each ten places one goes to each share.
+// Guards against a large customer that takes the slots of small ones by sending as much
+// as it can. Slots are given out in proportion to the shares.
 func TestPlacesFollowShares(t *testing.T) {
 	a := &Admitter{Limit: LimitSettings{Initial: 4, Least: 4}, Queue: 8000}
 	a.SetShares([]envdoc.Customer{{Name: "large", Share: 4}, {Name: "mid", Share: 2}})
-	got := served(t, a, []string{"large", "large", "large", "mid", "small", "large"}, 280)
+	got := admissionsByCustomer(t, a, []string{"large", "large", "large", "mid", "small", "large"}, 280)
 	want := map[string]int{"large": 160, "mid": 80, "small": 40}
 	for name, n := range want {
 		if d := got[name] - n; d < -4 || d > 4 {
@@ -65,9 +65,9 @@
 	}
 }
 
-// The queue is full of one customer's calls when another's first call comes.
-// The newcomer gets in and the latest call of the first customer is refused.
-func TestFullQueueRefusesTheHeaviest(t *testing.T) {
+// Guards against one customer that fills the queue and shuts out another. The first
+// call of the other gets in, and the latest one of the first customer is refused.
+func TestFullQueueRefusesMostBacklogged(t *testing.T) {
 	a := &Admitter{Limit: LimitSettings{Initial: 1, Least: 1}, Queue: 2}
 	var got []Verdict
 	for _, o := range []Offer{offer("1", "x"), offer("2", "x"), offer("3", "x"), offer("4", "y"), offer("5", "x")} {
@@ -83,9 +83,10 @@
 	}
 }
 
-// One place, each call holds it for two seconds, and three calls wait. A call
-// that needs its first byte within a second is refused at the door, and is
-// told to ask again when the queue has gone; one with time enough waits.
+// Guards against queueing a call that cannot meet its deadline. There is one slot, each
+// call holds it for two seconds, and three calls wait. A call that needs its first byte
+// within a second is refused at once with a Retry-After for when the queue is empty;
+// one with enough time waits.
 func TestRefusesWhatCannotMakeItsDeadline(t *testing.T) {
 	a := &Admitter{Limit: LimitSettings{Initial: 1, Least: 1}}
 	now := start
@@ -108,8 +109,8 @@
 	}
 }
 
-// Batch calls wait while any customer has an interactive one.
-func TestBatchGivesWay(t *testing.T) {
+// Guards against serving batch calls while any customer has an interactive one.
+func TestBatchWaitsForInteractive(t *testing.T) {
 	a := &Admitter{Limit: LimitSettings{Initial: 1, Least: 1}}
 	batch := offer("b", "x")
 	batch.Priority = route.PriorityBatch
@@ -127,8 +128,8 @@
 	}
 }
 
-// All targets fail and every call asks for a retry. The retries sent are a
-// tenth of the calls and the first few, not one for each call.
+// Guards against a retry of every call when all targets fail. Only a tenth of the calls
+// and the first few are retried.
 func TestRetriesAreAShareOfTheCalls(t *testing.T) {
 	a := &Admitter{}
 	granted := 0
@@ -145,8 +146,8 @@
 	}
 }
 
-// Targets report waiting calls: the limit falls until they do not, and rises
-// again once they have room.
+// The limit falls while targets report waiting calls. It does not rise without use
+// afterwards, even though the targets have room.
 func TestLimitFollowsReports(t *testing.T) {
 	a := &Admitter{}
 	now := start
@@ -168,9 +169,9 @@
 	}
 }
 
-// Calls of every kind come, end and go away in any order. Each is admitted or
-// refused once, no more than the limit are in flight, and when all have ended
-// nothing is left of them.
+// Calls arrive, end and are withdrawn in random order. Each is admitted or refused
+// once, the count in flight matches the running calls, the queue stays within its
+// bound, and only open calls are stored.
 func TestEveryCallIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := &Admitter{Queue: 5, Limit: LimitSettings{Initial: 3}}
--- a/core/request/admit/limit.go
+++ b/core/request/admit/limit.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// LimitSettings say how the number of calls in flight is learnt. Zero values
-// stand for the defaults.
+// LimitSettings configure the adaptive limit of calls in flight. Zero values stand for
+// the defaults.
 type LimitSettings struct {
-	// Initial is the limit before anything is learnt.
+	// Initial is the limit at the start.
 	Initial int
-	// Least is the limit that is always allowed.
+	// Least is the lowest limit.
 	Least int
-	// Every is the time between two adjustments.
+	// Every is the interval between adjustments.
 	Every time.Duration
-	// Queued is the share of the targets' capacity that is to wait at the
-	// targets, so that a place that comes free is taken at once.
+	// Queued is the share of the targets' capacity that is to be queued at the targets,
+	// so that a slot that becomes free is used at once.
 	Queued float64
-	// Gain is the part of the missing or surplus load that one adjustment
-	// takes up. Reports lag by about Every, and at a gain near one each
-	// surplus would be corrected twice.
+	// Gain is the share of the missing or excess load that one adjustment corrects.
+	// Reports lag by about Every, so that at a gain near one each excess would be
+	// corrected twice.
 	Gain float64
-	// Slower is how many times its usual value the time to the first byte
-	// may reach at targets that send no reports.
+	// Slower is how many times its usual value the time to the first byte may reach at
+	// targets that send no reports.
 	Slower float64
-	// Cut is the factor of a cut for answers that start late.
+	// Cut is the factor by which the limit is reduced when answers start late.
 	Cut float64
 }
 
@@ -39,98 +39,99 @@
 	return l
 }
 
-// usualDrift is how much the usual time to the first byte rises in one
-// adjustment, so that a target which became slower for good is not held to
-// a value it will not reach again.
+// usualDrift is the factor by which the usual time to the first byte rises in an
+// adjustment, so that a target that has become slower for good is not compared with a
+// value that it will not reach again.
 const usualDrift = 1.002
 
-// nearLimit is the use of the limit, as a share, that lets it grow.
-const nearLimit = 0.8
+// minUseToGrow is the share of the limit that must be in use for the limit to grow.
+const minUseToGrow = 0.8
 
-// How an entry's part of the targets' calls is learnt: the weight of a new
+// Parameters for learning the entry's share of the targets' calls: the weight of a new
 // sample, and the fewest calls that give one.
 const (
-	partSmoothing = 0.1
-	leastCalls    = 4
+	entryShareSmoothing = 0.1
+	minShareCalls       = 4
 )
 
 // maxStep bounds the change of one adjustment, as a share of the limit.
 const maxStep = 0.3
 
-// limit is the number of calls that an entry keeps in flight at a service.
+// limit is the adaptive limit of the calls that an entry has in flight at a service.
 //
-// For targets that report, each entry moves its limit by a part of what the
-// targets have too much or too little, as a share of their capacity. All
-// entries see the same sum and move by the same share, so that together they
-// make up for it once, not once each. The step that is added while there is room
-// brings limits that differ closer together.
+// For targets that report, each entry adjusts its limit by a part of the targets'
+// missing or excess load, as a share of their capacity. All entries see the same sum
+// and adjust by the same share, so that together they correct it once, not once each. A
+// constant step is added while there is room, which brings different limits closer
+// together.
 //
-// For targets that do not report, it grows by a step while it is used, and is
-// cut by a factor when answers start late.
+// For targets that do not report, the limit grows by a step while it is used, and is
+// reduced by a factor when answers start late.
 type limit struct {
-	set      LimitSettings
-	value    float64
-	adjusted time.Time
-	peak     int
-	inFlight int
-	part     float64
-	first    window
-	usual    time.Duration
+	settings       LimitSettings
+	value          float64
+	adjusted       time.Time
+	peakInFlight   int
+	inFlight       int
+	entryShare     float64
+	firstBytes     window
+	usualFirstByte time.Duration
 }
 
-// pressure is what the targets' reports say in sum.
-type pressure struct {
+// targetLoad is the sum of the targets' load reports.
+type targetLoad struct {
 	capacity int
 	calls    int
 }
 
-func newLimit(set LimitSettings) limit {
-	return limit{set: set, value: float64(set.Initial)}
+func newLimit(settings LimitSettings) limit {
+	return limit{settings: settings, value: float64(settings.Initial)}
 }
 
 func (l *limit) calls() int { return int(l.value) }
 
-// use notes the calls in flight.
-func (l *limit) use(inFlight int) {
-	l.peak = max(l.peak, inFlight)
+// recordInFlight records the number of calls in flight, and the highest since the last
+// adjustment.
+func (l *limit) recordInFlight(inFlight int) {
+	l.peakInFlight = max(l.peakInFlight, inFlight)
 	l.inFlight = inFlight
 }
 
 // due reports whether the next adjustment is due.
-func (l *limit) due(now time.Time) bool { return now.Sub(l.adjusted) >= l.set.Every }
+func (l *limit) due(now time.Time) bool { return now.Sub(l.adjusted) >= l.settings.Every }
 
-func (l *limit) adjust(now time.Time, p pressure) {
+func (l *limit) adjust(now time.Time, p targetLoad) {
 	l.adjusted = now
-	used := float64(l.peak) >= nearLimit*l.value
-	l.peak = 0
+	used := float64(l.peakInFlight) >= minUseToGrow*l.value
+	l.peakInFlight = 0
 	if p.capacity > 0 {
-		l.byReports(p, used)
+		l.adjustByReports(p, used)
 	} else {
-		l.byLatency(used)
+		l.adjustByLatency(used)
 	}
-	l.value = math.Max(l.value, float64(l.set.Least))
+	l.value = math.Max(l.value, float64(l.settings.Least))
 }
 
-func (l *limit) byReports(p pressure, used bool) {
-	full := float64(p.capacity) * (1 + l.set.Queued)
+func (l *limit) adjustByReports(p targetLoad, used bool) {
+	full := float64(p.capacity) * (1 + l.settings.Queued)
 	room := (full - float64(p.calls)) / float64(p.capacity)
 	if room > 0 {
-		l.learnPart(p)
-		l.value = math.Max(l.value, l.part*full)
+		l.learnEntryShare(p)
+		l.value = math.Max(l.value, l.entryShare*full)
 	}
 	if room > 0 && !used {
 		return
 	}
-	l.value *= 1 + math.Max(-maxStep, math.Min(maxStep, l.set.Gain*room))
+	l.value *= 1 + math.Max(-maxStep, math.Min(maxStep, l.settings.Gain*room))
 	if room > 0 {
 		l.value++
 	}
 	l.value = math.Min(l.value, full)
 }
 
-func (l *limit) byLatency(used bool) {
-	if l.slow() {
-		l.value *= l.set.Cut
+func (l *limit) adjustByLatency(used bool) {
+	if l.isSlow() {
+		l.value *= l.settings.Cut
 		return
 	}
 	if used {
@@ -138,30 +139,29 @@
 	}
 }
 
-// learnPart estimates which part of the targets' calls is this entry's. The
-// entry may fill that part of their capacity at once: a limit that had to
-// grow step by step from what quiet hours left would hold up the first
-// seconds of each burst.
-func (l *limit) learnPart(p pressure) {
-	if p.calls < leastCalls {
+// learnEntryShare estimates which share of the targets' calls is this entry's. The
+// entry may use that share of their capacity at once. A limit that had to grow step by
+// step after a quiet period would delay the first seconds of each burst.
+func (l *limit) learnEntryShare(p targetLoad) {
+	if p.calls < minShareCalls {
 		return
 	}
-	part := math.Min(1, float64(l.inFlight)/float64(p.calls))
-	l.part += partSmoothing * (part - l.part)
+	entryShare := math.Min(1, float64(l.inFlight)/float64(p.calls))
+	l.entryShare += entryShareSmoothing * (entryShare - l.entryShare)
 }
 
-// slow compares the window's median time to the first byte with the usual
-// one, the least of medians so far, and begins a new window.
-func (l *limit) slow() bool {
-	m, ok := l.first.median()
+// isSlow compares the window's median time to the first byte with the usual one, which
+// is the lowest median so far, and begins a new window.
+func (l *limit) isSlow() bool {
+	m, ok := l.firstBytes.median()
 	if !ok {
 		return false
 	}
-	l.first.reset()
-	if l.usual == 0 || m < l.usual {
-		l.usual = m
+	l.firstBytes.reset()
+	if l.usualFirstByte == 0 || m < l.usualFirstByte {
+		l.usualFirstByte = m
 		return false
 	}
-	l.usual = time.Duration(float64(l.usual) * usualDrift)
-	return float64(m) > l.set.Slower*float64(l.usual)
+	l.usualFirstByte = time.Duration(float64(l.usualFirstByte) * usualDrift)
+	return float64(m) > l.settings.Slower*float64(l.usualFirstByte)
 }
--- a/core/request/admit/mean.go
+++ b/core/request/admit/mean.go
@@ -1,10 +1,10 @@
 package admit
 
-// smoothing is the weight of a new sample once a mean has many.
+// smoothing is the weight of a new sample once there are many.
 const smoothing = 0.05
 
-// mean is a moving mean: of all samples while they are few, so that the first
-// one does not count for long, and then of the later ones mostly.
+// mean is a moving average. It weights all samples equally while they are few, so that
+// the first one does not dominate for long, and then decays exponentially.
 type mean struct {
 	value float64
 	n     int
--- a/core/request/admit/queue.go
+++ b/core/request/admit/queue.go
@@ -15,13 +15,13 @@
 	admitted time.Time
 }
 
-// customer is one customer's calls at one service.
+// customer holds one customer's waiting calls at one service.
 type customer struct {
-	name     string
-	share    int
-	finish   float64
-	slotTime mean
-	// interactive and batch wait in order of arrival.
+	name        string
+	share       int
+	virtualTime float64
+	holdTime    mean
+	// interactive and batch hold the waiting calls in order of arrival.
 	interactive []*call
 	batch       []*call
 }
@@ -44,24 +44,24 @@
 	return c.waiting() < n
 }
 
-// last returns the call that this customer would miss least.
-func (c *customer) last() *call {
+// leastUrgent returns the waiting call to refuse first: the latest batch call, or the
+// latest interactive one if there is none.
+func (c *customer) leastUrgent() *call {
 	if n := len(c.batch); n > 0 {
 		return c.batch[n-1]
 	}
 	return c.interactive[len(c.interactive)-1]
 }
 
-// queue holds the customers that have calls waiting and shares the places
-// between them by start-time fair queueing: each admitted call moves its
-// customer's virtual time on by the time it is expected to hold a place,
-// divided by the customer's share, and the customer with the least virtual
-// time is next. A customer that sends ten times as much waits ten times as
-// long and does not make the others wait.
+// queue holds the customers that have waiting calls and divides the slots between them
+// by start-time fair queueing. Each admitted call advances its customer's virtual time
+// by the time that it is expected to hold a slot, divided by the customer's share. The
+// customer with the lowest virtual time is next. A customer that sends ten times as
+// much waits ten times as long and does not delay the others.
 type queue struct {
-	customers []*customer
-	virtual   float64
-	size      int
+	customers   []*customer
+	virtualTime float64
+	size        int
 }
 
 func (q *queue) push(x *call) {
@@ -84,12 +84,12 @@
 	}
 }
 
-// next returns the call whose turn it is, or nil. Batch calls give way to
-// interactive ones of all customers.
+// next returns the call to admit next, or nil. Interactive calls of any customer go
+// before batch calls.
 func (q *queue) next() *call {
 	var best *customer
 	for _, c := range q.customers {
-		if q.before(c, best) {
+		if q.goesBefore(c, best) {
 			best = c
 		}
 	}
@@ -102,39 +102,39 @@
 	return best.batch[0]
 }
 
-func (q *queue) before(c, best *customer) bool {
+func (q *queue) goesBefore(c, best *customer) bool {
 	if best == nil {
 		return true
 	}
 	if urgent := len(c.interactive) > 0; urgent != (len(best.interactive) > 0) {
 		return urgent
 	}
-	return c.finish < best.finish
+	return c.virtualTime < best.virtualTime
 }
 
-// charge moves the customer's virtual time on by one call.
+// charge advances the customer's virtual time for one call.
 func (q *queue) charge(c *customer, cost float64) {
-	begin := max(q.virtual, c.finish)
-	q.virtual = begin
-	c.finish = begin + cost/float64(c.share)
+	begin := max(q.virtualTime, c.virtualTime)
+	q.virtualTime = begin
+	c.virtualTime = begin + cost/float64(c.share)
 }
 
-// heaviest returns the customer with the most waiting calls for its share,
-// x's own included as if x waited already.
-func (q *queue) heaviest(own *customer) *customer {
-	heaviest := own
+// mostBacklogged returns the customer with the most waiting calls relative to its
+// share. For own, one more call is counted, since its new call is about to be queued.
+func (q *queue) mostBacklogged(own *customer) *customer {
+	mostBacklogged := own
 	most := float64(own.waiting()+1) / float64(own.share)
 	for _, c := range q.customers {
 		if w := float64(c.waiting()) / float64(c.share); w > most {
-			heaviest, most = c, w
+			mostBacklogged, most = c, w
 		}
 	}
-	return heaviest
+	return mostBacklogged
 }
 
-// shares returns the sum of the shares of the waiting customers, own
-// included.
-func (q *queue) shares(own *customer) int {
+// sumShares returns the sum of the shares of the customers with waiting calls, and of
+// own.
+func (q *queue) sumShares(own *customer) int {
 	sum := own.share
 	for _, c := range q.customers {
 		if c != own {
--- a/core/request/admit/service.go
+++ b/core/request/admit/service.go
@@ -7,7 +7,7 @@
 	"hawthornferry/core/request/route"
 )
 
-// Bounds of the delay that a refused caller is told.
+// Bounds of RetryAfter.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
@@ -16,20 +16,20 @@
 // service is the state of one service at this entry.
 type service struct {
 	limit     limit
-	budget    budget
+	retries   retryBudget
 	inFlight  int
 	waiting   queue
 	maxQueue  int
 	customers aged.Table[string, *customer]
 	reports   aged.Table[string, route.Report]
-	// slotTime is how long an admitted call holds its place, in seconds.
-	slotTime mean
-	// first is the usual time from admission to the first byte, in seconds.
-	first mean
+	// holdTime is how long an admitted call holds its slot, in seconds.
+	holdTime mean
+	// firstByte is the mean time from admission to the first byte, in seconds.
+	firstByte mean
 }
 
 func newService(a *Admitter) *service {
-	s := &service{limit: newLimit(a.Limit), budget: newBudget(), maxQueue: a.Queue}
+	s := &service{limit: newLimit(a.Limit), retries: newRetryBudget(), maxQueue: a.Queue}
 	s.customers.Max = a.Customers
 	s.customers.Age = a.Age
 	s.reports.Max = a.Targets
@@ -37,12 +37,12 @@
 	return s
 }
 
-// offer queues c or refuses it, or another in its place.
+// offer queues c, or refuses it or another call if the queue is full.
 func (s *service) offer(now time.Time, c *call, share int) []Verdict {
-	s.budget.earn()
+	s.retries.earn()
 	cust := s.customer(now, c.Customer, share)
 	c.customer = cust
-	if wait := s.wait(cust); s.tooLate(now, c, wait) {
+	if wait := s.estimateWait(cust); s.tooLate(now, c, wait) {
 		return []Verdict{s.refuse(now, c, ReasonDeadline, wait)}
 	}
 	var out []Verdict
@@ -56,20 +56,20 @@
 	return out
 }
 
-// makeRoom refuses the latest call of the customer that has the most waiting
-// for its share. Refusing whoever comes last instead would let one customer
+// makeRoom refuses the least urgent call of the customer with the most waiting calls
+// relative to its share. If the newest call were refused instead, one customer could
 // fill the queue and shut out the others.
 func (s *service) makeRoom(now time.Time, own *customer, c *call) []Verdict {
-	heaviest := s.waiting.heaviest(own)
-	if heaviest == own && (own.waiting() == 0 || c.Priority == route.PriorityBatch || len(own.batch) == 0) {
-		return []Verdict{s.refuse(now, c, ReasonQueueFull, s.wait(own))}
+	mostBacklogged := s.waiting.mostBacklogged(own)
+	if mostBacklogged == own && (own.waiting() == 0 || c.Priority == route.PriorityBatch || len(own.batch) == 0) {
+		return []Verdict{s.refuse(now, c, ReasonQueueFull, s.estimateWait(own))}
 	}
-	victim := heaviest.last()
+	victim := mostBacklogged.leastUrgent()
 	s.waiting.remove(victim)
-	return []Verdict{s.refuse(now, victim, ReasonQueueFull, s.wait(heaviest))}
+	return []Verdict{s.refuse(now, victim, ReasonQueueFull, s.estimateWait(mostBacklogged))}
 }
 
-// release admits waiting calls while there are places.
+// release admits waiting calls while the limit allows it.
 func (s *service) release(now time.Time) []Verdict {
 	var out []Verdict
 	for s.inFlight < s.limit.calls() {
@@ -79,7 +79,7 @@
 		}
 		s.waiting.remove(c)
 		if s.tooLate(now, c, 0) {
-			out = append(out, s.refuse(now, c, ReasonDeadline, s.wait(c.customer)))
+			out = append(out, s.refuse(now, c, ReasonDeadline, s.estimateWait(c.customer)))
 			continue
 		}
 		s.admit(now, c)
@@ -90,14 +90,14 @@
 
 func (s *service) admit(now time.Time, c *call) {
 	cust := c.customer
-	cost := cust.slotTime.value
+	cost := cust.holdTime.value
 	if cost == 0 {
-		cost = max(s.slotTime.value, time.Millisecond.Seconds())
+		cost = max(s.holdTime.value, time.Millisecond.Seconds())
 	}
 	s.waiting.charge(cust, cost)
 	c.admitted = now
 	s.inFlight++
-	s.limit.use(s.inFlight)
+	s.limit.recordInFlight(s.inFlight)
 }
 
 func (s *service) end(now time.Time, c *call, firstByte time.Duration) {
@@ -106,28 +106,28 @@
 		return
 	}
 	s.inFlight--
-	s.limit.use(s.inFlight)
+	s.limit.recordInFlight(s.inFlight)
 	held := now.Sub(c.admitted).Seconds()
-	s.slotTime.add(held)
-	c.customer.slotTime.add(held)
+	s.holdTime.add(held)
+	c.customer.holdTime.add(held)
 	if firstByte > 0 {
-		s.first.add(firstByte.Seconds())
-		s.limit.first.add(firstByte)
+		s.firstByte.add(firstByte.Seconds())
+		s.limit.firstBytes.add(firstByte)
 	}
 }
 
 func (s *service) tick(now time.Time) []Verdict {
 	out := s.refuseLate(now)
 	if s.limit.due(now) {
-		s.limit.adjust(now, s.pressure(now))
+		s.limit.adjust(now, s.targetLoad(now))
 	}
 	s.customers.Expire(now)
 	s.reports.Expire(now)
 	return append(out, s.release(now)...)
 }
 
-// refuseLate refuses what waits and cannot make its deadline any more, so
-// that its caller hears at once and can still turn elsewhere.
+// refuseLate refuses waiting calls that can no longer meet their deadline, so that
+// their callers are told at once and can still try elsewhere.
 func (s *service) refuseLate(now time.Time) []Verdict {
 	var late []*call
 	for _, cust := range s.waiting.customers {
@@ -140,29 +140,30 @@
 	var out []Verdict
 	for _, c := range late {
 		s.waiting.remove(c)
-		out = append(out, s.refuse(now, c, ReasonDeadline, s.wait(c.customer)))
+		out = append(out, s.refuse(now, c, ReasonDeadline, s.estimateWait(c.customer)))
 	}
 	return out
 }
 
-// tooLate reports whether c, if it still waits for wait, gets its first byte
-// after its deadline.
+// tooLate reports whether c would get its first byte after its deadline if it waits for
+// the given time.
 func (s *service) tooLate(now time.Time, c *call, wait time.Duration) bool {
 	if c.Deadline.IsZero() {
 		return false
 	}
-	need := wait + seconds(s.first.value)
+	need := wait + seconds(s.firstByte.value)
 	return now.Add(need).After(c.Deadline)
 }
 
-// wait estimates how long the next call of cust waits for a place: the calls
-// before it, at the pace at which places come free for this customer's share.
-func (s *service) wait(cust *customer) time.Duration {
-	if s.slotTime.value == 0 || (s.waiting.size == 0 && s.inFlight < s.limit.calls()) {
+// estimateWait estimates how long the next call of a customer waits for a slot, from
+// the calls ahead of it and the rate at which slots become free for this customer's
+// share.
+func (s *service) estimateWait(cust *customer) time.Duration {
+	if s.holdTime.value == 0 || (s.waiting.size == 0 && s.inFlight < s.limit.calls()) {
 		return 0
 	}
-	perSecond := float64(s.limit.calls()) / s.slotTime.value
-	part := float64(cust.share) / float64(s.waiting.shares(cust))
+	perSecond := float64(s.limit.calls()) / s.holdTime.value
+	part := float64(cust.share) / float64(s.waiting.sumShares(cust))
 	return seconds(float64(cust.waiting()+1) / (perSecond * part))
 }
 
@@ -177,8 +178,8 @@
 	}
 }
 
-func (s *service) pressure(now time.Time) pressure {
-	var p pressure
+func (s *service) targetLoad(now time.Time) targetLoad {
+	var p targetLoad
 	for _, r := range s.reports.All(now) {
 		p.capacity += r.Capacity
 		p.calls += r.Running + r.Queued
@@ -189,8 +190,8 @@
 // idle reports whether the service has no calls.
 func (s *service) idle() bool { return s.inFlight == 0 && s.waiting.size == 0 }
 
-// customer returns the state of a customer, with its present share, and marks
-// it as used.
+// customer returns the state of a customer, updated to its present share, and marks it
+// as used.
 func (s *service) customer(now time.Time, name string, share int) *customer {
 	c, ok := s.customers.Get(now, name)
 	if !ok {
--- a/core/request/admit/window.go
+++ b/core/request/admit/window.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Bounds of a window: the samples kept, and the fewest that give a median.
+// Bounds of a window: the most samples kept, and the fewest that give a median.
 const (
-	windowMax   = 256
-	windowLeast = 8
+	maxWindowSamples = 256
+	minMedianSamples = 8
 )
 
-// window holds the samples since the last adjustment.
+// window holds the samples since the last adjustment, the latest maxWindowSamples of
+// them.
 type window struct {
 	samples []time.Duration
 	next    int
 }
 
 func (w *window) add(d time.Duration) {
-	if len(w.samples) < windowMax {
+	if len(w.samples) < maxWindowSamples {
 		w.samples = append(w.samples, d)
 		return
 	}
 	w.samples[w.next] = d
-	w.next = (w.next + 1) % windowMax
+	w.next = (w.next + 1) % maxWindowSamples
 }
 
 func (w *window) median() (time.Duration, bool) {
-	if len(w.samples) < windowLeast {
+	if len(w.samples) < minMedianSamples {
 		return 0, false
 	}
 	sorted := slices.Clone(w.samples)
