--- a/core/request/spend/spend.go
+++ b/core/request/spend/spend.go
@@ -1,87 +1,89 @@
-// Package spend bounds how many requests an entry sends once more. The bound
-// holds over all entries of the system: each keeps to a part of its own
-// requests, so that the sum keeps to that part of all of them without any
-// message between them.
+// Package spend limits how many requests an entry (the process that accepts callers'
+// requests) repeats. Package direct calls it. The limit holds over all entries of the
+// system without messages between them: each entry repeats only a share of its own
+// requests, and together they repeat the same share of all.
 package spend
 
 import "time"
 
-// The entry's part of what the operator allows.
+// How an entry uses its part of the operator's limit.
 const (
-	// ratioShare is the part of the ratio that is used: the windows in which
-	// the operator counts are not those of the entry.
+	// ratioShare is the share of the ratio that is used. The rest is a reserve, since
+	// the operator's windows begin at other times than the entry's.
 	ratioShare = 0.8
-	// leastEntries is how many entries the slack is shared out to at the least:
-	// one that starts does not know how many others there are, and one that is
-	// cut off hears of a few.
-	leastEntries = 12
-	// startShare is how much of its part of the slack a process has as it begins.
-	// What the one before it spent is not known, and still counts.
-	startShare = 0.25
-	// buckets is how many parts a window is counted in.
+	// minEntries is the lowest number of entries that the slack is divided by. An entry
+	// that starts does not know how many others there are, and one that is cut off
+	// hears of only a few.
+	minEntries = 12
+	// initialShare is the share of its slack that a process may use at its start. What
+	// its predecessor used is not known and still counts.
+	initialShare = 0.25
+	// buckets is the number of parts into which a window is divided.
 	buckets = 10
-	// spentBuckets is for how many of them a repeat is kept. The first and the
-	// last of a window are mostly cut: dropped with the requests, a repeat would
-	// be granted again up to a bucket too soon, and the operator sees both.
-	spentBuckets = buckets + 1
+	// repeatBuckets is for how many buckets a repeat is counted. A window mostly covers
+	// only parts of its first and last bucket. If repeats were dropped together with
+	// the requests, they would be granted again up to a bucket too soon, and the
+	// operator would see both in one window.
+	repeatBuckets = buckets + 1
 )
 
-// Budget counts the requests and repeats of one service within a sliding
-// window. Set the exported fields before the first call.
+// Budget counts the requests and repeats of one service within a sliding window. Up to
+// Ratio of the requests, plus a part of Slack, may be repeated. Set the exported fields
+// before the first call.
 type Budget struct {
 	Ratio  float64
 	Slack  float64
 	Window time.Duration
-	// Entries is the most entries that were heard of, 0 if none; it may grow.
+	// Entries is the highest number of entries known so far, 0 if none; it may grow.
 	Entries int
 
-	// began is the first call. Buckets are counted from it by the steady clock:
-	// the time of day may jump by a window, and what was spent would be granted
-	// again. While a machine is suspended that clock stands still, which only
-	// keeps what was spent for longer.
-	began    time.Time
-	requests [buckets]float64
-	repeats  [spentBuckets]float64
-	last     int64
+	// started is the time of the first call. Buckets are counted from it by the
+	// monotonic clock. If the time of day were used and jumped by a window, repeats
+	// would be granted again. While a machine is suspended the monotonic clock stands
+	// still, which only keeps repeats counted for longer.
+	started       time.Time
+	requests      [buckets]float64
+	repeats       [repeatBuckets]float64
+	currentBucket int64
 }
 
 // Earn counts a request of a caller.
 func (b *Budget) Earn(now time.Time) {
-	b.turn(now)
-	b.requests[b.last%buckets]++
+	b.advance(now)
+	b.requests[b.currentBucket%buckets]++
 }
 
-// Take reports whether a request may be sent once more, and counts it.
+// Take reports whether a request may be repeated, and counts the repeat if so.
 func (b *Budget) Take(now time.Time) bool {
-	b.turn(now)
-	allowed := ratioShare*b.Ratio*sum(b.requests[:]) + b.slack()
+	b.advance(now)
+	allowed := ratioShare*b.Ratio*sum(b.requests[:]) + b.slackShare()
 	if sum(b.repeats[:])+1 > allowed {
 		return false
 	}
-	b.repeats[b.last%spentBuckets]++
+	b.repeats[b.currentBucket%repeatBuckets]++
 	return true
 }
 
-// slack is the part of the slack that this entry uses in a window. All parts
-// are within the slack also when every entry starts anew once in that time.
-func (b *Budget) slack() float64 {
-	return b.Slack / (float64(max(b.Entries, leastEntries)) * (1 + startShare))
+// slackShare is the part of Slack that this entry may use in a window. The sum over all
+// entries stays within Slack even if every entry restarts once in that time.
+func (b *Budget) slackShare() float64 {
+	return b.Slack / (float64(max(b.Entries, minEntries)) * (1 + initialShare))
 }
 
-// turn clears the buckets that have left the window.
-func (b *Budget) turn(now time.Time) {
+// advance moves to the current bucket and clears those that have left the window.
+func (b *Budget) advance(now time.Time) {
 	width := max(b.Window/buckets, time.Millisecond)
-	if b.began.IsZero() {
-		b.began = now
-		b.repeats[0] = (1 - startShare) * b.slack()
+	if b.started.IsZero() {
+		b.started = now
+		b.repeats[0] = (1 - initialShare) * b.slackShare()
 	}
-	at := int64(now.Sub(b.began) / width)
-	// All are cleared by one round.
-	b.last = max(b.last, at-spentBuckets)
-	for b.last < at {
-		b.last++
-		b.requests[b.last%buckets] = 0
-		b.repeats[b.last%spentBuckets] = 0
+	at := int64(now.Sub(b.started) / width)
+	// After a long gap, clearing each bucket once is enough.
+	b.currentBucket = max(b.currentBucket, at-repeatBuckets)
+	for b.currentBucket < at {
+		b.currentBucket++
+		b.requests[b.currentBucket%buckets] = 0
+		b.repeats[b.currentBucket%repeatBuckets] = 0
 	}
 }
 
--- a/core/request/spend/spend_test.go
+++ b/core/request/spend/spend_test.go
@@ -8,10 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Targets fail, and every request would be sent again: the repeats of any
-// window stay within the operator's part of the requests, with room for the
-// other entries.
-func TestRepeatsStayWithinTheirPart(t *testing.T) {
+// Guards against repeating every request when targets fail. The repeats of any window
+// stay within the operator's limit, and some are always granted.
+func TestRepeatsStayWithinRatio(t *testing.T) {
 	b := &Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 	now := time.Date(2026, 12, 1, 6, 0, 0, 0, time.UTC)
 	type sent struct{ requests, repeats int }
@@ -38,7 +37,7 @@
 			sum.requests += x.requests
 			sum.repeats += x.repeats
 		}
-		// The window before has the most requests while the load falls.
+		// While the load falls, the window before has the most requests.
 		before := 0
 		for _, x := range seconds[max(0, s-20) : s-10] {
 			before += x.requests
@@ -53,11 +52,11 @@
 	}
 }
 
-// jumped is t with the time of day shifted and the reading of the steady clock
-// as it was, as after an adjustment of the machine's clock. No call of the
-// standard library makes such a time; the seconds of a time that has both are
-// its upper bits.
-func jumped(t *testing.T, at time.Time, seconds int64) time.Time {
+// shiftTimeOfDay returns at with a shifted time of day and the same monotonic clock
+// reading, as after an adjustment of the machine's clock. The standard library has no
+// function for this. In a time that has both, the upper bits of the first word are the
+// seconds.
+func shiftTimeOfDay(t *testing.T, at time.Time, seconds int64) time.Time {
 	t.Helper()
 	const secondsShift = 30
 	out := at
@@ -68,15 +67,16 @@
 	return out
 }
 
-// running is the budget of a process that has run for longer than a window.
-func running(now time.Time, window time.Duration) *Budget {
+// newRunningBudget returns the budget of a process that has run for longer than a
+// window.
+func newRunningBudget(now time.Time, window time.Duration) *Budget {
 	b := &Budget{Ratio: 0.2, Slack: 100, Window: window}
 	b.Earn(now.Add(-2 * window))
 	return b
 }
 
-// spent takes repeats until none is granted.
-func spent(b *Budget, now time.Time) int {
+// takeAll takes repeats until none is granted, and returns how many were.
+func takeAll(b *Budget, now time.Time) int {
 	n := 0
 	for b.Take(now) {
 		n++
@@ -84,65 +84,65 @@
 	return n
 }
 
-// Targets get more repeats than their operator allows, or callers none: the time
-// of day of an entry jumps by more than a window. Forward, all that was spent is
-// forgotten and granted again at once; backward, it is kept for as long again.
+// Guards against using the time of day, which may jump by more than a window. After a
+// jump forward all used repeats would be granted again at once, beyond the operator's
+// limit; after one backward they would be counted for too long, and callers would get
+// none.
 func TestTimeOfDayDoesNotMoveTheWindow(t *testing.T) {
 	const window = 10 * time.Second
 	for _, seconds := range []int64{-25, 25} {
 		now := time.Now()
-		b := running(now, window)
-		whole := spent(b, now)
-		if diff := cmp.Diff(0, spent(b, jumped(t, now, seconds))); diff != "" {
+		b := newRunningBudget(now, window)
+		whole := takeAll(b, now)
+		if diff := cmp.Diff(0, takeAll(b, shiftTimeOfDay(t, now, seconds))); diff != "" {
 			t.Errorf("repeats after a jump of %d s (-want +got):\n%s", seconds, diff)
 		}
-		after := jumped(t, now.Add(2*window), seconds)
-		if diff := cmp.Diff(whole, spent(b, after)); diff != "" {
+		after := shiftTimeOfDay(t, now.Add(2*window), seconds)
+		if diff := cmp.Diff(whole, takeAll(b, after)); diff != "" {
 			t.Errorf("repeats two windows after a jump of %d s (-want +got):\n%s", seconds, diff)
 		}
 	}
 }
 
-// Targets get up to twice the operator's slack within one window: an entry spends
-// its part at the end of one tenth of its window and, once that tenth has left
-// it, spends it again, a little less than a window later.
+// Guards against granting the slack twice within one window. An entry used its part at
+// the end of one tenth of its window, and again once that tenth had left the window, a
+// little less than a window later.
 func TestSlackIsGrantedOnceInAnyWindow(t *testing.T) {
 	const window = 10 * time.Second
 	const step = 100 * time.Millisecond
 	for first := time.Duration(0); first < window; first += step {
 		began := time.Now()
-		b := running(began, window)
-		whole := spent(b, began.Add(first))
+		b := newRunningBudget(began, window)
+		whole := takeAll(b, began.Add(first))
 		again := 0
 		for after := step; after < window; after += step {
-			again += spent(b, began.Add(first+after))
+			again += takeAll(b, began.Add(first+after))
 		}
 		if diff := cmp.Diff(0, again); diff != "" {
 			t.Errorf("spent at %v, again within a window (-want +got):\n%s", first, diff)
 		}
-		if diff := cmp.Diff(whole, spent(b, began.Add(first+2*window))); diff != "" {
+		if diff := cmp.Diff(whole, takeAll(b, began.Add(first+2*window))); diff != "" {
 			t.Errorf("spent at %v, two windows later (-want +got):\n%s", first, diff)
 		}
 	}
 }
 
-// Targets get more repeats than their operator allows around a loss of power:
-// all entries spend their parts of the slack, start anew and spend them again,
-// since none knows what it spent before. A process that has just begun has a
-// little of its part, so that its first callers' requests are not lost either.
-func TestSlackHoldsWhenAllEntriesStartAnew(t *testing.T) {
+// Guards against granting the slack twice when all entries restart, as after a loss of
+// power: none knows what it used before. A process that has just started may use a
+// small part, so that the requests of its first callers are not lost either.
+func TestSlackHoldsWhenAllEntriesRestart(t *testing.T) {
 	const window = 10 * time.Second
 	const slack = 100
 	now := time.Now()
 	sum := 0
-	for range leastEntries {
-		sum += spent(running(now, window), now)
+	for range minEntries {
+		sum += takeAll(newRunningBudget(now, window), now)
 	}
 	anew := 0
-	for range leastEntries {
+	for range minEntries {
 		b := &Budget{Ratio: 0.2, Slack: slack, Window: window}
 		for after := window / 20; after < window; after += window / 20 {
-			anew += spent(b, now.Add(after))
+			anew += takeAll(b, now.Add(after))
 		}
 	}
 	if anew == 0 || sum+anew > slack {
@@ -150,19 +150,20 @@
 	}
 }
 
-// Targets of a large system get several times the operator's slack: each entry
-// uses the part of one of twelve. What an entry has heard of how many there are
-// makes its part smaller, and never larger: one that is cut off hears of a few.
+// Guards against exceeding the slack several times in a large system, when each entry
+// uses a twelfth of it. A higher known number of entries makes an entry's part smaller.
+// A low number never makes it larger, since an entry that is cut off hears of only a
+// few.
 func TestSlackIsSharedByAllEntries(t *testing.T) {
 	const window = 10 * time.Second
 	const slack = 100
 	now := time.Now()
-	for _, entries := range []int{1, leastEntries, 46} {
+	for _, entries := range []int{1, minEntries, 46} {
 		sum := 0
-		for range max(entries, leastEntries) {
-			b := running(now, window)
+		for range max(entries, minEntries) {
+			b := newRunningBudget(now, window)
 			b.Entries = entries
-			sum += spent(b, now)
+			sum += takeAll(b, now)
 		}
 		if sum == 0 || sum > slack {
 			t.Errorf("%d entries: %d repeats, want some and at most %d", entries, sum, slack)
