--- a/core/request/resend/explore_test.go
+++ b/core/request/resend/explore_test.go
@@ -5,24 +5,25 @@
 	"testing"
 )
 
-// tries is what the exploration plays: Tries, or a variant without a safeguard.
-type tries interface {
+// attempts is the type under test: Tries, or a variant without a safeguard.
+type attempts interface {
 	Sent()
 	After(o Outcome) bool
 	MayRefuse() bool
 }
 
-// fate is what an attempt was for the target: whether the request ran there.
-type fate struct {
+// attemptResult is what happened in one attempt: its outcome as the entry sees it,
+// whether the request was sent, and whether it ran at the target.
+type attemptResult struct {
 	outcome Outcome
 	sent    bool
 	ran     bool
 }
 
-// fates are all that can happen to an attempt, as far as the entry and the target
-// can see it. A connection that breaks, and an answer to another request, leave
-// open whether the request ran.
-var fates = []fate{
+// attemptResults lists everything that can happen in an attempt, as far as the entry
+// and the target can see it. After a broken connection or an answer to another request
+// it is open whether the request ran.
+var attemptResults = []attemptResult{
 	{Unsent, false, false},
 	{NotRun, true, false},
 	{Broken, true, false},
@@ -35,23 +36,23 @@
 	{Caller, true, false},
 }
 
-// mostMoves bounds a play; Unsent attempts end after maxUnreached.
-const mostMoves = 8
+// maxAttempts bounds the length of a sequence. Unsent attempts end after maxUnreached.
+const maxAttempts = 8
 
-// explore plays every sequence of fates and returns the first that breaks a rule,
-// nil when none does.
-func explore(newTries func() tries, repeatable bool, most int) []fate {
-	var bad []fate
-	var play func(done []fate)
-	play = func(done []fate) {
-		if bad != nil || len(done) > mostMoves {
+// explore tries every sequence of attempt results and returns the first that breaks a
+// rule, or nil if none does.
+func explore(newTries func() attempts, repeatable bool, maxTargets int) []attemptResult {
+	var counterexample []attemptResult
+	var extend func(prefix []attemptResult)
+	extend = func(prefix []attemptResult) {
+		if counterexample != nil || len(prefix) > maxAttempts {
 			return
 		}
-		for _, f := range fates {
-			moves := append(slices.Clone(done), f)
+		for _, f := range attemptResults {
+			sequence := append(slices.Clone(prefix), f)
 			t := newTries()
 			more, runs, reached := true, 0, 0
-			for _, m := range moves {
+			for _, m := range sequence {
 				if m.sent {
 					t.Sent()
 					reached++
@@ -62,27 +63,27 @@
 				more = t.After(m.outcome)
 			}
 			switch {
-			case !repeatable && runs > 1, reached > most, runs > 0 && t.MayRefuse():
-				bad = moves
+			case !repeatable && runs > 1, reached > maxTargets, runs > 0 && t.MayRefuse():
+				counterexample = sequence
 				return
 			}
 			if more {
-				play(moves)
+				extend(sequence)
 			}
 		}
 	}
-	play(nil)
-	return bad
+	extend(nil)
+	return counterexample
 }
 
-// A payment is sent to targets that turn it away, break off, answer another
-// request or cannot be reached, in every order. It runs once at the most, reaches
-// no more targets than its route allows, and its caller is told that it has not run
-// only when that is true.
-func TestEveryOrderOfEnds(t *testing.T) {
+// Guards against running a request twice that may run once, such as a payment, in every
+// order in which targets reject it, break off, answer another request or cannot be
+// reached. It also reaches no more targets than its route allows, and its caller is
+// told that it has not run only if that is true.
+func TestEveryOrderOfOutcomes(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		for most := 1; most <= 3; most++ {
-			newTries := func() tries { return &Tries{Repeatable: repeatable, Most: most} }
+			newTries := func() attempts { return &Tries{Repeatable: repeatable, Most: most} }
 			if bad := explore(newTries, repeatable, most); bad != nil {
 				t.Errorf("repeatable %v, %d targets: broken by %v", repeatable, most, bad)
 			}
@@ -92,30 +93,30 @@
 
 // Variants of Tries, each without one safeguard.
 type (
-	repeatsAll   struct{ Tries }
-	refusesAll   struct{ Tries }
-	forgetsSent  struct{ Tries }
-	trustsBroken struct{ Tries }
-	countsNone   struct{ Tries }
+	alwaysRepeats     struct{ Tries }
+	alwaysRefuses     struct{ Tries }
+	forgetsEarlierRun struct{ Tries }
+	trustsBroken      struct{ Tries }
+	countsNoTargets   struct{ Tries }
 )
 
-func (v *repeatsAll) After(o Outcome) bool {
+func (v *alwaysRepeats) After(o Outcome) bool {
 	v.Repeatable = true
 	return v.Tries.After(o)
 }
 
-func (v *refusesAll) MayRefuse() bool { return true }
+func (v *alwaysRefuses) MayRefuse() bool { return true }
 
-// forgetsSent takes a refusal of the last target for one of all.
-func (v *forgetsSent) After(o Outcome) bool {
+// forgetsEarlierRun treats a rejection by the last target as one by all targets.
+func (v *forgetsEarlierRun) After(o Outcome) bool {
 	more := v.Tries.After(o)
 	if o == NotRun {
-		v.ran = false
+		v.mayHaveRun = false
 	}
 	return more
 }
 
-// trustsBroken takes a connection that broke for one on which nothing ran.
+// trustsBroken treats a broken connection as proof that the request did not run.
 func (v *trustsBroken) After(o Outcome) bool {
 	if o == Broken {
 		o = NotRun
@@ -123,34 +124,34 @@
 	return v.Tries.After(o)
 }
 
-func (v *countsNone) Sent() {
+func (v *countsNoTargets) Sent() {
 	v.Tries.Sent()
 	v.reached = 0
 }
 
-// Each safeguard left out must show: a check that finds nothing without them
-// would find nothing at all.
+// Guards against an exploration that finds nothing at all: it must find a broken rule
+// for each safeguard that is left out.
 func TestSafeguardsAreNeeded(t *testing.T) {
 	once := Tries{Most: 3}
 	often := Tries{Repeatable: true, Most: 2}
 	tests := []struct {
 		name       string
-		newTries   func() tries
+		newTries   func() attempts
 		repeatable bool
 		most       int
 	}{
-		{"a request that may run once is repeated", func() tries { return &repeatsAll{once} }, false, 3},
-		{"a refusal is always taken for true", func() tries { return &refusesAll{once} }, false, 3},
-		{"an earlier run is forgotten", func() tries { return &forgetsSent{often} }, true, 2},
-		{"a broken connection is taken for a refusal", func() tries { return &trustsBroken{once} }, false, 3},
-		{"targets are not counted", func() tries { return &countsNone{often} }, true, 2},
+		{"a request that may run once is repeated", func() attempts { return &alwaysRepeats{once} }, false, 3},
+		{"a refusal is always taken for true", func() attempts { return &alwaysRefuses{once} }, false, 3},
+		{"an earlier run is forgotten", func() attempts { return &forgetsEarlierRun{often} }, true, 2},
+		{"a broken connection is taken for a refusal", func() attempts { return &trustsBroken{once} }, false, 3},
+		{"targets are not counted", func() attempts { return &countsNoTargets{often} }, true, 2},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			if bad := explore(tc.newTries, tc.repeatable, tc.most); bad == nil {
 				t.Error("no counterexample")
 			} else {
-				t.Logf("counterexample of %d moves: %v", len(bad), bad)
+				t.Logf("counterexample of %d attempts: %v", len(bad), bad)
 			}
 		})
 	}
--- a/core/request/resend/resend.go
+++ b/core/request/resend/resend.go
@@ -1,15 +1,18 @@
-// Package resend decides whether a request that an entry sends to targets itself
-// is sent once more, and whether its caller may be told that it has not run.
+// Package resend decides whether an entry (the process that accepts callers' requests)
+// may send a request to another target, and whether its caller may be told that the
+// request has not run. Package direct calls it.
 package resend
 
 // Outcome is how one attempt ended.
 type Outcome string
 
-// The outcomes of an attempt. Relayed means that the caller has the whole answer;
-// Broken that the answer ended early or never came, after the request may have
-// run; Failure is a failure that the target itself answered. LateReply is an
-// answer to another request. Moved is an attempt whose answer goes on at another
-// target, Dropped one that the entry has no more use for.
+// The outcomes of an attempt. Relayed means that the caller has the whole answer,
+// NotRun that the target rejected the request before running it, and Unsent that the
+// target was not reached. Broken means that the answer ended early or never came, after
+// the request may have run. Failure is an error that the target itself answered, Caller
+// means that the caller went away, and LateReply is an answer to another request. Moved
+// is an attempt whose answer goes on at another target, Dropped one that the entry no
+// longer needs.
 const (
 	Relayed   Outcome = "relayed"
 	Failure   Outcome = "failureOfTarget"
@@ -22,43 +25,43 @@
 	Dropped   Outcome = "dropped"
 )
 
-// maxUnreached bounds the targets tried that were not reached: each costs
-// time that the caller does not have.
+// maxUnreached bounds the attempts that did not reach a target. Each costs time that
+// the caller does not have.
 const maxUnreached = 4
 
-// Tries follows the attempts at one request. Set the exported fields before the
-// first call.
+// Tries tracks the attempts at one request. Set the exported fields before the first
+// call.
 type Tries struct {
 	// Repeatable is set for a request that may run more than once.
 	Repeatable bool
-	// Most is how many targets the request may reach.
+	// Most is the maximum number of targets that the request may reach.
 	Most int
 
 	reached   int
 	unreached int
-	// ran is set while the request may have run; ranBefore is the same before
-	// the attempt under way.
-	ran       bool
-	ranBefore bool
+	// mayHaveRun is set if the request may have run, mayHaveRunBefore if it may have
+	// done so before the present attempt.
+	mayHaveRun       bool
+	mayHaveRunBefore bool
 }
 
-// Sent tells that the request is about to be written to a target. From then on it
-// may run, whatever becomes of the connection.
+// Sent records that the request is about to be written to a target. From then on it may
+// run, even if the connection breaks.
 func (t *Tries) Sent() {
 	t.reached++
-	t.ranBefore = t.ran
-	t.ran = true
+	t.mayHaveRunBefore = t.mayHaveRun
+	t.mayHaveRun = true
 }
 
-// After takes the end of an attempt, and reports whether another may follow.
+// After records how an attempt ended, and reports whether another may follow.
 func (t *Tries) After(o Outcome) bool {
 	switch o {
 	case Unsent:
 		t.unreached++
 		return t.unreached < maxUnreached
 	case NotRun:
-		// The target itself says so; no other end of a connection does.
-		t.ran = t.ranBefore
+		// Only the target's own answer proves that the request has not run.
+		t.mayHaveRun = t.mayHaveRunBefore
 	case Broken, Failure, LateReply:
 		if !t.Repeatable {
 			return false
@@ -69,7 +72,7 @@
 	return t.reached < t.Most
 }
 
-// Left is to how many more targets the request may go from one that has it.
+// Left returns how many more targets may get the request while one has it.
 func (t *Tries) Left() int {
 	if !t.Repeatable || t.unreached >= maxUnreached {
 		return 0
@@ -77,6 +80,6 @@
 	return max(t.Most-t.reached, 0)
 }
 
-// MayRefuse reports whether the caller may be told that its request has not run
-// and never will.
-func (t *Tries) MayRefuse() bool { return !t.ran }
+// MayRefuse reports whether the caller may be told that its request has not run and
+// never will.
+func (t *Tries) MayRefuse() bool { return !t.mayHaveRun }
