--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -118,17 +118,17 @@
 // Admitter admits the calls of one entry. Set the exported fields before the first
 // call; zero values stand for the defaults. It is not safe for concurrent use.
 type Admitter struct {
-	// Queue is the maximum number of calls that wait for one service.
-	Queue int
-	// Services, Customers and Targets bound the tables. Customers and Targets apply to
-	// each service.
-	Services  int
-	Customers int
-	Targets   int
-	// Age is how long a service or customer without calls is kept.
-	Age time.Duration
-	// ReportAge is how old a load report may be and still count.
-	ReportAge time.Duration
+	// MaxQueue is the maximum number of calls that wait for one service.
+	MaxQueue int
+	// MaxServices, MaxCustomers and MaxTargets bound the tables. The latter two apply
+	// to each service.
+	MaxServices  int
+	MaxCustomers int
+	MaxTargets   int
+	// IdleAge is how long a service or customer without calls is kept.
+	IdleAge time.Duration
+	// MaxReportAge is how old a load report may be and still count.
+	MaxReportAge time.Duration
 	// CallAge is the time without a Done after which an admitted call is taken to have
 	// ended.
 	CallAge time.Duration
@@ -153,7 +153,7 @@
 
 // Report records a target's load report.
 func (a *Admitter) Report(now time.Time, serviceName, target string, r route.Report) {
-	a.setDefaults()
+	a.prepare()
 	if s := a.service(now, serviceName); s != nil {
 		s.reports.Put(now, target, r)
 	}
@@ -161,7 +161,7 @@
 
 // Offer admits, queues or refuses a new call. An offer whose ID is in use is ignored.
 func (a *Admitter) Offer(now time.Time, o Offer) []Verdict {
-	a.setDefaults()
+	a.prepare()
 	if _, ok := a.calls[o.ID]; ok {
 		return nil
 	}
@@ -188,7 +188,7 @@
 // Tick refuses waiting calls that can no longer meet their deadline, adjusts the
 // limits, and removes expired state.
 func (a *Admitter) Tick(now time.Time) []Verdict {
-	a.setDefaults()
+	a.prepare()
 	var out []Verdict
 	for name, s := range a.services.All(now) {
 		if !s.idle() {
@@ -205,14 +205,14 @@
 // earns a part of one retry. When targets fail, retries then add a tenth to the load;
 // unlimited ones would multiply it and keep the targets from ever recovering.
 func (a *Admitter) Retry(now time.Time, serviceName string) bool {
-	a.setDefaults()
+	a.prepare()
 	s := a.service(now, serviceName)
 	return s != nil && s.retries.take()
 }
 
 // States returns a summary of each service, the most recently used first.
 func (a *Admitter) States(now time.Time) []State {
-	a.setDefaults()
+	a.prepare()
 	var out []State
 	for name, s := range a.services.All(now) {
 		out = append(out, State{Service: name, Limit: s.limit.calls(), InFlight: s.inFlight, Waiting: s.waiting.size})
@@ -288,21 +288,22 @@
 	return s
 }
 
-func (a *Admitter) setDefaults() {
+// prepare applies the defaults and creates the tables on the first call.
+func (a *Admitter) prepare() {
 	if a.ready {
 		return
 	}
 	a.ready = true
-	a.Queue = orDefault(a.Queue, DefaultQueue)
-	a.Customers = orDefault(a.Customers, DefaultCustomers)
-	a.Targets = orDefault(a.Targets, DefaultTargets)
-	a.ReportAge = orDefault(a.ReportAge, DefaultReportAge)
+	a.MaxQueue = orDefault(a.MaxQueue, DefaultQueue)
+	a.MaxCustomers = orDefault(a.MaxCustomers, DefaultCustomers)
+	a.MaxTargets = orDefault(a.MaxTargets, DefaultTargets)
+	a.MaxReportAge = orDefault(a.MaxReportAge, DefaultReportAge)
 	a.CallAge = orDefault(a.CallAge, DefaultCallAge)
-	a.Age = max(orDefault(a.Age, DefaultAge), a.CallAge)
+	a.IdleAge = max(orDefault(a.IdleAge, DefaultAge), a.CallAge)
 	a.Limit = a.Limit.withDefaults()
 	a.calls = make(map[string]*call)
-	a.services.Max = orDefault(a.Services, DefaultServices)
-	a.services.Age = a.Age
+	a.services.Max = orDefault(a.MaxServices, DefaultServices)
+	a.services.Age = a.IdleAge
 }
 
 func orDefault[T comparable](v, def T) T {
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -54,7 +54,7 @@
 // Guards against a large customer that takes the slots of small ones by sending as much
 // as it can. Slots are given out in proportion to the shares.
 func TestPlacesFollowShares(t *testing.T) {
-	a := &Admitter{Limit: LimitSettings{Initial: 4, Least: 4}, Queue: 8000}
+	a := &Admitter{Limit: LimitSettings{Initial: 4, Min: 4}, MaxQueue: 8000}
 	a.SetShares([]envdoc.Customer{{Name: "large", Share: 4}, {Name: "mid", Share: 2}})
 	got := admissionsByCustomer(t, a, []string{"large", "large", "large", "mid", "small", "large"}, 280)
 	want := map[string]int{"large": 160, "mid": 80, "small": 40}
@@ -68,7 +68,7 @@
 // Guards against one customer that fills the queue and shuts out another. The first
 // call of the other gets in, and the latest one of the first customer is refused.
 func TestFullQueueRefusesMostBacklogged(t *testing.T) {
-	a := &Admitter{Limit: LimitSettings{Initial: 1, Least: 1}, Queue: 2}
+	a := &Admitter{Limit: LimitSettings{Initial: 1, Min: 1}, MaxQueue: 2}
 	var got []Verdict
 	for _, o := range []Offer{offer("1", "x"), offer("2", "x"), offer("3", "x"), offer("4", "y"), offer("5", "x")} {
 		got = append(got, a.Offer(start, o)...)
@@ -88,7 +88,7 @@
 // within a second is refused at once with a Retry-After for when the queue is empty;
 // one with enough time waits.
 func TestRefusesWhatCannotMakeItsDeadline(t *testing.T) {
-	a := &Admitter{Limit: LimitSettings{Initial: 1, Least: 1}}
+	a := &Admitter{Limit: LimitSettings{Initial: 1, Min: 1}}
 	now := start
 	a.Offer(now, offer("0", "x"))
 	now = now.Add(2 * time.Second)
@@ -111,7 +111,7 @@
 
 // Guards against serving batch calls while any customer has an interactive one.
 func TestBatchWaitsForInteractive(t *testing.T) {
-	a := &Admitter{Limit: LimitSettings{Initial: 1, Least: 1}}
+	a := &Admitter{Limit: LimitSettings{Initial: 1, Min: 1}}
 	batch := offer("b", "x")
 	batch.Priority = route.PriorityBatch
 	a.Offer(start, offer("0", "x"))
@@ -153,7 +153,7 @@
 	now := start
 	report := func(queued int) {
 		for range 20 {
-			now = now.Add(a.Limit.Every)
+			now = now.Add(a.Limit.Interval)
 			a.Report(now, "helper", "t1", route.Report{At: now, Running: 10, Queued: queued, Capacity: 10})
 			a.Tick(now)
 		}
@@ -174,7 +174,7 @@
 // bound, and only open calls are stored.
 func TestEveryCallIsDecidedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := &Admitter{Queue: 5, Limit: LimitSettings{Initial: 3}}
+		a := &Admitter{MaxQueue: 5, Limit: LimitSettings{Initial: 3}}
 		now := start
 		open, running, decided := map[string]bool{}, map[string]bool{}, map[string]bool{}
 		take := func(vs []Verdict) {
@@ -234,8 +234,8 @@
 			},
 			"": func(t *rapid.T) {
 				for _, s := range a.States(now) {
-					if s.Waiting > a.Queue {
-						t.Fatalf("%d wait, want at most %d", s.Waiting, a.Queue)
+					if s.Waiting > a.MaxQueue {
+						t.Fatalf("%d wait, want at most %d", s.Waiting, a.MaxQueue)
 					}
 					if s.InFlight != len(running) {
 						t.Fatalf("%d in flight by its own count, %d by the callers'", s.InFlight, len(running))
--- a/core/request/admit/limit.go
+++ b/core/request/admit/limit.go
@@ -10,32 +10,33 @@
 type LimitSettings struct {
 	// Initial is the limit at the start.
 	Initial int
-	// Least is the lowest limit.
-	Least int
-	// Every is the interval between adjustments.
-	Every time.Duration
-	// Queued is the share of the targets' capacity that is to be queued at the targets,
-	// so that a slot that becomes free is used at once.
-	Queued float64
+	// Min is the lowest limit.
+	Min int
+	// Interval is the time between two adjustments.
+	Interval time.Duration
+	// QueuedShare is the share of the targets' capacity that is to be queued at the
+	// targets, so that a slot that becomes free is used at once.
+	QueuedShare float64
 	// Gain is the share of the missing or excess load that one adjustment corrects.
-	// Reports lag by about Every, so that at a gain near one each excess would be
+	// Reports lag by about Interval, so that at a gain near one each excess would be
 	// corrected twice.
 	Gain float64
-	// Slower is how many times its usual value the time to the first byte may reach at
-	// targets that send no reports.
-	Slower float64
-	// Cut is the factor by which the limit is reduced when answers start late.
-	Cut float64
+	// SlowFactor is how many times its usual value the time to the first byte may reach
+	// at targets that send no reports.
+	SlowFactor float64
+	// DecreaseFactor is the factor by which the limit is reduced when answers start
+	// late.
+	DecreaseFactor float64
 }
 
 func (l LimitSettings) withDefaults() LimitSettings {
 	l.Initial = orDefault(l.Initial, 16)
-	l.Least = orDefault(l.Least, 2)
-	l.Every = orDefault(l.Every, 500*time.Millisecond)
-	l.Queued = orDefault(l.Queued, 0.1)
+	l.Min = orDefault(l.Min, 2)
+	l.Interval = orDefault(l.Interval, 500*time.Millisecond)
+	l.QueuedShare = orDefault(l.QueuedShare, 0.1)
 	l.Gain = orDefault(l.Gain, 0.3)
-	l.Slower = orDefault(l.Slower, 3)
-	l.Cut = orDefault(l.Cut, 0.9)
+	l.SlowFactor = orDefault(l.SlowFactor, 3)
+	l.DecreaseFactor = orDefault(l.DecreaseFactor, 0.9)
 	return l
 }
 
@@ -98,7 +99,7 @@
 }
 
 // due reports whether the next adjustment is due.
-func (l *limit) due(now time.Time) bool { return now.Sub(l.adjusted) >= l.settings.Every }
+func (l *limit) due(now time.Time) bool { return now.Sub(l.adjusted) >= l.settings.Interval }
 
 func (l *limit) adjust(now time.Time, p targetLoad) {
 	l.adjusted = now
@@ -109,11 +110,11 @@
 	} else {
 		l.adjustByLatency(used)
 	}
-	l.value = math.Max(l.value, float64(l.settings.Least))
+	l.value = math.Max(l.value, float64(l.settings.Min))
 }
 
 func (l *limit) adjustByReports(p targetLoad, used bool) {
-	full := float64(p.capacity) * (1 + l.settings.Queued)
+	full := float64(p.capacity) * (1 + l.settings.QueuedShare)
 	room := (full - float64(p.calls)) / float64(p.capacity)
 	if room > 0 {
 		l.learnEntryShare(p)
@@ -131,7 +132,7 @@
 
 func (l *limit) adjustByLatency(used bool) {
 	if l.isSlow() {
-		l.value *= l.settings.Cut
+		l.value *= l.settings.DecreaseFactor
 		return
 	}
 	if used {
@@ -163,5 +164,5 @@
 		return false
 	}
 	l.usualFirstByte = time.Duration(float64(l.usualFirstByte) * usualDrift)
-	return float64(m) > l.settings.Slower*float64(l.usualFirstByte)
+	return float64(m) > l.settings.SlowFactor*float64(l.usualFirstByte)
 }
--- a/core/request/admit/service.go
+++ b/core/request/admit/service.go
@@ -29,11 +29,11 @@
 }
 
 func newService(a *Admitter) *service {
-	s := &service{limit: newLimit(a.Limit), retries: newRetryBudget(), maxQueue: a.Queue}
-	s.customers.Max = a.Customers
-	s.customers.Age = a.Age
-	s.reports.Max = a.Targets
-	s.reports.Age = a.ReportAge
+	s := &service{limit: newLimit(a.Limit), retries: newRetryBudget(), maxQueue: a.MaxQueue}
+	s.customers.Max = a.MaxCustomers
+	s.customers.Age = a.IdleAge
+	s.reports.Max = a.MaxTargets
+	s.reports.Age = a.MaxReportAge
 	return s
 }
 
