--- a/core/request/place/entrycount.go
+++ b/core/request/place/entrycount.go
@@ -20,7 +20,7 @@
 // zones listen to it. targets is the number of targets in the side's zone, zones the
 // number of zones.
 func (c *Census) Note(side netip.Addr, own, other, targets, zones int) {
-	ownShare, otherShare := Coverage(targets, zones)
+	ownShare, otherShare := SubsetShares(targets, zones)
 	estimate := float64(own)/ownShare + float64(other)/otherShare
 	if c.estimates == nil {
 		c.estimates = map[netip.Addr]float64{}
--- a/core/request/place/subset.go
+++ b/core/request/place/subset.go
@@ -65,10 +65,10 @@
 	}
 }
 
-// Coverage returns which share of the entries in a target's own zone, and which share
-// of those in other zones, have the target in their subset, if each of the given number
-// of zones has n targets of its service.
-func Coverage(n, zones int) (own, other float64) {
+// SubsetShares returns which share of the entries in a target's own zone, and which
+// share of those in other zones, have the target in their subset, if each of the given
+// number of zones has n targets of its service.
+func SubsetShares(n, zones int) (own, other float64) {
 	n = max(n, 1)
 	q := quotaOf(n, zones-1)
 	return min(1, float64(q.own)/float64(n)), min(1, float64(q.other)/float64(n))
