--- a/core/request/place/place.go
+++ b/core/request/place/place.go
@@ -3,10 +3,15 @@
 // bursts at model engines: what delays a first token there is the unread prompts ahead
 // of it and the answers written beside it, not the number of requests.
 //
+// An engine works in passes, each of which writes one event of a few tokens for every
+// active answer. The first answer is the first event of a stream, or the whole answer
+// of a request without a stream. A plain service is one without a declared engine.
+//
 // One Placer serves an entry; package direct calls it. It has no clock and starts no
 // goroutines. Each method takes the current time and returns the resulting verdicts,
 // both for the request that it is called for and for waiting requests that the event
-// placed or refused.
+// placed or refused. Package hosted uses Subset and Census to choose which sides (the
+// processes beside the targets) an entry listens to, and to count the entries.
 package place
 
 import (
@@ -38,7 +43,7 @@
 	Priority  int
 	// Limits bound until when older versions of the model may begin the request.
 	Limits []VersionLimit
-	// Newest is the newest version named in the configuration.
+	// Newest is the newest version named for the service's model, 0 without an engine.
 	Newest uint64
 	// Avoid lists the targets that have failed this request.
 	Avoid []string
