--- a/core/version/burst/acquire.go
+++ b/core/version/burst/acquire.go
@@ -8,21 +8,21 @@
 	"hawthornferry/core/process/rank"
 )
 
-// sourceTries is how many tries at sides of the earlier region an import makes at
-// the least before it turns to the origin.
-const sourceTries = 3
+// minImportTries is the least number of attempts at sides of the upstream region
+// before an import falls back to the origin.
+const minImportTries = 3
 
-// soonerFactor is how many times less a version must lack than the newest to be
-// fetched before it.
-const soonerFactor = 2
+// nearlyDoneFactor says when an older version is fetched before the newest: when the
+// newest lacks at least this many times as many chunks.
+const nearlyDoneFactor = 2
 
 // regionOrder returns the regions in the order in which chunk i passes through
 // them. The origin's region comes first when it has members; the others
-// follow in rendezvous order, turned by one place for each chunk, so that
+// follow in rendezvous order, rotated by one place for each chunk, so that
 // the pairs of regions carry equal shares.
-func (s *State) regionOrder(st *set, i int) []string {
+func (s *State) regionOrder(v *version, i int) []string {
 	var first, rest []string
-	for _, r := range st.regions {
+	for _, r := range v.regions {
 		if r == s.cfg.OriginRegion {
 			first = append(first, r)
 			continue
@@ -37,10 +37,10 @@
 	return append(out, rest[:k]...)
 }
 
-// upstreamOf is the region from which the own region gets chunk i, empty for
+// upstreamOf is the region from which this side's region gets chunk i, empty for
 // the origin.
-func (s *State) upstreamOf(st *set, i int) string {
-	order := s.regionOrder(st, i)
+func (s *State) upstreamOf(v *version, i int) string {
+	order := s.regionOrder(v, i)
 	k := slices.Index(order, s.cfg.Self.Region)
 	if k <= 0 {
 		return ""
@@ -48,288 +48,290 @@
 	return order[(k-1)/s.cfg.Fanout]
 }
 
-// acquire starts the draws and imports whose turn it is. Chunks take turns in
-// manifest order: only the first few that the region lacks may be on the way
-// from one upstream at a time, so that the shares of the link that the
-// importers use add up to no more than the link, with no shared record.
-func (s *State) acquire(now time.Time) {
+// startFetches starts the origin fetches and imports that are due. Chunks are
+// fetched in manifest order, and only the first few that the region lacks may be in
+// transfer from one upstream at a time. So the link shares that the importing sides
+// use add up to no more than the link, although they share no state.
+func (s *State) startFetches(now time.Time) {
 	shared := map[string]int{}
-	for _, st := range s.inTurn() {
+	for _, v := range s.fetchOrder() {
 		if s.cfg.Direct {
-			s.drawAll(now, st)
+			s.fetchAllFromOrigin(now, v)
 			continue
 		}
-		s.takeTurns(now, st, shared)
-		s.drawExtra(now, st)
+		s.startDue(now, v, shared)
+		s.fetchExtraCopy(now, v)
 	}
 }
 
-// inTurn lists the versions to fetch in the order in which they take turns: the
-// newest first, but one of which the region lacks less than half as much goes before
-// it. Were they to share the link, neither might be whole when the origin goes away.
-func (s *State) inTurn() []*set {
-	var out []*set
-	for _, st := range s.sets {
-		if !st.keep {
-			out = append(out, st)
+// fetchOrder lists the versions to fetch: the newest first, but a version of which the
+// region lacks at most half as much goes before it. If they shared the link, neither
+// might be complete when the origin becomes unavailable.
+func (s *State) fetchOrder() []*version {
+	var out []*version
+	for _, v := range s.versions {
+		if !v.keepOnly {
+			out = append(out, v)
 		}
 	}
 	if len(out) == 0 {
 		return nil
 	}
-	newest := out[0].unseen()
-	slices.SortStableFunc(out, func(a, b *set) int {
-		return cmp.Compare(b.goesFirst(newest), a.goesFirst(newest))
+	newest := out[0].missingInRegion()
+	slices.SortStableFunc(out, func(a, b *version) int {
+		return cmp.Compare(b.priority(newest), a.priority(newest))
 	})
 	return out
 }
 
-// unseen is how many chunks the region is not known to hold.
-func (st *set) unseen() int { return len(st.items) - st.seen.Count() }
+// missingInRegion is how many chunks the region is not known to hold.
+func (v *version) missingInRegion() int { return len(v.chunks) - v.heldInRegion.Count() }
 
-// goesFirst is 1 for a version that is nearly there, where the newest lacks the
-// given number of chunks.
-func (st *set) goesFirst(newest int) int {
-	if n := st.unseen(); n > 0 && n*soonerFactor <= newest {
+// priority is 1 for a version that is nearly complete compared with the newest, and 0
+// otherwise. newest is how many chunks the newest lacks.
+func (v *version) priority(newest int) int {
+	if n := v.missingInRegion(); n > 0 && n*nearlyDoneFactor <= newest {
 		return 1
 	}
 	return 0
 }
 
-// takeTurns starts what is due of one version. shared counts the turns that all
-// versions use of each upstream; a chunk that is tried in vain takes one of its own
-// version only, or a version that cannot be had would hold up another.
-func (s *State) takeTurns(now time.Time, st *set, shared map[string]int) {
+// startDue starts the transfers of one version that are due. shared counts the fetch
+// slots of each upstream that all versions use. A chunk whose attempts fail uses a slot
+// of its own version only, so that a version that cannot be fetched does not block
+// another.
+func (s *State) startDue(now time.Time, v *version, shared map[string]int) {
 	taken := map[string]int{}
-	for i, it := range st.items {
-		if it.held {
+	for i, c := range v.chunks {
+		if c.held {
 			continue
 		}
-		if it.early {
-			s.start(now, st, i, mostPatience*mostRank)
+		if c.announcedEarly {
+			s.startFetch(now, v, i, maxTimeout*maxRank)
 			continue
 		}
-		if st.seen.Has(i) {
-			s.recover(now, st, i)
+		if v.heldInRegion.Has(i) {
+			s.recover(now, v, i)
 			continue
 		}
-		up := st.upstream[i]
-		if max(taken[up], shared[up]) >= s.turns(up) {
+		up := v.upstream[i]
+		if max(taken[up], shared[up]) >= s.fetchSlots(up) {
 			continue
 		}
-		if it.dueAt.IsZero() {
-			it.dueAt = now
+		if c.dueAt.IsZero() {
+			c.dueAt = now
 		}
-		late := now.Sub(it.dueAt)
-		if late < s.stepIn(up, 1) {
+		late := now.Sub(c.dueAt)
+		if late < s.rankDelay(up, 1) {
 			taken[up]++
-			if !it.inVain(now) {
+			if !c.retrying(now) {
 				shared[up]++
 			}
 		} else {
-			s.suspectFirst(now, st, i)
+			s.suspectFirstRanked(now, v, i)
 		}
-		s.start(now, st, i, late)
+		s.startFetch(now, v, i, late)
 	}
 }
 
-// inVain reports whether the region is known to have tried to fetch a chunk and
-// failed lately.
-func (it *item) inVain(now time.Time) bool {
-	return it.fails > 0 || it.laters > 0 || !it.tried.IsZero() && now.Sub(it.tried) < leastStepIn
+// retrying reports whether the region is known to have tried to fetch the chunk and
+// failed recently.
+func (c *chunkState) retrying(now time.Time) bool {
+	return c.failures > 0 || c.deferrals > 0 || !c.tried.IsZero() && now.Sub(c.tried) < minRankDelay
 }
 
-func (s *State) turns(up string) int {
+func (s *State) fetchSlots(up string) int {
 	if up == "" {
 		return s.cfg.Draws
 	}
 	return s.cfg.Turns
 }
 
-// start begins the transfer of a chunk that is due when this side ranks
-// first for it, or has waited as long as its rank asks.
-func (s *State) start(now time.Time, st *set, i int, late time.Duration) {
-	it := st.items[i]
-	if it.pending() || now.Before(it.retryAt) {
+// startFetch starts the transfer of a due chunk if this side ranks first for it,
+// or if it has waited as long as its rank requires.
+func (s *State) startFetch(now time.Time, v *version, i int, late time.Duration) {
+	c := v.chunks[i]
+	if c.pending() || now.Before(c.retryAt) {
 		return
 	}
-	up := st.upstream[i]
-	pos := s.position(st, i)
-	if pos < 0 || late < s.stepIn(up, pos) {
+	up := v.upstream[i]
+	pos := s.rankFor(v, i)
+	if pos < 0 || late < s.rankDelay(up, pos) {
 		return
 	}
-	if up == "" && s.running(ViaOrigin) >= s.cfg.Draws {
+	if up == "" && s.countVia(ViaOrigin) >= s.cfg.Draws {
 		return
 	}
-	s.fetchFrom(now, st, i, up, pos)
+	s.fetch(now, v, i, up, pos)
 }
 
-// mostRank is above every rank; late by that much a side need not wait.
-const mostRank = 1 << 16
+// maxRank is above every rank. A chunk that this side announced early is treated as overdue
+// by maxTimeout*maxRank, so that a failed import of it is restarted at once at any rank.
+const maxRank = 1 << 16
 
-// unranked marks a rank that was not yet worked out.
-const unranked = -2
+// rankUnknown marks a rank that has not been computed yet.
+const rankUnknown = -2
 
-// position is this side's rank for a chunk among the sides of the region.
-func (s *State) position(st *set, i int) int {
-	if st.place[i] == unranked {
-		key := string(st.items[i].ref.Digest)
-		st.place[i] = rank.Position(key, s.cfg.Self.Name, s.trusted(st))
+// rankFor is this side's rank for a chunk among the sides of the region.
+func (s *State) rankFor(v *version, i int) int {
+	if v.ranks[i] == rankUnknown {
+		key := string(v.chunks[i].ref.Digest)
+		v.ranks[i] = rank.Position(key, s.cfg.Self.Name, s.candidates(v))
 	}
-	return st.place[i]
+	return v.ranks[i]
 }
 
-func (s *State) fetchFrom(now time.Time, st *set, i int, up string, pos int) {
-	it := st.items[i]
+func (s *State) fetch(now time.Time, v *version, i int, up string, pos int) {
+	c := v.chunks[i]
 	reason := "ranks first"
 	if pos > 0 {
 		reason = "steps in"
 	}
-	from := s.exporter(now, st, it, up)
+	from := s.pickExporter(now, v, c, up)
 	if from == "" {
-		s.begin(now, it, Fetch{Chunk: it.ref, Via: ViaOrigin, Reason: reason})
+		s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaOrigin, Reason: reason})
 		return
 	}
 	s.peer(from, up)
-	s.begin(now, it, Fetch{Chunk: it.ref, Via: ViaImport, Peer: from, Share: s.share(st, up), Reason: reason})
+	s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaImport, Peer: from, Share: s.linkShare(v, up), Reason: reason})
 }
 
-// share is the part of the region link that one import from region up may
-// use. The own link inwards is shared by the regions that still have chunks
-// for this one, the other's link outwards by the regions that it feeds.
-func (s *State) share(st *set, up string) float64 {
-	feeds := len(st.regions) - 1
-	if up != s.cfg.OriginRegion && slices.Contains(st.regions, s.cfg.OriginRegion) {
+// linkShare is the fraction of the region link that one import from region up may
+// use. The incoming link of this region is shared by the regions that still have chunks
+// for it, the outgoing link of the other by the regions that it supplies.
+func (s *State) linkShare(v *version, up string) float64 {
+	feeds := len(v.regions) - 1
+	if up != s.cfg.OriginRegion && slices.Contains(v.regions, s.cfg.OriginRegion) {
 		feeds--
 	}
 	var from []string
-	for i, u := range st.upstream {
-		if u != "" && !st.seen.Has(i) && !slices.Contains(from, u) {
+	for i, u := range v.upstream {
+		if u != "" && !v.heldInRegion.Has(i) && !slices.Contains(from, u) {
 			from = append(from, u)
 		}
 	}
 	return 1 / float64(max(feeds, len(from), 1)*s.cfg.Turns)
 }
 
-// exporter picks the side of region up to ask for a chunk: the one that ranks
-// first for it, which has it first; after failures the next in rank, and
-// after those none, which means the origin.
-func (s *State) exporter(now time.Time, st *set, it *item, up string) string {
-	if up == "" || s.drawsInstead(now, st, it, up) {
+// pickExporter picks the side of region up to request a chunk from: the one that
+// ranks first for it, which gets it first; after failures the next in rank. It
+// returns "" for the origin.
+func (s *State) pickExporter(now time.Time, v *version, c *chunkState, up string) string {
+	if up == "" || s.fallsBackToOrigin(now, v, c, up) {
 		return ""
 	}
-	names := st.members[up]
-	ordered := rank.Order(string(it.ref.Digest), names, func(n string) string { return n })
+	names := v.members[up]
+	ordered := rank.Order(string(c.ref.Digest), names, func(n string) string { return n })
 	if len(ordered) == 0 {
 		return ""
 	}
-	if it.probing && len(ordered) > 1 {
-		return ordered[(it.attempts+1+(it.laters-1)%(len(ordered)-1))%len(ordered)]
+	if c.probing && len(ordered) > 1 {
+		return ordered[(c.attempts+1+(c.deferrals-1)%(len(ordered)-1))%len(ordered)]
 	}
-	for _, n := range ordered[min(it.attempts, len(ordered)):] {
-		if p, ok := s.peers[n]; ok && now.Before(p.badUntil) {
+	for _, n := range ordered[min(c.attempts, len(ordered)):] {
+		if p, ok := s.peers[n]; ok && now.Before(p.avoidUntil) {
 			continue
 		}
 		return n
 	}
-	return ordered[it.attempts%len(ordered)]
+	return ordered[c.attempts%len(ordered)]
 }
 
-// recover fetches a chunk that the region was heard to hold but that no
-// neighbour has had for long, or that neighbours failed to send more than
-// once: those that held it may be gone, or hold it corrupt, and the side
-// would never be whole.
-func (s *State) recover(now time.Time, st *set, i int) {
-	it := st.items[i]
-	if it.pending() || (it.badTrades < mostBadTrades && s.withinReach(now, st, i)) {
-		// The time since it was first out of reach is kept: a neighbour
-		// whose link has stalled comes within reach between its faults,
-		// and counting anew each time would never end.
+// recover fetches a chunk that is said to be held in the region, but that
+// no reachable neighbour has held for long or that neighbours failed to send more than
+// once. The sides that held it may be gone, or hold it corrupt, and this side
+// would never be complete.
+func (s *State) recover(now time.Time, v *version, i int) {
+	c := v.chunks[i]
+	if c.pending() || (c.failedTrades < maxFailedTrades && s.reachable(now, v, i)) {
+		// unreachableSince is kept when the chunk becomes reachable. A neighbour whose
+		// link has stalled becomes reachable between its faults, and a timer restarted
+		// each time would never end.
 		return
 	}
-	if it.lostAt.IsZero() {
-		it.lostAt = now
+	if c.unreachableSince.IsZero() {
+		c.unreachableSince = now
 	}
-	up := st.upstream[i]
-	late := now.Sub(it.lostAt) - s.lostWait(now, up)
+	up := v.upstream[i]
+	late := now.Sub(c.unreachableSince) - s.unreachableTimeout(now, up)
 	if late < 0 {
 		return
 	}
-	s.start(now, st, i, late)
+	s.startFetch(now, v, i, late)
 }
 
-// lostWait is how long a chunk that was heard of may stay out of reach: it takes some
-// steps from neighbour to neighbour. When a side has ended it may have been the only
-// one to hold it.
-func (s *State) lostWait(now time.Time, up string) time.Duration {
-	if now.Sub(s.passedOver) < goneFor {
-		return triedEvery
-	}
-	return lostFactor * s.stepIn(up, 1)
+// unreachableTimeout is how long a chunk that the region is said to hold may stay
+// unreachable: it takes some steps from neighbour to neighbour. The timeout is shorter
+// after a side stopped running, since that one may have been the only holder.
+func (s *State) unreachableTimeout(now time.Time, up string) time.Duration {
+	if now.Sub(s.lastDownAt) < downDuration {
+		return retryNoticeInterval
+	}
+	return unreachableFactor * s.rankDelay(up, 1)
 }
 
-// withinReach reports whether a neighbour that is not left alone holds chunk i.
-func (s *State) withinReach(now time.Time, st *set, i int) bool {
-	if st.copies[i] == 0 || !s.blaming(now) {
-		return st.copies[i] > 0
+// reachable reports whether a neighbour that is not avoided holds chunk i.
+func (s *State) reachable(now time.Time, v *version, i int) bool {
+	if v.neighbourCopies[i] == 0 || !s.anyAvoided(now) {
+		return v.neighbourCopies[i] > 0
 	}
-	for _, p := range s.order {
-		if s.near(p) && p.maps[st.id].Has(i) && !now.Before(p.badUntil) {
+	for _, p := range s.sortedPeers {
+		if s.near(p) && p.heldChunks[v.id].Has(i) && !now.Before(p.avoidUntil) {
 			return true
 		}
 	}
 	return false
 }
 
-// blaming reports whether any peer is left alone now.
-func (s *State) blaming(now time.Time) bool { return now.Before(s.blameEnd) }
+// anyAvoided reports whether any peer is avoided now.
+func (s *State) anyAvoided(now time.Time) bool { return now.Before(s.avoidEnd) }
 
-func (s *State) drawAll(now time.Time, st *set) {
-	for _, it := range st.items {
-		if it.held || it.pending() || now.Before(it.retryAt) {
+func (s *State) fetchAllFromOrigin(now time.Time, v *version) {
+	for _, c := range v.chunks {
+		if c.held || c.pending() || now.Before(c.retryAt) {
 			continue
 		}
-		if s.running(ViaOrigin) >= s.cfg.Inbound {
+		if s.countVia(ViaOrigin) >= s.cfg.Inbound {
 			return
 		}
-		s.begin(now, it, Fetch{Chunk: it.ref, Via: ViaOrigin, Reason: "baseline"})
+		s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaOrigin, Reason: "baseline"})
 	}
 }
 
-func (s *State) running(v Via) int {
+func (s *State) countVia(v Via) int {
 	n := 0
-	for _, it := range s.items {
-		if it.via == v {
+	for _, c := range s.chunks {
+		if c.via == v {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *State) begin(now time.Time, it *item, f Fetch) {
-	it.via = f.Via
-	it.from = f.Peer
-	it.began = now
-	it.since = now
-	it.flowing, it.asked = false, false
-	it.queued = true
-	it.deadline = now.Add(max(s.startPatience(f.Via), queueFactor*s.cfg.MostPause))
-	for _, pl := range it.places {
-		pl.set.pending.Set(pl.index)
+func (s *State) beginTransfer(now time.Time, c *chunkState, f Fetch) {
+	c.via = f.Via
+	c.source = f.Peer
+	c.startedAt = now
+	c.firstByteAt = now
+	c.receiving, c.fullyRequested = false, false
+	c.queued = true
+	c.deadline = now.Add(max(s.startTimeout(f.Via), maxQueueBackoffs*s.cfg.MostPause))
+	for _, pl := range c.positions {
+		pl.version.pending.Set(pl.index)
 	}
 	if f.Via == ViaTrade {
-		s.trades++
+		s.inboundTrades++
 	}
 	s.emit(f)
 }
 
-func (s *State) clearPending(it *item) {
-	if it.via == ViaTrade {
-		s.trades--
-	}
-	it.via, it.from = "", ""
-	it.later, it.queued, it.probing = false, false, false
-	for _, pl := range it.places {
-		pl.set.pending.Clear(pl.index)
+func (s *State) clearPending(c *chunkState) {
+	if c.via == ViaTrade {
+		s.inboundTrades--
+	}
+	c.via, c.source = "", ""
+	c.awaitingPeer, c.queued, c.probing = false, false, false
+	for _, pl := range c.positions {
+		pl.version.pending.Clear(pl.index)
 	}
 }
--- a/core/version/burst/action.go
+++ b/core/version/burst/action.go
@@ -2,22 +2,23 @@
 
 import "hawthornferry/core/version/chunk"
 
-// Action is one thing that the caller of a State must do. Actions are to be
-// carried out in the order in which they were given.
+// Action is one thing that the caller of a State must do. Actions must be
+// carried out in the order in which they were returned.
 type Action interface{ isAction() }
 
-// Via says which way a chunk comes to a side.
+// Via is the route by which a chunk reaches a side.
 type Via string
 
-// The ways in which a chunk comes.
+// The routes: from the origin, from a side of another region, and from a side of the same
+// region.
 const (
 	ViaOrigin Via = "origin"
 	ViaImport Via = "import"
 	ViaTrade  Via = "trade"
 )
 
-// Fetch starts the transfer of a chunk. Peer is the side to ask, empty for
-// the origin. Share is the part of the region link that an import may use.
+// Fetch starts the transfer of a chunk. Peer is the side to request it from, empty for
+// the origin. Share is the fraction of the region link that an import may use.
 type Fetch struct {
 	Chunk  chunk.Ref
 	Via    Via
@@ -26,15 +27,15 @@
 	Reason string
 }
 
-// Stop ends a transfer that was started: it has stalled, or the chunk is no
-// longer wanted.
+// Stop ends a transfer that was started: it timed out, it need not wait for the peer to
+// get the chunk, or the chunk is no longer wanted.
 type Stop struct {
 	Chunk  chunk.Digest
 	Peer   string
 	Reason string
 }
 
-// Offer tells a peer that it may ask for one chunk.
+// Offer tells a peer that it may request one chunk.
 type Offer struct{ Peer string }
 
 // Pass refuses a peer's offer.
@@ -43,8 +44,8 @@
 // Ready tells a peer whose offer was refused that it may offer again.
 type Ready struct{ Peer string }
 
-// Announce tells a peer of chunks of one manifest: Have, held by this side, Seen,
-// held by some side of the region, and Tried, which some side keeps trying to fetch
+// Announce tells a peer about chunks of one manifest: Have are held by this side, Seen
+// by some side of the region, and Tried are those that some side keeps trying to fetch
 // for the region.
 type Announce struct {
 	Peer     string
@@ -54,7 +55,7 @@
 	Tried    []int
 }
 
-// Greet sends a peer the whole maps of one manifest.
+// Greet sends a peer the complete chunk sets of one manifest.
 type Greet struct {
 	Peer     string
 	Manifest chunk.Digest
@@ -62,7 +63,7 @@
 	Seen     Bits
 }
 
-// Gone tells a peer of sides of the region that do not run.
+// Gone tells a peer about sides of the region that do not run.
 type Gone struct {
 	Peer  string
 	Sides []string
@@ -71,10 +72,10 @@
 // Connect opens a connection to a neighbour.
 type Connect struct{ Peer string }
 
-// Disconnect closes the connection to a peer; it is opened anew when needed.
+// Disconnect closes the connection to a peer; it is reopened when needed.
 type Disconnect struct{ Peer string }
 
-// Discard drops a chunk that no wanted version has from the staging area.
+// Discard deletes a chunk that no wanted version has from the staging area.
 type Discard struct{ Chunk chunk.Digest }
 
 func (Fetch) isAction()      {}
--- a/core/version/burst/bits.go
+++ b/core/version/burst/bits.go
@@ -6,8 +6,8 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Bits is a set of chunk indexes of one manifest, eight to a byte, the lowest
-// index in the lowest bit.
+// Bits is a set of chunk indexes of one manifest as a bitmap of eight indexes a byte,
+// with the lowest index in the lowest bit.
 type Bits []byte
 
 // NewBits returns an empty set for n chunks.
@@ -21,9 +21,9 @@
 // Set adds i.
 func (b Bits) Set(i int) { b[i/8] |= 1 << (i % 8) }
 
-// with returns b with the given indexes, grown as needed. Indexes that no
-// manifest has are left out.
-func (b Bits) with(indexes []int) Bits {
+// withIndexes returns b with the given indexes added, grown as needed. Indexes
+// outside the range of every manifest are ignored.
+func (b Bits) withIndexes(indexes []int) Bits {
 	for _, i := range indexes {
 		if i < 0 || i >= chunk.MaxChunks {
 			continue
@@ -42,7 +42,7 @@
 // Clear removes i.
 func (b Bits) Clear(i int) { b[i/8] &^= 1 << (i % 8) }
 
-// Count is the number of members.
+// Count is the number of indexes in the set.
 func (b Bits) Count() int {
 	n := 0
 	for _, x := range b {
@@ -51,7 +51,7 @@
 	return n
 }
 
-func (b Bits) members() []int {
+func (b Bits) indexes() []int {
 	var out []int
 	for i := range len(b) * 8 {
 		if b.Has(i) {
@@ -61,8 +61,8 @@
 	return out
 }
 
-// beyond counts the members of b that are not in other.
-func (b Bits) beyond(other Bits) int {
+// countNotIn counts the indexes of b that are not in other.
+func (b Bits) countNotIn(other Bits) int {
 	n := 0
 	for i, x := range b {
 		n += bits.OnesCount8(x &^ other.byteAt(i))
--- a/core/version/burst/burst.go
+++ b/core/version/burst/burst.go
@@ -1,12 +1,15 @@
-// Package burst decides how the chunks of wanted versions reach every side.
-// A State takes events and the time at which they happened and answers with
-// actions; it holds no chunk bytes and has no socket, goroutine or clock.
+// Package burst decides how the chunks of wanted model versions reach every
+// side, the process that runs beside one target. It is called by
+// io/version/swarm, which does the network and disk work. A State is given
+// events with the time at which they happened and returns the actions to take;
+// it holds no chunk bytes and has no socket, goroutine or clock.
 //
-// Each chunk leaves the origin once and enters each region once: the side
-// that ranks first for it in the origin's region draws it, and the regions
-// hand it on along a chain. Inside a region sides trade chunks by offers: a
-// side with a free upload slot offers to a neighbour that lacks something,
-// and the neighbour picks the chunk that is rarest around it.
+// Each chunk is fetched from the origin once and enters each region once. The
+// side that ranks first for the chunk (rendezvous hashing) in the first region
+// fetches it from the origin, and the regions pass it on from one to the next.
+// Within a region, sides exchange chunks by offers: a side with a free upload
+// slot sends an offer to a neighbour that lacks something it holds, and the
+// neighbour requests the chunk that the fewest of its neighbours hold.
 package burst
 
 import (
@@ -17,42 +20,42 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Bounds and customary values.
+// Defaults and limits of a Config.
 const (
-	// DefaultDegree is how many neighbours a side dials; about as many
-	// dial it.
+	// DefaultDegree is how many neighbours a side connects to; about as many
+	// connect to it.
 	DefaultDegree = 6
 	// DefaultUploads is how many chunks a side sends at a time.
 	DefaultUploads = 3
-	// DefaultInbound is how many traded chunks a side takes at a time.
+	// DefaultInbound is how many chunks a side takes from its neighbours at a time.
 	DefaultInbound = 4
-	// DefaultTurns is how many chunks cross a region link at a time for
-	// each pair of regions.
+	// DefaultTurns is how many chunks are transferred at a time between each
+	// pair of regions.
 	DefaultTurns = 2
-	// WideTurns is the same for a link that carries more than the sides can
-	// take in: the wait for each next chunk then weighs more than the time
-	// that a chunk takes along the chain.
+	// WideTurns is the same for a region link that carries more than the sides
+	// can receive: starting the next chunk without delay then matters more than
+	// how soon a single chunk has passed all regions.
 	WideTurns = 4
-	// DefaultFanout has each region hand a chunk on to one other: the link out of
-	// no region then carries more than one copy.
+	// DefaultFanout makes each region pass a chunk on to one other region, so
+	// that no region's outgoing link carries more than one copy.
 	DefaultFanout = 1
-	// WideFanout is the same for links that carry more than the sides can take in:
-	// the number of regions that a chunk passes one after the other weighs more.
+	// WideFanout is the same for links that carry more than the sides can receive:
+	// the number of regions that a chunk passes in sequence then matters more.
 	WideFanout = 2
-	// DefaultDraws is how many chunks a region draws from the origin at a
+	// DefaultDraws is how many chunks a region fetches from the origin at a
 	// time.
 	DefaultDraws = 4
-	// DefaultLeastPatience is above what a busy machine or a pause of the
-	// runtime costs.
+	// DefaultLeastPatience is longer than the delays that a busy machine or a
+	// pause of the Go runtime causes.
 	DefaultLeastPatience = 500 * time.Millisecond
-	// DefaultMostPause keeps a thousand sides that wait for one origin to
-	// some hundred tries a second.
+	// DefaultMostPause limits a thousand sides that wait for one origin to a few
+	// hundred attempts a second.
 	DefaultMostPause = 5 * time.Second
-	// MaxPeers bounds the peers of which a side keeps state.
+	// MaxPeers bounds the number of peers for which a side keeps state.
 	MaxPeers = 256
 )
 
-// Member is one side and its region.
+// Member is the name of a side and its region.
 type Member struct {
 	Name   string
 	Region string
@@ -63,15 +66,16 @@
 	ID       chunk.Digest
 	Manifest chunk.Manifest
 	Members  []Member
-	// Keep marks a version that is no longer wanted but whose chunks are not
-	// to be discarded yet; nothing of it is fetched.
+	// Keep marks a version that is no longer wanted but whose chunks must not be
+	// discarded yet. Nothing of it is fetched.
 	Keep bool
-	// Staged are the chunks that were found in the staging area, verified.
+	// Staged are the verified chunks that were found in the staging area.
 	Staged []chunk.Digest
 }
 
-// Config tunes a State. Zero values are replaced by the defaults. Direct has
-// every side draw everything from the origin; it is the load tool's baseline.
+// Config tunes a State. Zero values are replaced by the defaults. Direct makes
+// every side fetch everything from the origin; the load tool (bench/burst) uses
+// it as its baseline.
 type Config struct {
 	Self         Member
 	OriginRegion string
@@ -83,149 +87,151 @@
 	Fanout       int
 	Draws        int
 	Direct       bool
-	// LeastPatience bounds from below how long a transfer may bring nothing
-	// and how long a rank waits for the one before it.
+	// LeastPatience is the lower bound of every transfer timeout and of the time
+	// that a side waits for the one that ranks before it.
 	LeastPatience time.Duration
-	// MostPause bounds how long a source that failed, or a peer that does not
-	// answer, is left alone. After an outage that much time may be lost.
+	// MostPause is the upper bound of the retry delay of a failed source or of a
+	// peer that does not answer. After an outage up to that much time is lost.
 	MostPause time.Duration
 	Seed      uint64
 }
 
-// State is the belief and the plans of one side. It is not safe for
-// concurrent use.
+// State holds what one side knows of its peers and which transfers run. It is
+// not safe for concurrent use.
 type State struct {
-	cfg   Config
-	rng   *rand.Rand
-	sets  []*set
-	items map[chunk.Digest]*item
-	peers map[string]*peer
-	// order holds the peers by name, so that decisions do not hang on the
-	// order of a map.
-	order []*peer
-	// dials are the neighbours that this side connects to.
-	dials []string
+	cfg      Config
+	rng      *rand.Rand
+	versions []*version
+	chunks   map[chunk.Digest]*chunkState
+	peers    map[string]*peer
+	// sortedPeers holds the peers sorted by name, so that decisions do not
+	// depend on map order.
+	sortedPeers []*peer
+	// dialNames are the neighbours that this side connects to.
+	dialNames []string
 	// uploads counts the upload slots in use.
 	uploads int
-	// suspects are sides that missed their turn, with the time until which
-	// they are passed over.
+	// suspects are sides that did not fetch a chunk in time, with the time until
+	// which they are skipped in the ranking.
 	suspects map[string]time.Time
-	// ended are sides that were found to have ended, with the time until which they
-	// are taken not to have started again.
-	ended map[string]time.Time
-	// passedOver is when a side was last found to have ended.
-	passedOver time.Time
-	// troubled are the upstreams, empty for the origin, from which this side
-	// found nothing to be had.
-	troubled map[string]bool
-	// flowed is when a chunk last came from an upstream.
-	flowed map[string]time.Time
-	// originUp is since when the origin has answered this side, zero if it failed
-	// last, and originDown when it last failed.
-	originUp   time.Time
-	originDown time.Time
-	// blameEnd is when the last peer that is left alone is asked again.
-	blameEnd time.Time
-	// stale is set when the next settle must look for draws and imports.
-	stale  bool
-	trades int
-	timing map[Via]*timing
-	out    []Action
+	// down are sides that were reported as not running, with the time until which
+	// they are skipped; after that they may have been restarted.
+	down map[string]time.Time
+	// lastDownAt is when a side was last found not to run.
+	lastDownAt time.Time
+	// unavailable holds the upstreams (regions, or "" for the origin) from which
+	// this side's own attempts failed.
+	unavailable map[string]bool
+	// lastReceived is when a chunk last came from an upstream.
+	lastReceived map[string]time.Time
+	// originUpSince is since when the origin has answered this side, zero if its
+	// last request failed; originFailedAt is when a request last failed.
+	originUpSince  time.Time
+	originFailedAt time.Time
+	// avoidEnd is when the last of the peers that are avoided is used again.
+	avoidEnd time.Time
+	// fetchesDue is set when the next decide must look for chunks to fetch.
+	fetchesDue    bool
+	inboundTrades int
+	durations     map[Via]*durations
+	actions       []Action
 }
 
-// set is one wanted version with the maps of what is where.
-type set struct {
-	id       chunk.Digest
-	keep     bool
-	manifest chunk.Manifest
-	items    []*item
-	members  map[string][]string // by region
-	regions  []string            // all regions with members, in rendezvous order
-	have     Bits
-	pending  Bits
-	seen     Bits     // held by some side of the region
-	copies   []uint16 // neighbours that hold each chunk
-	upstream []string // the region each chunk comes from, empty for the origin
-	place    []int    // this side's rank for each chunk, unranked until needed
-	// extra is what this side drew beyond the region's first copy, in bytes,
-	// and extraPlace its rank among those that may.
-	extra      int64
-	extraPlace int
+// version is one wanted version, with sets of the chunks that are held here and elsewhere.
+type version struct {
+	id              chunk.Digest
+	keepOnly        bool
+	manifest        chunk.Manifest
+	chunks          []*chunkState
+	members         map[string][]string // by region
+	regions         []string            // all regions with members, in rendezvous order
+	heldHere        Bits
+	pending         Bits
+	heldInRegion    Bits     // held by some side of the region
+	neighbourCopies []uint16 // number of neighbours that hold each chunk
+	upstream        []string // the region each chunk comes from, empty for the origin
+	ranks           []int    // this side's rank for each chunk, rankUnknown until needed
+	// extraBytes is how much this side fetched from the origin beyond the region's
+	// first copy; extraRank is its rank among the sides that may do so.
+	extraBytes int64
+	extraRank  int
 }
 
-// place is one position of a chunk in a set; a chunk may be in several.
-type place struct {
-	set   *set
-	index int
+// position is the index of a chunk in one version; several versions may share a chunk.
+type position struct {
+	version *version
+	index   int
 }
 
-// upstream is the region from which the own region gets the chunk, empty for
+// upstream is the region from which this side's region gets the chunk, empty for
 // the origin.
-func (p place) upstream() string { return p.set.upstream[p.index] }
+func (p position) upstream() string { return p.version.upstream[p.index] }
 
-// item is one wanted chunk. At most one transfer of it runs at a time.
-type item struct {
-	ref      chunk.Ref
-	places   []place
-	held     bool
-	via      Via
-	from     string
-	began    time.Time
-	since    time.Time // of the first byte, once bytes flow
-	deadline time.Time
-	// dueAt is when this chunk's turn came; ranked step-in counts from it.
-	dueAt   time.Time
-	lostAt  time.Time
-	retryAt time.Time
-	// flowing is set once bytes of the transfer came in.
-	flowing bool
-	// asked is set once all of an import has been asked for, and early once this
-	// side has passed on its turn for the chunk.
-	asked bool
-	early bool
-	// badTrades counts the neighbours' failures to send the chunk.
-	badTrades int
-	attempts  int // sources tried since the last draw from the origin
-	// queued is set until the source has been asked.
+// chunkState is one wanted chunk. At most one transfer of it runs at a time.
+type chunkState struct {
+	ref         chunk.Ref
+	positions   []position
+	held        bool
+	via         Via
+	source      string
+	startedAt   time.Time
+	firstByteAt time.Time // when the first byte came, once receiving is set
+	deadline    time.Time
+	// dueAt is when the chunk became due; rankDelay counts from it.
+	dueAt            time.Time
+	unreachableSince time.Time
+	retryAt          time.Time
+	// receiving is set once bytes of the transfer came in.
+	receiving bool
+	// fullyRequested is set once every byte of an import has been requested, and
+	// announcedEarly once the region was told of the chunk before it was complete.
+	fullyRequested bool
+	announcedEarly bool
+	// failedTrades counts the neighbours' failures to send the chunk.
+	failedTrades int
+	attempts     int // sources tried since the last request to the origin
+	// queued is set until the request has been sent to the source.
 	queued bool
-	// later is set while the peer asked is known to lack the chunk as yet. laters
-	// counts the answers of that kind in a row, and lackedSince is when the first
-	// came. probing is set while a peer is asked only whether it has the chunk.
-	later       bool
-	laters      int
-	lackedSince time.Time
-	probing     bool
-	fails       int
-	// tried is when some side of the region, this one or another, was last known to
-	// keep trying to fetch the chunk.
+	// awaitingPeer is set while the peer that was asked is known not to hold the
+	// chunk yet. deferrals counts such answers in a row, and deferredSince is when
+	// the first came. probing is set while a peer is asked only whether it has the
+	// chunk.
+	awaitingPeer  bool
+	deferrals     int
+	deferredSince time.Time
+	probing       bool
+	failures      int
+	// tried is when a side of the region, this one or another, last reported
+	// that it keeps trying to fetch the chunk.
 	tried time.Time
 }
 
-func (it *item) pending() bool { return it.via != "" }
+func (c *chunkState) pending() bool { return c.via != "" }
 
 // peer is what is known of another side.
 type peer struct {
 	Member
-	connected bool
-	maps      map[chunk.Digest]Bits
-	// early is what the peer heard to be held in the region of versions that
-	// this side does not know yet.
-	early map[chunk.Digest]Bits
-	// full is set from a refused offer until the peer is ready again.
-	full      bool
-	fullUntil time.Time
-	// owed is set while this side has refused the peer's offer.
-	owed bool
+	connected  bool
+	heldChunks map[chunk.Digest]Bits
+	// earlyInRegion holds the chunks that the peer said are held in the region,
+	// for versions that this side does not know yet.
+	earlyInRegion map[chunk.Digest]Bits
+	// refusing is set from when the peer refused an offer until it is ready again.
+	refusing      bool
+	refusingUntil time.Time
+	// owedReady is set while this side has refused the peer's offer and not yet
+	// sent it a Ready.
+	owedReady bool
 	// uploads counts the upload slots in use for the peer.
-	uploads   int
-	uploadEnd time.Time
-	badUntil  time.Time
-	// stalled is set when the last fault was a stall; nothing is offered
-	// to such a peer either, since it would hold an upload slot in vain.
-	stalled   bool
-	strikes   int
-	dialAt    time.Time
-	dialFails int
+	uploads        int
+	uploadDeadline time.Time
+	avoidUntil     time.Time
+	// lastFaultStalled is set when the last fault was a stall. Such a peer gets no
+	// offers either, since it would hold an upload slot without using it.
+	lastFaultStalled  bool
+	consecutiveFaults int
+	nextDialAt        time.Time
+	dialFails         int
 }
 
 // New returns the State of a side that wants nothing yet.
@@ -243,15 +249,15 @@
 		cfg.LeastPatience = DefaultLeastPatience
 	}
 	return &State{
-		cfg:      cfg,
-		rng:      rand.New(rand.NewPCG(cfg.Seed, 0)),
-		items:    map[chunk.Digest]*item{},
-		peers:    map[string]*peer{},
-		timing:   map[Via]*timing{},
-		suspects: map[string]time.Time{},
-		ended:    map[string]time.Time{},
-		troubled: map[string]bool{},
-		flowed:   map[string]time.Time{},
+		cfg:          cfg,
+		rng:          rand.New(rand.NewPCG(cfg.Seed, 0)),
+		chunks:       map[chunk.Digest]*chunkState{},
+		peers:        map[string]*peer{},
+		durations:    map[Via]*durations{},
+		suspects:     map[string]time.Time{},
+		down:         map[string]time.Time{},
+		unavailable:  map[string]bool{},
+		lastReceived: map[string]time.Time{},
 	}
 }
 
@@ -262,14 +268,14 @@
 	return v
 }
 
-// SetWeigh takes the document's weighing of origin bytes against time.
+// SetWeigh sets whether the document prefers few origin bytes or short time.
 func (s *State) SetWeigh(w envdoc.Weigh) { s.cfg.Weigh = w }
 
-// SetTurns changes how many chunks cross a region link at a time.
+// SetTurns changes how many chunks are transferred at a time between two regions.
 func (s *State) SetTurns(n int) { s.cfg.Turns = n }
 
-// SetFanout changes to how many regions one hands a chunk on; it takes effect at
-// the next Update.
+// SetFanout changes to how many regions one region passes a chunk on; it takes
+// effect at the next Update.
 func (s *State) SetFanout(n int) { s.cfg.Fanout = n }
 
 // SetOriginRegion changes the region in which the origin lies; it takes
@@ -278,17 +284,17 @@
 
 // Held reports whether the side holds the chunk, verified.
 func (s *State) Held(d chunk.Digest) bool {
-	it, ok := s.items[d]
-	return ok && it.held
+	c, ok := s.chunks[d]
+	return ok && c.held
 }
 
-// Wanted reports whether some wanted version has the chunk, and its size.
+// Wanted reports whether some wanted version has the chunk, and returns its digest and size.
 func (s *State) Wanted(d chunk.Digest) (chunk.Ref, bool) {
-	it, ok := s.items[d]
+	c, ok := s.chunks[d]
 	if !ok {
 		return chunk.Ref{}, false
 	}
-	return it.ref, true
+	return c.ref, true
 }
 
 // Tally is how much of one wanted version a side holds.
@@ -300,15 +306,15 @@
 
 // Tally returns the progress of the wanted version id.
 func (s *State) Tally(id chunk.Digest) (Tally, bool) {
-	for _, st := range s.sets {
-		if st.id != id {
+	for _, v := range s.versions {
+		if v.id != id {
 			continue
 		}
-		t := Tally{Total: len(st.items)}
-		for _, it := range st.items {
-			if it.held {
+		t := Tally{Total: len(v.chunks)}
+		for _, c := range v.chunks {
+			if c.held {
 				t.Have++
-				t.Bytes += it.ref.Size
+				t.Bytes += c.ref.Size
 			}
 		}
 		return t, true
@@ -316,17 +322,17 @@
 	return Tally{}, false
 }
 
-func (s *State) emit(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
 
-// settle takes every decision that the last event made possible and returns
-// the actions gathered since.
-func (s *State) settle(now time.Time) []Action {
-	if s.stale {
-		s.stale = false
-		s.acquire(now)
+// decide takes every decision that the last event made possible and returns
+// the actions collected since the last call.
+func (s *State) decide(now time.Time) []Action {
+	if s.fetchesDue {
+		s.fetchesDue = false
+		s.startFetches(now)
 	}
-	s.offer(now)
-	out := s.out
-	s.out = nil
-	return out
+	s.sendOffers(now)
+	actions := s.actions
+	s.actions = nil
+	return actions
 }
--- a/core/version/burst/early_test.go
+++ b/core/version/burst/early_announce_test.go
@@ -9,11 +9,11 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// A side waits a minute for a chunk that its neighbour holds and offers, and
-// then draws it from the origin once more: the neighbour told of the chunk
-// while this side had not read the manifest yet, as on a busy machine. Each
-// chunk is told once on a connection, so that news must be kept.
-func TestNewsBeforeTheManifestIsKept(t *testing.T) {
+// Guards against announcements that are dropped because this side has not read the
+// manifest yet, as on a busy machine. Each chunk is announced once per connection, so
+// the side waited a minute for a chunk that its neighbour held and offered, and then
+// fetched it from the origin again.
+func TestAnnouncementsBeforeManifestAreKept(t *testing.T) {
 	m := chunk.Manifest{Model: "m", Version: "1"}
 	for _, text := range []string{"a", "b", "c"} {
 		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.Sum([]byte(text)), Size: 1})
@@ -29,7 +29,7 @@
 	actions := s.Update(now, []Set{{ID: id, Manifest: m, Members: []Member{self, peer}}})
 	for _, a := range actions {
 		if f, ok := a.(Fetch); ok {
-			t.Errorf("chunk %s is fetched by way of %s although the region holds it", f.Chunk.Digest, f.Via)
+			t.Errorf("chunk %s is fetched via %s although the region holds it", f.Chunk.Digest, f.Via)
 		}
 	}
 	var got []chunk.Digest
--- a/core/version/burst/events.go
+++ b/core/version/burst/events.go
@@ -9,32 +9,32 @@
 // Failure says why a transfer failed.
 type Failure string
 
-// The ways in which a transfer fails.
+// The causes of a failed transfer.
 const (
 	FailStalled Failure = "stalled"
 	FailCorrupt Failure = "corrupt"
 	FailLacks   Failure = "lacks"
 	FailRefused Failure = "refused"
 	FailGone    Failure = "gone"
-	// FailLater is the end of a wait for a peer that lacked the chunk itself.
+	// FailLater is a timed-out wait for a peer that does not hold the chunk yet.
 	FailLater Failure = "lacksAsYet"
-	// FailQueued is the end of a wait for this side's own link.
+	// FailQueued is a request that waited too long for this side's own link.
 	FailQueued Failure = "queuedTooLong"
 )
 
-// Tick is to be called a few times a second: it ends stalled transfers,
-// starts overdue ones and dials again.
+// Tick must be called a few times a second: it ends transfers that timed out,
+// starts overdue ones and reconnects.
 func (s *State) Tick(now time.Time) []Action {
-	s.expire(now)
-	s.tellTried(now)
-	s.forgive(now)
+	s.expireTransfers(now)
+	s.announceRetries(now)
+	s.expireSuspicions(now)
 	s.connect(now)
-	s.wake()
-	s.stale = true
-	return s.settle(now)
+	s.sendReadyToAll()
+	s.fetchesDue = true
+	return s.decide(now)
 }
 
-// Connected tells that a connection to a side is open.
+// Connected is called when a connection to a side is open.
 func (s *State) Connected(now time.Time, m Member) []Action {
 	if len(s.peers) >= MaxPeers && s.peers[m.Name] == nil {
 		return nil
@@ -42,174 +42,173 @@
 	p := s.peer(m.Name, m.Region)
 	p.connected = true
 	p.dialFails = 0
-	s.trust(m.Name)
-	s.greet(p)
-	return s.settle(now)
+	s.clearSuspicion(m.Name)
+	s.sendMaps(p)
+	return s.decide(now)
 }
 
-// Disconnected tells that no connection to a side is open any more. Its
-// transfers are over, and what it offered is forgotten.
+// Disconnected is called when the last connection to a side has closed. Its
+// transfers end, and the chunks it announced are forgotten.
 func (s *State) Disconnected(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
 	}
 	p.connected = false
-	p.full, p.owed = false, false
-	s.releaseAll(p)
-	for id := range p.maps {
+	p.refusing, p.owedReady = false, false
+	s.releaseSlots(p)
+	for id := range p.heldChunks {
 		s.forgetMap(p, id)
 	}
-	for _, it := range s.pendingItems() {
-		if it.from == name {
-			s.failed(now, it, FailGone, 0)
+	for _, c := range s.pendingItems() {
+		if c.source == name {
+			s.handleFailure(now, c, FailGone, 0)
 		}
 	}
-	// Whether the side has ended shows at once by a new connection.
+	// A new connection shows at once whether the side still runs.
 	s.connect(now)
-	return s.settle(now)
+	return s.decide(now)
 }
 
-// Greeted takes the whole maps of a peer for one version.
+// Greeted handles the complete chunk sets of a peer for one version.
 func (s *State) Greeted(now time.Time, name string, id chunk.Digest, have, seen Bits) []Action {
 	p, ok := s.peers[name]
-	if !ok || (p.maps[id] == nil && len(p.maps) >= maxMaps) {
+	if !ok || (p.heldChunks[id] == nil && len(p.heldChunks) >= maxVersionsPerPeer) {
 		return nil
 	}
-	st := s.set(id)
-	if st == nil {
-		p.keepEarly(id, have.members(), seen.members())
-		return s.settle(now)
+	v := s.version(id)
+	if v == nil {
+		p.storeEarly(id, have.indexes(), seen.indexes())
+		return s.decide(now)
 	}
-	return s.Announced(now, name, id, have.members(), seen.members())
+	return s.Announced(now, name, id, have.indexes(), seen.indexes())
 }
 
-// Announced takes news of a peer: chunks that it holds and chunks that it
-// has heard to be held in the region.
+// Announced handles a peer's announcement of chunks that it holds (have) and of
+// chunks that it knows to be held in the region (seen).
 func (s *State) Announced(now time.Time, name string, id chunk.Digest, have, seen []int) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
 	}
-	st := s.set(id)
-	if st == nil {
-		if p.maps[id] != nil || len(p.maps) < maxMaps {
-			p.keepEarly(id, have, seen)
+	v := s.version(id)
+	if v == nil {
+		if p.heldChunks[id] != nil || len(p.heldChunks) < maxVersionsPerPeer {
+			p.storeEarly(id, have, seen)
 		}
 		return nil
 	}
-	m := p.maps[id]
-	if len(m) < len(st.have) {
-		grown := NewBits(len(st.items))
+	m := p.heldChunks[id]
+	if len(m) < len(v.heldHere) {
+		grown := NewBits(len(v.chunks))
 		copy(grown, m)
 		m = grown
-		p.maps[id] = m
+		p.heldChunks[id] = m
 	}
 	for _, i := range have {
-		if i < 0 || i >= len(st.items) || m.Has(i) {
+		if i < 0 || i >= len(v.chunks) || m.Has(i) {
 			continue
 		}
 		m.Set(i)
 		if s.near(p) {
-			st.copies[i]++
+			v.neighbourCopies[i]++
 		}
-		s.trust(name)
+		s.clearSuspicion(name)
 	}
-	s.spread(now, st, append(have, seen...), name)
-	return s.settle(now)
+	s.relayHeldInRegion(now, v, append(have, seen...), name)
+	return s.decide(now)
 }
 
-// keepEarly remembers a peer's news of a version that this side has not heard
-// of. Peers tell each chunk once; dropped, the news would be missing for as
-// long as the connection lasts: the peer's offers would be refused, and the
-// chunk in the end drawn again.
-func (p *peer) keepEarly(id chunk.Digest, have, seen []int) {
-	p.maps[id] = p.maps[id].with(have)
-	p.early[id] = p.early[id].with(seen)
+// storeEarly keeps a peer's announcement for a version that this side does not
+// know yet. Peers announce each chunk once per connection. If the announcement were
+// dropped, the peer's offers would be refused as long as the connection lasts, and
+// the chunk would in the end be fetched from the origin again.
+func (p *peer) storeEarly(id chunk.Digest, have, seen []int) {
+	p.heldChunks[id] = p.heldChunks[id].withIndexes(have)
+	p.earlyInRegion[id] = p.earlyInRegion[id].withIndexes(seen)
 }
 
-// takeEarly takes in what peers of the region told of a version before it was
-// known here.
-func (s *State) takeEarly(st *set) {
-	for _, p := range s.order {
+// applyEarly applies what peers of the region announced about a version before
+// this side knew it.
+func (s *State) applyEarly(v *version) {
+	for _, p := range s.sortedPeers {
 		if p.Region != s.cfg.Self.Region {
 			continue
 		}
-		for _, bits := range []Bits{p.maps[st.id], p.early[st.id]} {
-			for i := range st.items {
+		for _, bits := range []Bits{p.heldChunks[v.id], p.earlyInRegion[v.id]} {
+			for i := range v.chunks {
 				if bits.Has(i) {
-					st.seen.Set(i)
+					v.heldInRegion.Set(i)
 				}
 			}
 		}
-		delete(p.early, st.id)
+		delete(p.earlyInRegion, v.id)
 	}
 }
 
-// spread passes on to the neighbours which chunks the region holds, each
-// once. By it all sides of a region take turns on the region link without a
-// shared record of whose turn it is.
-func (s *State) spread(now time.Time, st *set, indexes []int, from string) {
+// relayHeldInRegion tells the neighbours which chunks the region holds, each chunk
+// once. From this every side knows which chunks are due next on the region link,
+// without shared state.
+func (s *State) relayHeldInRegion(now time.Time, v *version, indexes []int, from string) {
 	var news []int
 	for _, i := range indexes {
-		if i < 0 || i >= len(st.items) || st.seen.Has(i) {
+		if i < 0 || i >= len(v.chunks) || v.heldInRegion.Has(i) {
 			continue
 		}
-		st.seen.Set(i)
-		s.flows(now, st.upstream[i])
+		v.heldInRegion.Set(i)
+		s.markAvailable(now, v.upstream[i])
 		news = append(news, i)
 	}
 	if len(news) == 0 {
 		return
 	}
-	s.stale = true
-	for _, p := range s.order {
+	s.fetchesDue = true
+	for _, p := range s.sortedPeers {
 		if !s.near(p) || p.Name == from {
 			continue
 		}
-		if seen := without(news, p.maps[st.id]); len(seen) > 0 {
-			s.emit(Announce{Peer: p.Name, Manifest: st.id, Seen: seen})
+		if heldInRegion := without(news, p.heldChunks[v.id]); len(heldInRegion) > 0 {
+			s.emit(Announce{Peer: p.Name, Manifest: v.id, Seen: heldInRegion})
 		}
 	}
 }
 
-// Arrived tells that a chunk is verified and staged. It also takes the chunks
-// that the staging area held from the start.
+// Arrived is called when a chunk is verified and staged. It is also accepted for
+// chunks without a transfer, such as those found in the staging area.
 func (s *State) Arrived(now time.Time, d chunk.Digest) []Action {
-	it, ok := s.items[d]
+	c, ok := s.chunks[d]
 	if !ok {
 		return []Action{Discard{Chunk: d}}
 	}
-	if it.held {
+	if c.held {
 		return nil
 	}
-	if it.pending() {
-		if it.via == ViaOrigin {
-			s.originAnswered(now, true)
+	if c.pending() {
+		if c.via == ViaOrigin {
+			s.noteOriginResult(now, true)
 		}
-		s.measure(it, now)
-		s.pardon(it.from)
-		s.clearPending(it)
+		s.recordDuration(c, now)
+		s.resetFaults(c.source)
+		s.clearPending(c)
 	}
-	it.held = true
-	for _, pl := range it.places {
-		pl.set.have.Set(pl.index)
-		pl.set.seen.Set(pl.index)
-		s.flows(now, pl.upstream())
+	c.held = true
+	for _, pl := range c.positions {
+		pl.version.heldHere.Set(pl.index)
+		pl.version.heldInRegion.Set(pl.index)
+		s.markAvailable(now, pl.upstream())
 		s.announceHeld(pl)
 	}
-	s.stale = true
-	s.unseal()
-	s.invite()
-	return s.settle(now)
+	s.fetchesDue = true
+	s.clearRefusals()
+	s.sendReady()
+	return s.decide(now)
 }
 
-// announceHeld tells the neighbours that lack a chunk that it is held here.
-// Those that hold it have no use for the news.
-func (s *State) announceHeld(pl place) {
-	for _, p := range s.order {
-		if s.near(p) && !p.maps[pl.set.id].Has(pl.index) {
-			s.emit(Announce{Peer: p.Name, Manifest: pl.set.id, Have: []int{pl.index}})
+// announceHeld tells the neighbours that lack a chunk that this side holds it.
+func (s *State) announceHeld(pl position) {
+	for _, p := range s.sortedPeers {
+		if s.near(p) && !p.heldChunks[pl.version.id].Has(pl.index) {
+			s.emit(Announce{Peer: p.Name, Manifest: pl.version.id, Have: []int{pl.index}})
 		}
 	}
 }
@@ -225,37 +224,37 @@
 	return out
 }
 
-func (s *State) set(id chunk.Digest) *set {
-	for _, st := range s.sets {
-		if st.id == id {
-			return st
+func (s *State) version(id chunk.Digest) *version {
+	for _, v := range s.versions {
+		if v.id == id {
+			return v
 		}
 	}
 	return nil
 }
 
-// near reports whether p is a connected side of the own region.
+// near reports whether p is a connected side of this side's region.
 func (s *State) near(p *peer) bool {
 	return p.connected && p.Region == s.cfg.Self.Region
 }
 
 func (s *State) forgetMap(p *peer, id chunk.Digest) {
-	delete(p.early, id)
-	m, ok := p.maps[id]
+	delete(p.earlyInRegion, id)
+	m, ok := p.heldChunks[id]
 	if !ok {
 		return
 	}
-	delete(p.maps, id)
-	st := s.set(id)
-	if st == nil {
+	delete(p.heldChunks, id)
+	v := s.version(id)
+	if v == nil {
 		return
 	}
-	for i := range st.items {
-		if m.Has(i) && st.copies[i] > 0 && p.Region == s.cfg.Self.Region {
-			st.copies[i]--
+	for i := range v.chunks {
+		if m.Has(i) && v.neighbourCopies[i] > 0 && p.Region == s.cfg.Self.Region {
+			v.neighbourCopies[i]--
 		}
 	}
 }
 
-// maxMaps bounds the versions of which a peer's maps are kept.
-const maxMaps = 16
+// maxVersionsPerPeer bounds the number of versions for which a peer's chunk sets are kept.
+const maxVersionsPerPeer = 16
--- a/core/version/burst/extra.go
+++ b/core/version/burst/extra.go
@@ -7,54 +7,54 @@
 	"hawthornferry/core/process/rank"
 )
 
-// extraCopies is how many copies more than the first the origin's link
-// carries when time is weighed over origin bytes.
-const extraCopies = 3
+// maxExtraCopies is how many copies of a version the origin's link may carry beyond
+// the first when the document prefers short time to few origin bytes.
+const maxExtraCopies = 3
 
-// drawExtra has a few sides of the origin's region draw chunks that the
-// region has already, once the first copy of all is there: the origin then
-// stands in as one more peer. Each of them keeps to its part of the copies
-// that the origin's link carries, so that they add up to no more.
-func (s *State) drawExtra(now time.Time, st *set) {
-	if s.cfg.Weigh != envdoc.WeighTime || !s.isExtraDrawer(st) || s.running(ViaOrigin) > 0 {
+// fetchExtraCopy lets a few sides of the origin's region fetch chunks from the origin
+// that the region holds already, once the first copy of all its chunks is there: the
+// origin then serves as an additional peer. Each of these sides keeps to its part of
+// the extra copies, so that the sides together stay within maxExtraCopies.
+func (s *State) fetchExtraCopy(now time.Time, v *version) {
+	if s.cfg.Weigh != envdoc.WeighTime || !s.fetchesExtraCopies(v) || s.countVia(ViaOrigin) > 0 {
 		return
 	}
-	i := s.rarestOfOrigin(now, st)
+	i := s.rarestForExtraCopy(now, v)
 	if i < 0 {
 		return
 	}
-	it := st.items[i]
-	members := len(st.members[s.cfg.Self.Region])
-	limit := extraCopies * st.manifest.Size / int64(min(members, s.cfg.Draws))
-	if st.extra+it.ref.Size > limit {
+	c := v.chunks[i]
+	members := len(v.members[s.cfg.Self.Region])
+	limit := maxExtraCopies * v.manifest.Size / int64(min(members, s.cfg.Draws))
+	if v.extraBytes+c.ref.Size > limit {
 		return
 	}
-	st.extra += it.ref.Size
-	s.begin(now, it, Fetch{Chunk: it.ref, Via: ViaOrigin, Reason: "extra copy"})
+	v.extraBytes += c.ref.Size
+	s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaOrigin, Reason: "extra copy"})
 }
 
-func (s *State) isExtraDrawer(st *set) bool {
-	if st.extraPlace == unranked {
-		st.extraPlace = rank.Position(string(st.id), s.cfg.Self.Name, st.members[s.cfg.Self.Region])
+func (s *State) fetchesExtraCopies(v *version) bool {
+	if v.extraRank == rankUnknown {
+		v.extraRank = rank.Position(string(v.id), s.cfg.Self.Name, v.members[s.cfg.Self.Region])
 	}
-	return st.extraPlace >= 0 && st.extraPlace < s.cfg.Draws
+	return v.extraRank >= 0 && v.extraRank < s.cfg.Draws
 }
 
-// rarestOfOrigin returns the chunk to draw again, or -1 when there is none or
-// the first copies are not all there.
-func (s *State) rarestOfOrigin(now time.Time, st *set) int {
+// rarestForExtraCopy returns the index of the chunk to fetch again, or -1 when there
+// is none or the first copies are not complete.
+func (s *State) rarestForExtraCopy(now time.Time, v *version) int {
 	best := -1
-	for i, it := range st.items {
-		if st.upstream[i] != "" {
+	for i, c := range v.chunks {
+		if v.upstream[i] != "" {
 			continue
 		}
-		if !st.seen.Has(i) {
+		if !v.heldInRegion.Has(i) {
 			return -1
 		}
-		if it.held || it.pending() || now.Before(it.retryAt) {
+		if c.held || c.pending() || now.Before(c.retryAt) {
 			continue
 		}
-		if best < 0 || st.copies[i] < st.copies[best] {
+		if best < 0 || v.neighbourCopies[i] < v.neighbourCopies[best] {
 			best = i
 		}
 	}
--- a/core/version/burst/outage_test.go
+++ b/core/version/burst/outage_test.go
@@ -10,28 +10,28 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Guards against a region that waits for a chunk which its importer has only asked
-// for: the others hear of it once bytes flow, not before.
-func TestImportThatWaitsIsNotToldAsHeld(t *testing.T) {
-	n := newNetwork(t, regionsOf(1, 2)...)
-	v := version("1", 0, 1).of(n.members())
+// Guards against a region that waits for a chunk which its importer has only requested:
+// the others are told of the chunk once bytes arrive, not before.
+func TestDeferredImportIsNotAnnounced(t *testing.T) {
+	n := newNetwork(t, regionNames(1, 2)...)
+	v := testVersion("1", 0, 1).withMembers(n.members())
 	d := v.Manifest.Chunks[0].Digest
-	importer, neighbour := importerOf(n, v)
+	importer, neighbour := splitImporter(n, v)
 	importer.state.Connected(n.time(), neighbour.Member)
 	importer.state.Requested(n.time(), d)
 	asked := importer.state.Asked(n.time(), d)
 	later := importer.state.Deferred(n.time(), d, "side00")
-	if seen := seenIn(append(asked, later...)); len(seen) > 0 {
+	if seen := announcedInRegion(append(asked, later...)); len(seen) > 0 {
 		t.Errorf("the region was told of %v while the exporter lacks it", seen)
 	}
-	if diff := cmp.Diff([]int{0}, seenIn(importer.state.Progressed(n.time(), d))); diff != "" {
-		t.Errorf("told once bytes flow (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]int{0}, announcedInRegion(importer.state.Progressed(n.time(), d))); diff != "" {
+		t.Errorf("announced once bytes arrive (-want +got):\n%s", diff)
 	}
 }
 
-// importerOf gives both sides of the second region the version and returns the one
+// splitImporter gives both sides of the second region the version and returns the one
 // that imports its only chunk, and the other.
-func importerOf(n *network, v Set) (importer, neighbour *fakeSide) {
+func splitImporter(n *network, v Set) (importer, neighbour *fakeSide) {
 	for _, name := range []string{"side01", "side02"} {
 		s := n.sides[name]
 		acts := s.state.Update(n.time(), []Set{v})
@@ -44,7 +44,7 @@
 	return importer, neighbour
 }
 
-func seenIn(actions []Action) []int {
+func announcedInRegion(actions []Action) []int {
 	var out []int
 	for _, a := range actions {
 		if a, ok := a.(Announce); ok {
@@ -54,13 +54,13 @@
 	return out
 }
 
-// Guards against a side that, told that an exporter lacks a chunk, asks for it in
-// another's place ten times a second.
-func TestStepInIsNotRepeatedAtOnce(t *testing.T) {
-	n := newNetwork(t, regionsOf(1, 2)...)
-	v := version("1", 0, 1).of(n.members())
+// Guards against a side that, after an exporter deferred, requests the chunk in
+// another side's place ten times a second.
+func TestStandInDoesNotRetryAtOnce(t *testing.T) {
+	n := newNetwork(t, regionNames(1, 2)...)
+	v := testVersion("1", 0, 1).withMembers(n.members())
 	d := v.Manifest.Chunks[0].Digest
-	_, s := importerOf(n, v)
+	_, s := splitImporter(n, v)
 	asked := 0
 	for range 100 {
 		n.now += tickTime
@@ -78,69 +78,69 @@
 	}
 }
 
-// Guards against an outage of the origin after which all chunks are overdue in one
-// moment: a side then drew all of them at once, most of them for the second time.
-func TestOutageLeavesFewDrawsDue(t *testing.T) {
+// Guards against an outage of the origin after which all chunks are overdue in the same
+// moment: a side then fetched all of them at once, most of them for the second time.
+func TestOutageCausesFewExtraOriginFetches(t *testing.T) {
 	const outage = 6 * time.Second
-	n := newNetwork(t, regionsOf(7, 7, 6)...)
+	n := newNetwork(t, regionNames(7, 7, 6)...)
 	for _, s := range n.sides {
 		s.state.cfg.LeastPatience = 300 * time.Millisecond
 		s.state.cfg.MostPause = 500 * time.Millisecond
 	}
 	begin := n.now
-	drawn := map[chunk.Digest]int{}
+	fetches := map[chunk.Digest]int{}
 	n.origin = func(_ string, d chunk.Digest, _ int) (bool, time.Duration) {
 		if n.now-begin < outage {
 			return false, 0
 		}
-		drawn[d]++
+		fetches[d]++
 		return true, 0
 	}
-	v := version("1", 0, 64).of(n.members())
+	v := testVersion("1", 0, 64).withMembers(n.members())
 	n.update(v)
 	most := 0
-	whole := n.whole(v.ID)
-	n.until(func() bool {
+	allComplete := n.allComplete(v.ID)
+	n.runUntil(func() bool {
 		for _, s := range n.sides {
-			most = max(most, s.state.running(ViaOrigin))
+			most = max(most, s.state.countVia(ViaOrigin))
 		}
-		return whole()
+		return allComplete()
 	})
 	total := 0
-	for _, k := range drawn {
+	for _, k := range fetches {
 		total += k
 	}
 	if total > 64*5/4 {
-		t.Errorf("%d draws of 64 chunks after the outage, want at most a quarter more", total)
+		t.Errorf("%d origin fetches of 64 chunks after the outage, want at most a quarter more", total)
 	}
 	if most > DefaultDraws {
-		t.Errorf("one side drew %d chunks at a time, want at most %d", most, DefaultDraws)
+		t.Errorf("one side fetched %d chunks at a time, want at most %d", most, DefaultDraws)
 	}
 }
 
-// Guards against a region that waits for seconds at the one side upstream which
-// lacks a chunk, behind a choked link, while all others there hold it.
-func TestExporterThatLacksIsNotTheOnlyOneAsked(t *testing.T) {
-	n := newNetwork(t, regionsOf(4, 3)...)
+// Guards against a region that waits for seconds for the one side upstream which lacks a
+// chunk, because its link is overloaded, while all others there hold it.
+func TestImportAsksBeyondDeferringExporter(t *testing.T) {
+	n := newNetwork(t, regionNames(4, 3)...)
 	for _, s := range n.sides {
 		s.state.cfg.LeastPatience = 300 * time.Millisecond
 		s.state.cfg.MostPause = 500 * time.Millisecond
 	}
-	const choked = "side00"
-	n.stall = func(_, to string) bool { return to == choked }
-	n.origin = func(to string, _ chunk.Digest, _ int) (bool, time.Duration) { return to != choked, 0 }
-	v := version("1", 0, 32).of(n.members())
+	const overloaded = "side00"
+	n.stalled = func(_, to string) bool { return to == overloaded }
+	n.origin = func(to string, _ chunk.Digest, _ int) (bool, time.Duration) { return to != overloaded, 0 }
+	v := testVersion("1", 0, 32).withMembers(n.members())
 	begin := n.now
 	n.update(v)
-	n.until(func() bool {
+	n.runUntil(func() bool {
 		for _, s := range n.sides {
-			if tally, _ := s.state.Tally(v.ID); s.Name != choked && tally.Have < tally.Total {
+			if tally, _ := s.state.Tally(v.ID); s.Name != overloaded && tally.Have < tally.Total {
 				return false
 			}
 		}
 		return true
 	})
 	if most, took := 5*time.Second, n.now-begin; took > most {
-		t.Errorf("whole beside the choked side after %v, want %v at most", took, most)
+		t.Errorf("all but the overloaded side complete after %v, want %v at most", took, most)
 	}
 }
--- a/core/version/burst/events_test.go
+++ b/core/version/burst/queue_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// event is something that happens at a time; seq orders those of one time.
+// event is a function to run at a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
 	run func()
 }
 
-// queue holds what is still to happen, the next one first.
+// queue is a heap of the events that are still to run, the next one first.
 type queue []event
 
 func (q queue) Len() int      { return len(q) }
--- a/core/version/burst/suspect.go
+++ b/core/version/burst/suspect.go
@@ -8,165 +8,165 @@
 	"hawthornferry/core/process/rank"
 )
 
-// suspectFirst passes over the side that ranks first for an overdue chunk.
-// Were it not, each chunk for which a dead side ranks first would hold a turn
-// until the next in rank steps in, and the link would idle for as long. Every
-// side of the region sees the same chunk overdue and comes to the same view;
-// where they differ for a while a chunk may be fetched twice, no more.
-func (s *State) suspectFirst(now time.Time, st *set, i int) {
-	if st.items[i].pending() {
+// suspectFirstRanked excludes the side that ranks first for an overdue chunk from the
+// ranking. Otherwise each chunk for which a dead side ranks first would use a fetch slot
+// until the next in rank takes over, and the link would idle for as long. Every side of
+// the region sees the same chunk overdue and comes to the same result; while they differ
+// a chunk may be fetched twice, no more.
+func (s *State) suspectFirstRanked(now time.Time, v *version, i int) {
+	if v.chunks[i].pending() {
 		return
 	}
-	names := s.trusted(st)
-	ordered := rank.Order(string(st.items[i].ref.Digest), names, func(n string) string { return n })
+	names := s.candidates(v)
+	ordered := rank.Order(string(v.chunks[i].ref.Digest), names, func(n string) string { return n })
 	if len(ordered) < 2 || ordered[0] == s.cfg.Self.Name {
 		return
 	}
-	s.suspects[ordered[0]] = now.Add(suspectFor)
-	st.items[i].dueAt = now
-	s.rerank()
+	s.suspects[ordered[0]] = now.Add(suspectDuration)
+	v.chunks[i].dueAt = now
+	s.resetRanks()
 }
 
-// Refused tells that nothing listens where a side should: it has ended. The sides
-// after it need not wait for its turns to be overdue.
+// Refused is called when a connection to a side was refused because no process listens:
+// the side has stopped. The sides after it need not wait until its chunks are overdue.
 func (s *State) Refused(now time.Time, name string) []Action {
-	s.passOver(now, []string{name}, "")
-	return s.settle(now)
+	s.markDown(now, []string{name}, "")
+	return s.decide(now)
 }
 
-// SidesGone takes a peer's word of sides that do not run.
+// SidesGone handles a peer's report of sides that do not run.
 func (s *State) SidesGone(now time.Time, from string, sides []string) []Action {
 	if p, ok := s.peers[from]; !ok || !s.near(p) {
 		return nil
 	}
-	s.passOver(now, sides, from)
-	return s.settle(now)
+	s.markDown(now, sides, from)
+	return s.decide(now)
 }
 
-// passOver takes sides of the region for ended unless this side has a connection to
-// them, and passes on those that it did not know of.
-func (s *State) passOver(now time.Time, sides []string, from string) {
+// markDown records that sides of the region do not run, unless this side has a connection
+// to them, and relays those that it did not know of.
+func (s *State) markDown(now time.Time, sides []string, from string) {
 	var fresh []string
 	for _, name := range sides {
-		if !s.inRegion(name) || name == s.cfg.Self.Name {
+		if !s.isRegionMember(name) || name == s.cfg.Self.Name {
 			continue
 		}
 		if p, ok := s.peers[name]; ok && p.connected {
 			continue
 		}
-		if s.ended[name].Sub(now) > goneFor/2 {
+		if s.down[name].Sub(now) > downDuration/2 {
 			continue
 		}
-		s.ended[name] = now.Add(goneFor)
+		s.down[name] = now.Add(downDuration)
 		fresh = append(fresh, name)
 	}
 	if len(fresh) == 0 {
 		return
 	}
-	s.passedOver = now
-	s.rerank()
-	s.stale = true
-	for _, p := range s.order {
+	s.lastDownAt = now
+	s.resetRanks()
+	s.fetchesDue = true
+	for _, p := range s.sortedPeers {
 		if s.near(p) && p.Name != from {
 			s.emit(Gone{Peer: p.Name, Sides: fresh})
 		}
 	}
 }
 
-func (s *State) inRegion(name string) bool {
-	return slices.ContainsFunc(s.sets, func(st *set) bool {
-		return slices.Contains(st.members[s.cfg.Self.Region], name)
+func (s *State) isRegionMember(name string) bool {
+	return slices.ContainsFunc(s.versions, func(v *version) bool {
+		return slices.Contains(v.members[s.cfg.Self.Region], name)
 	})
 }
 
-// trust ends the suspicion against a side that shows itself to fetch.
-func (s *State) trust(name string) {
+// clearSuspicion ends the suspicion against a side that shows activity.
+func (s *State) clearSuspicion(name string) {
 	_, suspected := s.suspects[name]
-	_, ended := s.ended[name]
-	if !suspected && !ended {
+	_, down := s.down[name]
+	if !suspected && !down {
 		return
 	}
 	delete(s.suspects, name)
-	delete(s.ended, name)
-	s.rerank()
+	delete(s.down, name)
+	s.resetRanks()
 }
 
-// trouble notes that this side has found for itself that nothing is to be had
-// from an upstream: the sides that rank before it are not at fault. Otherwise an
-// outage of the origin would make every side overdue for every chunk, and all
-// would draw all of them at once when it ends: from an origin that carries four
-// copies the version then takes as many times longer.
-func (s *State) trouble(now time.Time, up string) {
-	s.troubled[up] = true
-	s.turnAnew(now, up)
+// markUnavailable records that this side's own attempts at an upstream failed, so the
+// sides that rank before it are not at fault. Otherwise an outage of the origin would make
+// every chunk overdue for every side, and all sides would fetch all chunks at once when it
+// ends: from an origin whose link carries four copies the version then takes as many times
+// longer.
+func (s *State) markUnavailable(now time.Time, up string) {
+	s.unavailable[up] = true
+	s.resetDueTimes(now, up)
 }
 
-// flows notes that a chunk has come from an upstream. After trouble the turns
-// begin anew: time that was lost in it does not count.
-func (s *State) flows(now time.Time, up string) {
-	s.flowed[up] = now
-	if !s.troubled[up] {
+// markAvailable records that a chunk has come from an upstream. If the upstream was
+// unavailable, due times restart, so that time lost in the outage does not count.
+func (s *State) markAvailable(now time.Time, up string) {
+	s.lastReceived[up] = now
+	if !s.unavailable[up] {
 		return
 	}
-	delete(s.troubled, up)
-	s.turnAnew(now, up)
+	delete(s.unavailable, up)
+	s.resetDueTimes(now, up)
 }
 
-// turnAnew ends all suspicions and has the turns of the chunks that are due from
-// an upstream begin anew. Left due together, the chunks that came due one after the
-// other meanwhile would all be overdue in the same moment.
-func (s *State) turnAnew(now time.Time, up string) {
-	for _, st := range s.sets {
-		for i, it := range st.items {
-			if st.upstream[i] == up && !it.held && !it.dueAt.IsZero() {
-				it.dueAt = time.Time{}
+// resetDueTimes ends all suspicions and restarts the due times of the chunks of an
+// upstream. Otherwise all chunks that became due one after the other during the outage
+// would be overdue in the same moment.
+func (s *State) resetDueTimes(now time.Time, up string) {
+	for _, v := range s.versions {
+		for i, c := range v.chunks {
+			if v.upstream[i] == up && !c.held && !c.dueAt.IsZero() {
+				c.dueAt = time.Time{}
 			}
 		}
 	}
 	if len(s.suspects) > 0 {
 		clear(s.suspects)
-		s.rerank()
+		s.resetRanks()
 	}
 }
 
-// steppedIn reports whether this side fetches a chunk in another's place.
-func (s *State) steppedIn(it *item) bool {
-	at := it.places[0]
-	return len(s.suspects) > 0 || s.position(at.set, at.index) > 0
+// isStandIn reports whether this side fetches a chunk in place of the side that ranks first.
+func (s *State) isStandIn(c *chunkState) bool {
+	at := c.positions[0]
+	return len(s.suspects) > 0 || s.rankFor(at.version, at.index) > 0
 }
 
-// forgive ends the suspicions that are old.
-func (s *State) forgive(now time.Time) {
-	n := len(s.suspects) + len(s.ended)
-	for _, over := range []map[string]time.Time{s.suspects, s.ended} {
+// expireSuspicions removes the entries of suspects and down whose time has passed.
+func (s *State) expireSuspicions(now time.Time) {
+	n := len(s.suspects) + len(s.down)
+	for _, over := range []map[string]time.Time{s.suspects, s.down} {
 		maps.DeleteFunc(over, func(_ string, until time.Time) bool { return now.After(until) })
 	}
-	if len(s.suspects)+len(s.ended) < n {
-		s.rerank()
+	if len(s.suspects)+len(s.down) < n {
+		s.resetRanks()
 	}
 }
 
-// trusted are the sides of the own region that are neither suspected nor ended.
-func (s *State) trusted(st *set) []string {
-	all := st.members[s.cfg.Self.Region]
-	if len(s.suspects)+len(s.ended) == 0 {
+// candidates are the sides of this region that are neither suspected nor down.
+func (s *State) candidates(v *version) []string {
+	all := v.members[s.cfg.Self.Region]
+	if len(s.suspects)+len(s.down) == 0 {
 		return all
 	}
 	var out []string
 	for _, n := range all {
 		_, suspected := s.suspects[n]
-		_, ended := s.ended[n]
-		if !suspected && !ended || n == s.cfg.Self.Name {
+		_, down := s.down[n]
+		if !suspected && !down || n == s.cfg.Self.Name {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-func (s *State) rerank() {
-	for _, st := range s.sets {
-		for i := range st.place {
-			st.place[i] = unranked
+func (s *State) resetRanks() {
+	for _, v := range s.versions {
+		for i := range v.ranks {
+			v.ranks[i] = rankUnknown
 		}
 	}
 }
--- a/core/version/burst/trade.go
+++ b/core/version/burst/trade.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Times of offers.
+// Limits of offers and refusals.
 const (
-	// fullLife bounds how long a refusal is heeded: a Ready that was lost
-	// would otherwise leave the pair idle for good.
-	fullLife = time.Second
-	// readyAtOnce is how many peers are told of one free place.
-	readyAtOnce = 2
+	// refusalLifetime bounds how long a refused offer is respected: if the Ready
+	// was lost, the two sides would otherwise never trade again.
+	refusalLifetime = time.Second
+	// readyPerFreeSlot is how many peers are told of one free download slot.
+	readyPerFreeSlot = 2
 )
 
-// offer fills the free upload slots: each goes to a neighbour that lacks
-// something this side holds, the one that holds less of two taken at random.
-func (s *State) offer(now time.Time) {
+// sendOffers fills the free upload slots. Each goes to a neighbour that lacks
+// something this side holds: of two chosen at random, the one that holds less.
+func (s *State) sendOffers(now time.Time) {
 	if s.cfg.Direct {
 		return
 	}
@@ -21,29 +21,29 @@
 		return
 	}
 	var open []*peer
-	for _, p := range s.order {
-		if s.eligible(now, p) {
+	for _, p := range s.sortedPeers {
+		if s.canOffer(now, p) {
 			open = append(open, p)
 		}
 	}
 	for s.uploads < s.cfg.Uploads && len(open) > 0 {
 		k := s.pickPeer(open)
 		p := open[k]
-		if p.uploads+1 >= s.slotsEach() {
+		if p.uploads+1 >= s.slotsPerPeer() {
 			open = append(open[:k], open[k+1:]...)
 		}
 		p.uploads++
-		p.uploadEnd = now.Add(s.startPatience(ViaTrade))
+		p.uploadDeadline = now.Add(s.startTimeout(ViaTrade))
 		s.uploads++
 		s.emit(Offer{Peer: p.Name})
 	}
 }
 
-// slotsEach is how many upload slots one peer may have. One is the rule; a
-// side with few neighbours would leave slots, and so its link, idle by it.
-func (s *State) slotsEach() int {
+// slotsPerPeer is how many upload slots one peer may have: usually one, but a side
+// with few neighbours would then leave slots unused and its link idle.
+func (s *State) slotsPerPeer() int {
 	near := 0
-	for _, p := range s.order {
+	for _, p := range s.sortedPeers {
 		if s.near(p) {
 			near++
 		}
@@ -51,29 +51,29 @@
 	return max(1, (s.cfg.Uploads+near-1)/max(near, 1))
 }
 
-// release frees one upload slot of a peer, if it has any.
-func (s *State) release(p *peer) {
+// releaseSlot frees one upload slot of a peer, if it has any.
+func (s *State) releaseSlot(p *peer) {
 	if p.uploads > 0 {
 		p.uploads--
 		s.uploads--
 	}
 }
 
-func (s *State) releaseAll(p *peer) {
+func (s *State) releaseSlots(p *peer) {
 	s.uploads -= p.uploads
 	p.uploads = 0
 }
 
-func (s *State) eligible(now time.Time, p *peer) bool {
-	if !s.near(p) || (p.uploads > 0 && p.uploads >= s.slotsEach()) || (p.stalled && now.Before(p.badUntil)) {
+func (s *State) canOffer(now time.Time, p *peer) bool {
+	if !s.near(p) || (p.uploads > 0 && p.uploads >= s.slotsPerPeer()) || (p.lastFaultStalled && now.Before(p.avoidUntil)) {
 		return false
 	}
-	if p.full && now.Before(p.fullUntil) {
+	if p.refusing && now.Before(p.refusingUntil) {
 		return false
 	}
-	for _, st := range s.sets {
-		m, ok := p.maps[st.id]
-		if ok && st.have.beyond(m) > 0 {
+	for _, v := range s.versions {
+		m, ok := p.heldChunks[v.id]
+		if ok && v.heldHere.countNotIn(m) > 0 {
 			return true
 		}
 	}
@@ -82,159 +82,159 @@
 
 func (s *State) pickPeer(open []*peer) int {
 	a, b := s.rng.IntN(len(open)), s.rng.IntN(len(open))
-	if s.holds(open[b]) < s.holds(open[a]) {
+	if s.heldCount(open[b]) < s.heldCount(open[a]) {
 		return b
 	}
 	return a
 }
 
-func (s *State) holds(p *peer) int {
+func (s *State) heldCount(p *peer) int {
 	n := 0
-	for _, st := range s.sets {
-		n += p.maps[st.id].Count()
+	for _, v := range s.versions {
+		n += p.heldChunks[v.id].Count()
 	}
 	return n
 }
 
-// Offered takes a peer's offer of one chunk: this side picks the chunk of the
-// peer's that is rarest among its neighbours, at random among equals.
+// Offered handles a peer's offer of one chunk: of the chunks the peer holds, this side
+// requests the one that the fewest neighbours hold, at random among equals.
 func (s *State) Offered(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok || !s.near(p) {
 		return nil
 	}
-	it := s.pickChunk(now, p)
-	if it == nil || s.trades >= s.cfg.Inbound {
-		p.owed = true
+	c := s.pickChunk(now, p)
+	if c == nil || s.inboundTrades >= s.cfg.Inbound {
+		p.owedReady = true
 		s.emit(Pass{Peer: name})
-		return s.settle(now)
+		return s.decide(now)
 	}
-	p.owed = false
-	s.begin(now, it, Fetch{Chunk: it.ref, Via: ViaTrade, Peer: name, Reason: "rarest"})
-	return s.settle(now)
+	p.owedReady = false
+	s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaTrade, Peer: name, Reason: "rarest"})
+	return s.decide(now)
 }
 
-func (s *State) pickChunk(now time.Time, p *peer) *item {
-	if now.Before(p.badUntil) && s.anyGood(now) {
+func (s *State) pickChunk(now time.Time, p *peer) *chunkState {
+	if now.Before(p.avoidUntil) && s.anyNeighbourUsable(now) {
 		return nil
 	}
-	var best *item
+	var best *chunkState
 	var copies uint16
 	ties := 0
-	for _, st := range s.sets {
-		if st.keep {
+	for _, v := range s.versions {
+		if v.keepOnly {
 			continue
 		}
-		m := p.maps[st.id]
-		for i, it := range st.items {
-			if it.held || it.pending() || !m.Has(i) {
+		m := p.heldChunks[v.id]
+		for i, c := range v.chunks {
+			if c.held || c.pending() || !m.Has(i) {
 				continue
 			}
-			c := st.copies[i]
-			if best != nil && c > copies {
+			n := v.neighbourCopies[i]
+			if best != nil && n > copies {
 				continue
 			}
-			if best == nil || c < copies {
-				best, copies, ties = it, c, 1
+			if best == nil || n < copies {
+				best, copies, ties = c, n, 1
 				continue
 			}
 			ties++
 			if s.rng.IntN(ties) == 0 {
-				best = it
+				best = c
 			}
 		}
 	}
 	return best
 }
 
-// anyGood reports whether some neighbour is not left alone now.
-func (s *State) anyGood(now time.Time) bool {
-	for _, p := range s.order {
-		if s.near(p) && !now.Before(p.badUntil) {
+// anyNeighbourUsable reports whether some neighbour is not avoided now.
+func (s *State) anyNeighbourUsable(now time.Time) bool {
+	for _, p := range s.sortedPeers {
+		if s.near(p) && !now.Before(p.avoidUntil) {
 			return true
 		}
 	}
 	return false
 }
 
-// Passed tells that a peer refused an offer.
+// Passed is called when a peer refused an offer.
 func (s *State) Passed(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
 	}
-	s.release(p)
-	p.full = true
-	p.fullUntil = now.Add(fullLife)
-	return s.settle(now)
+	s.releaseSlot(p)
+	p.refusing = true
+	p.refusingUntil = now.Add(refusalLifetime)
+	return s.decide(now)
 }
 
-// Readied tells that a peer takes offers again.
+// Readied is called when a peer accepts offers again.
 func (s *State) Readied(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
 	}
-	p.full = false
-	return s.settle(now)
+	p.refusing = false
+	return s.decide(now)
 }
 
-// Sent tells that a block of the chunk a peer asked for has been sent; the
-// peer is given new time to ask for more.
+// Sent is called when a block of the chunk that a peer requested has been sent; it
+// extends the time that the peer has to request more.
 func (s *State) Sent(now time.Time, name string) {
 	if p, ok := s.peers[name]; ok && p.uploads > 0 {
-		p.uploadEnd = now.Add(s.startPatience(ViaTrade))
+		p.uploadDeadline = now.Add(s.startTimeout(ViaTrade))
 	}
 }
 
-// Served tells that the chunk a peer asked for on an offer has been sent, or
+// Served is called when the chunk that a peer requested on an offer has been sent, or
 // will not be.
 func (s *State) Served(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
 	}
-	s.release(p)
-	return s.settle(now)
+	s.releaseSlot(p)
+	return s.decide(now)
 }
 
-// unseal lifts refusals once this side holds something new.
-func (s *State) unseal() {
+// clearRefusals forgets refusals once this side holds a new chunk.
+func (s *State) clearRefusals() {
 	for _, p := range s.peers {
-		p.full = false
+		p.refusing = false
 	}
 }
 
-// invite tells some of the peers whose offers were refused that there is room
+// sendReady tells some of the peers whose offers were refused that they may offer
 // again.
-func (s *State) invite() { s.inviteUpTo(readyAtOnce) }
+func (s *State) sendReady() { s.sendReadyUpTo(readyPerFreeSlot) }
 
-// wake tells all of them, in case those told before had nothing to give.
-func (s *State) wake() { s.inviteUpTo(len(s.peers)) }
+// sendReadyToAll tells all of them, in case those told before had nothing to offer.
+func (s *State) sendReadyToAll() { s.sendReadyUpTo(len(s.peers)) }
 
-func (s *State) inviteUpTo(n int) {
-	if s.trades >= s.cfg.Inbound {
+func (s *State) sendReadyUpTo(n int) {
+	if s.inboundTrades >= s.cfg.Inbound {
 		return
 	}
-	var owed []*peer
-	for _, p := range s.order {
-		if p.owed && s.near(p) && s.lacksOf(p) {
-			owed = append(owed, p)
+	var owedReady []*peer
+	for _, p := range s.sortedPeers {
+		if p.owedReady && s.near(p) && s.hasMissingChunk(p) {
+			owedReady = append(owedReady, p)
 		}
 	}
-	s.rng.Shuffle(len(owed), func(i, j int) { owed[i], owed[j] = owed[j], owed[i] })
-	for _, p := range owed[:min(n, len(owed))] {
-		p.owed = false
+	s.rng.Shuffle(len(owedReady), func(i, j int) { owedReady[i], owedReady[j] = owedReady[j], owedReady[i] })
+	for _, p := range owedReady[:min(n, len(owedReady))] {
+		p.owedReady = false
 		s.emit(Ready{Peer: p.Name})
 	}
 }
 
-// lacksOf reports whether p holds a chunk that is neither held here nor on
-// its way.
-func (s *State) lacksOf(p *peer) bool {
-	for _, st := range s.sets {
-		for i := range p.maps[st.id] {
-			if p.maps[st.id].byteAt(i)&^st.have.byteAt(i)&^st.pending.byteAt(i) != 0 {
+// hasMissingChunk reports whether p holds a chunk that is neither held here nor in
+// transfer.
+func (s *State) hasMissingChunk(p *peer) bool {
+	for _, v := range s.versions {
+		for i := range p.heldChunks[v.id] {
+			if p.heldChunks[v.id].byteAt(i)&^v.heldHere.byteAt(i)&^v.pending.byteAt(i) != 0 {
 				return true
 			}
 		}
--- a/core/version/burst/transfer.go
+++ b/core/version/burst/transfer.go
@@ -6,114 +6,114 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Requested tells that the source has been asked: until then a transfer waits
-// for its turn on this machine's link, which is no fault of the source's.
+// Requested is called when the request has been sent to the source. Before that the
+// transfer waits for this machine's own link, which is not the source's fault.
 func (s *State) Requested(now time.Time, d chunk.Digest) {
-	it, ok := s.items[d]
-	if !ok || !it.queued {
+	c, ok := s.chunks[d]
+	if !ok || !c.queued {
 		return
 	}
-	it.queued = false
-	it.began = now
-	it.deadline = now.Add(s.startPatience(it.via))
+	c.queued = false
+	c.startedAt = now
+	c.deadline = now.Add(s.startTimeout(c.via))
 }
 
-// Progressed tells that some bytes of a transfer came in. Once they flow, a
-// pause as long as a whole transfer means that it has stalled. A transfer from
-// a peer may not trickle for ever either.
+// Progressed is called when bytes of a transfer came in. From then on a pause as long as
+// a mean transfer takes means that it has stalled. A transfer from a peer also has a limit
+// of its total time, so that it cannot go on for ever at a trickle.
 func (s *State) Progressed(now time.Time, d chunk.Digest) []Action {
-	it, ok := s.items[d]
-	if !ok || !it.pending() {
+	c, ok := s.chunks[d]
+	if !ok || !c.pending() {
 		return nil
 	}
-	it.queued = false
-	if !it.flowing {
-		// The time that the peer needed to get the chunk itself says
-		// nothing of how long a transfer takes.
-		it.flowing = true
-		it.since = now
+	c.queued = false
+	if !c.receiving {
+		// The time in which the peer was still fetching the chunk itself does not
+		// count as part of the transfer.
+		c.receiving = true
+		c.firstByteAt = now
 	}
-	p := s.patience(it.via)
-	pause := max(p/stallFactor, s.cfg.LeastPatience)
-	if it.via == ViaImport {
-		// An exporter serves several regions and its own; begun anew, an
-		// import crosses the region link twice.
-		pause = s.startPatience(it.via)
+	p := s.transferTimeout(c.via)
+	pause := max(p/timeoutFactor, s.cfg.LeastPatience)
+	if c.via == ViaImport {
+		// An exporter serves several regions and its own; an import that is
+		// restarted crosses the region link twice.
+		pause = s.startTimeout(c.via)
 	}
-	it.deadline = now.Add(pause)
-	last := it.since.Add(trickleFactor * p)
-	if it.via != ViaOrigin && it.deadline.After(last) {
-		it.deadline = last
+	c.deadline = now.Add(pause)
+	last := c.firstByteAt.Add(maxDurationFactor * p)
+	if c.via != ViaOrigin && c.deadline.After(last) {
+		c.deadline = last
 	}
-	s.passTurn(now, it)
-	return s.settle(now)
+	s.announceEarly(now, c)
+	return s.decide(now)
 }
 
-// Deferred tells that the peer of an import wants the chunk too and still lacks
-// it. That is no fault of the peer's, nor of the sides of the own region that
-// rank before this one; only the first in rank waits there, or the chunk would
-// cross the region link once for each that does.
+// Deferred is called when the peer of an import wants the chunk too but does not hold it
+// yet. That is a fault neither of the peer nor of the sides of this region that rank
+// before this one. Only the first in rank waits at that peer, or the chunk would cross
+// the region link once for each side that waits.
 func (s *State) Deferred(now time.Time, d chunk.Digest, from string) []Action {
-	it, ok := s.items[d]
-	if !ok || it.via != ViaImport || it.from != from || it.flowing || it.later {
+	c, ok := s.chunks[d]
+	if !ok || c.via != ViaImport || c.source != from || c.receiving || c.awaitingPeer {
 		return nil
 	}
-	if s.steppedIn(it) {
-		s.trouble(now, it.places[0].upstream())
+	if s.isStandIn(c) {
+		s.markUnavailable(now, c.positions[0].upstream())
 	}
-	if it.lackedSince.IsZero() {
-		it.lackedSince = now
+	if c.deferredSince.IsZero() {
+		c.deferredSince = now
 	}
-	// Without the suspicions that ended just now this side may rank first.
-	if stepped := s.steppedIn(it); stepped || it.probing {
+	// markUnavailable cleared the suspicions, so this side may now be first by rank.
+	if stepped := s.isStandIn(c); stepped || c.probing {
 		s.emit(Stop{Chunk: d, Peer: from, Reason: string(FailLater)})
-		s.clearPending(it)
+		s.clearPending(c)
 		if stepped {
-			it.dueAt, it.lostAt = now, now
-			it.laters++
-			it.probing = true
+			c.dueAt, c.unreachableSince = now, now
+			c.deferrals++
+			c.probing = true
 		}
-		s.stale = true
-		return s.settle(now)
+		s.fetchesDue = true
+		return s.decide(now)
 	}
-	it.later = true
-	it.deadline = now.Add(s.cfg.LeastPatience)
-	return s.settle(now)
+	c.awaitingPeer = true
+	c.deadline = now.Add(s.cfg.LeastPatience)
+	return s.decide(now)
 }
 
-// Asked tells that all of an import has been asked for.
+// Asked is called when every byte of an import has been requested.
 func (s *State) Asked(now time.Time, d chunk.Digest) []Action {
-	it, ok := s.items[d]
-	if !ok || it.via != ViaImport {
+	c, ok := s.chunks[d]
+	if !ok || c.via != ViaImport {
 		return nil
 	}
-	it.asked = true
-	s.passTurn(now, it)
-	return s.settle(now)
+	c.fullyRequested = true
+	s.announceEarly(now, c)
+	return s.decide(now)
 }
 
-// passTurn passes on the turn of an import once all of it has been asked for and
-// its bytes flow: its share of the region link is spent while the last of them come
-// in. The region is told that the chunk is there; should the import fail after all,
-// this side at once begins anew. An exporter that still lacks the chunk spends
-// nothing, and may never have it.
-func (s *State) passTurn(now time.Time, it *item) {
-	if !it.asked || !it.flowing || it.early {
+// announceEarly tells the region that the chunk is held here once all of an import has
+// been requested and its bytes arrive. The link share is then used up while the last bytes
+// come in, and the next chunk can start. If the import fails after all, this side restarts
+// it at once. While the exporter still lacks the chunk nothing is announced, since it uses
+// none of the link and may never get the chunk.
+func (s *State) announceEarly(now time.Time, c *chunkState) {
+	if !c.fullyRequested || !c.receiving || c.announcedEarly {
 		return
 	}
-	it.early = true
-	for _, pl := range it.places {
-		s.spread(now, pl.set, []int{pl.index}, "")
+	c.announcedEarly = true
+	for _, pl := range c.positions {
+		s.relayHeldInRegion(now, pl.version, []int{pl.index}, "")
 	}
 }
 
-// Failed tells that a transfer ended without the chunk. After is how long the
-// origin asked to be left alone, zero otherwise.
+// Failed is called when a transfer ended without the chunk. after is the Retry-After of
+// the origin, zero otherwise.
 func (s *State) Failed(now time.Time, d chunk.Digest, from string, why Failure, after time.Duration) []Action {
-	it, ok := s.items[d]
-	if !ok || !it.pending() || it.from != from {
+	c, ok := s.chunks[d]
+	if !ok || !c.pending() || c.source != from {
 		return nil
 	}
-	s.failed(now, it, why, after)
-	return s.settle(now)
+	s.handleFailure(now, c, why, after)
+	return s.decide(now)
 }
--- a/core/version/burst/update.go
+++ b/core/version/burst/update.go
@@ -10,147 +10,147 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Update replaces the wanted versions and their members. Chunks that an
-// earlier version shares with a wanted one are kept; transfers of chunks that
-// no version wants any more are stopped and what is held of them discarded.
+// Update replaces the wanted versions and their members. Chunks that an old version
+// shares with a wanted one are kept. Transfers of chunks that no version wants any more
+// are stopped, and those that are held are discarded.
 func (s *State) Update(now time.Time, sets []Set) []Action {
-	old := s.sets
-	s.sets = nil
-	for _, it := range s.items {
-		it.places = nil
+	old := s.versions
+	s.versions = nil
+	for _, c := range s.chunks {
+		c.positions = nil
 	}
 	for _, w := range sets {
-		s.sets = append(s.sets, s.newSet(w))
+		s.versions = append(s.versions, s.newSet(w))
 	}
 	s.dropUnwanted()
-	s.keepSeen(old)
+	s.carryOver(old)
 	s.updatePeers(now)
-	s.stale = true
-	return s.settle(now)
+	s.fetchesDue = true
+	return s.decide(now)
 }
 
-func (s *State) newSet(w Set) *set {
+func (s *State) newSet(w Set) *version {
 	n := len(w.Manifest.Chunks)
-	st := &set{
-		id:         w.ID,
-		keep:       w.Keep,
-		extraPlace: unranked,
-		manifest:   w.Manifest,
-		members:    map[string][]string{},
-		have:       NewBits(n),
-		pending:    NewBits(n),
-		seen:       NewBits(n),
-		copies:     make([]uint16, n),
+	v := &version{
+		id:              w.ID,
+		keepOnly:        w.Keep,
+		extraRank:       rankUnknown,
+		manifest:        w.Manifest,
+		members:         map[string][]string{},
+		heldHere:        NewBits(n),
+		pending:         NewBits(n),
+		heldInRegion:    NewBits(n),
+		neighbourCopies: make([]uint16, n),
 	}
 	for _, m := range w.Members {
-		st.members[m.Region] = append(st.members[m.Region], m.Name)
+		v.members[m.Region] = append(v.members[m.Region], m.Name)
 	}
-	for r := range st.members {
-		slices.Sort(st.members[r])
-		st.regions = append(st.regions, r)
+	for r := range v.members {
+		slices.Sort(v.members[r])
+		v.regions = append(v.regions, r)
 	}
-	slices.Sort(st.regions)
-	st.regions = rank.Order(string(w.ID), st.regions, func(r string) string { return r })
+	slices.Sort(v.regions)
+	v.regions = rank.Order(string(w.ID), v.regions, func(r string) string { return r })
 	for i := range n {
-		st.upstream = append(st.upstream, s.upstreamOf(st, i))
-		st.place = append(st.place, unranked)
+		v.upstream = append(v.upstream, s.upstreamOf(v, i))
+		v.ranks = append(v.ranks, rankUnknown)
 	}
 	for _, d := range w.Staged {
-		s.adopt(d)
+		s.markStaged(d)
 	}
 	for i, ref := range w.Manifest.Chunks {
-		st.items = append(st.items, s.place(st, i, ref))
+		v.chunks = append(v.chunks, s.place(v, i, ref))
 	}
-	return st
+	return v
 }
 
-func (s *State) place(st *set, i int, ref chunk.Ref) *item {
-	it, ok := s.items[ref.Digest]
+func (s *State) place(v *version, i int, ref chunk.Ref) *chunkState {
+	c, ok := s.chunks[ref.Digest]
 	if !ok {
-		it = &item{ref: ref}
-		s.items[ref.Digest] = it
+		c = &chunkState{ref: ref}
+		s.chunks[ref.Digest] = c
 	}
-	it.ref = ref
-	it.places = append(it.places, place{set: st, index: i})
-	if it.held {
-		st.have.Set(i)
-		st.seen.Set(i)
+	c.ref = ref
+	c.positions = append(c.positions, position{version: v, index: i})
+	if c.held {
+		v.heldHere.Set(i)
+		v.heldInRegion.Set(i)
 	}
-	if it.pending() {
-		st.pending.Set(i)
+	if c.pending() {
+		v.pending.Set(i)
 	}
-	return it
+	return c
 }
 
-func (s *State) adopt(d chunk.Digest) {
-	it, ok := s.items[d]
+func (s *State) markStaged(d chunk.Digest) {
+	c, ok := s.chunks[d]
 	if !ok {
-		it = &item{}
-		s.items[d] = it
+		c = &chunkState{}
+		s.chunks[d] = c
 	}
-	if it.pending() {
+	if c.pending() {
 		return
 	}
-	it.held = true
+	c.held = true
 }
 
 func (s *State) dropUnwanted() {
-	for _, d := range slices.Sorted(maps.Keys(s.items)) {
-		it := s.items[d]
-		if len(it.places) > 0 {
+	for _, d := range slices.Sorted(maps.Keys(s.chunks)) {
+		c := s.chunks[d]
+		if len(c.positions) > 0 {
 			continue
 		}
-		if it.pending() {
-			s.emit(Stop{Chunk: d, Peer: it.from, Reason: "no longer wanted"})
-			s.clearPending(it)
+		if c.pending() {
+			s.emit(Stop{Chunk: d, Peer: c.source, Reason: "no longer wanted"})
+			s.clearPending(c)
 		}
-		if it.held {
+		if c.held {
 			s.emit(Discard{Chunk: d})
 		}
-		delete(s.items, d)
+		delete(s.chunks, d)
 	}
 }
 
-// keepSeen carries over what the region was known to hold of versions that
-// are still wanted.
-func (s *State) keepSeen(old []*set) {
-	for _, st := range s.sets {
+// carryOver copies what the region is known to hold of versions that are still
+// wanted from their old state.
+func (s *State) carryOver(old []*version) {
+	for _, v := range s.versions {
 		known := false
 		for _, o := range old {
-			if o.id == st.id {
+			if o.id == v.id {
 				known = true
-				st.seen = o.seen.clone()
-				st.extra = o.extra
+				v.heldInRegion = o.heldInRegion.clone()
+				v.extraBytes = o.extraBytes
 			}
 		}
 		if !known {
-			s.takeEarly(st)
+			s.applyEarly(v)
 		}
-		s.recount(st)
+		s.recountCopies(v)
 	}
 }
 
-func (s *State) recount(st *set) {
-	clear(st.copies)
+func (s *State) recountCopies(v *version) {
+	clear(v.neighbourCopies)
 	for _, p := range s.peers {
-		m, ok := p.maps[st.id]
+		m, ok := p.heldChunks[v.id]
 		if !ok || !p.connected || p.Region != s.cfg.Self.Region {
 			continue
 		}
-		for i := range st.items {
+		for i := range v.chunks {
 			if m.Has(i) {
-				st.copies[i]++
+				v.neighbourCopies[i]++
 			}
 		}
 	}
 }
 
-// updatePeers forgets sides that are no members any more, and greets those
-// that are connected with the maps of the versions now wanted.
+// updatePeers removes sides that are no longer members, and sends those that are
+// connected the chunk sets of the versions now wanted.
 func (s *State) updatePeers(now time.Time) {
 	known := map[string]string{}
-	for _, st := range s.sets {
-		for region, names := range st.members {
+	for _, v := range s.versions {
+		for region, names := range v.members {
 			for _, n := range names {
 				known[n] = region
 			}
@@ -162,25 +162,25 @@
 		}
 	}
 	s.sortPeers()
-	s.dials = s.neighbours()
-	for _, n := range s.dials {
+	s.dialNames = s.neighbours()
+	for _, n := range s.dialNames {
 		s.peer(n, s.cfg.Self.Region)
 	}
-	for _, p := range s.order {
+	for _, p := range s.sortedPeers {
 		if p.connected {
-			s.greet(p)
+			s.sendMaps(p)
 		}
 	}
 	s.connect(now)
 }
 
-// neighbours are the sides of the region that this side dials: those that
-// rank first for its own name, so that the mesh is a random graph which
-// changes little as sides come and go.
+// neighbours are the sides of the region that this side connects to: those that rank
+// first for its own name. The mesh is then a random graph that changes little as sides
+// come and go.
 func (s *State) neighbours() []string {
 	var names []string
-	for _, st := range s.sets {
-		for _, n := range st.members[s.cfg.Self.Region] {
+	for _, v := range s.versions {
+		for _, n := range v.members[s.cfg.Self.Region] {
 			if n != s.cfg.Self.Name && !slices.Contains(names, n) {
 				names = append(names, n)
 			}
@@ -194,12 +194,12 @@
 	if s.cfg.Direct {
 		return
 	}
-	for _, n := range s.dials {
+	for _, n := range s.dialNames {
 		p := s.peer(n, s.cfg.Self.Region)
-		if p.connected || now.Before(p.dialAt) {
+		if p.connected || now.Before(p.nextDialAt) {
 			continue
 		}
-		p.dialAt = now.Add(s.dialWait(p.dialFails))
+		p.nextDialAt = now.Add(s.dialDelay(p.dialFails))
 		p.dialFails++
 		s.emit(Connect{Peer: n})
 	}
@@ -208,7 +208,7 @@
 func (s *State) peer(name, region string) *peer {
 	p, ok := s.peers[name]
 	if !ok {
-		p = &peer{Member: Member{Name: name, Region: region}, maps: map[chunk.Digest]Bits{}, early: map[chunk.Digest]Bits{}}
+		p = &peer{Member: Member{Name: name, Region: region}, heldChunks: map[chunk.Digest]Bits{}, earlyInRegion: map[chunk.Digest]Bits{}}
 		s.peers[name] = p
 		s.sortPeers()
 	}
@@ -216,18 +216,18 @@
 }
 
 func (s *State) sortPeers() {
-	s.order = s.order[:0]
+	s.sortedPeers = s.sortedPeers[:0]
 	for _, p := range s.peers {
-		s.order = append(s.order, p)
+		s.sortedPeers = append(s.sortedPeers, p)
 	}
-	slices.SortFunc(s.order, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(s.sortedPeers, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-func (s *State) greet(p *peer) {
+func (s *State) sendMaps(p *peer) {
 	if p.Region != s.cfg.Self.Region {
 		return
 	}
-	for _, st := range s.sets {
-		s.emit(Greet{Peer: p.Name, Manifest: st.id, Have: st.have.clone(), Seen: st.seen.clone()})
+	for _, v := range s.versions {
+		s.emit(Greet{Peer: p.Name, Manifest: v.id, Have: v.heldHere.clone(), Seen: v.heldInRegion.clone()})
 	}
 }
