--- a/core/version/roll/explore_test.go
+++ b/core/version/roll/explore_test.go
@@ -15,27 +15,27 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// omitted is a safeguard that an exploration leaves out.
+// omitted names a safeguard that an exploration leaves out.
 type omitted string
 
 const (
-	omitNothing  omitted = ""
-	omitAsking   omitted = "a replica that asks does not count"
-	omitLife     omitted = "a permission has a short life"
-	omitFloor    omitted = "the floor"
-	omitVerified omitted = "weights are verified whole before an order"
-	omitPromptly omitted = "an order reaches its engine within the grace"
+	omitNothing      omitted = ""
+	omitAskingRule   omitted = "a replica that asks does not count"
+	omitPermitLife   omitted = "a permission has a short life"
+	omitFloor        omitted = "the floor"
+	omitVerified     omitted = "weights are verified whole before an order"
+	omitStartTimeout omitted = "an order reaches its engine within the grace"
 )
 
-// zone is one state of the model: the sides of a zone, the engine of each,
-// questions under way and orders in flight.
+// zone is one state of the model: the sides of an availability zone, their engines,
+// questions in progress and orders under way.
 type zone struct {
 	now   int
 	sides []zoneSide
 }
 
-// zoneSide is a side with its engine. Answers are what has come back on its
-// question, one place for each peer. Order is in flight to the engine.
+// zoneSide is a side with its engine. answers are the answers to its question so far,
+// one place for each peer. order is the order under way to the engine.
 type zoneSide struct {
 	machine  Machine
 	wants    bool
@@ -79,14 +79,14 @@
 func (z *zone) key() string {
 	out := fmt.Sprint(z.now)
 	for _, s := range z.sides {
-		out += fmt.Sprint("|", s.machine.phase, s.machine.manifest, s.machine.askedAt, z.age(s.machine.ordered), z.age(s.machine.retryAt),
+		out += fmt.Sprint("|", s.machine.phase, s.machine.manifest, s.machine.askedAt, z.sinceStart(s.machine.orderedAt), z.sinceStart(s.machine.retryAt),
 			s.wants, s.verified, s.engine, s.asking, s.answers, s.order, s.sent)
 	}
 	return out
 }
 
-// age is a time of a machine as the model's clock has it.
-func (z *zone) age(t time.Time) time.Duration {
+// sinceStart converts a time of a machine to the model's clock, -1 if it is not set.
+func (z *zone) sinceStart(t time.Time) time.Duration {
 	if t.IsZero() {
 		return -1
 	}
@@ -168,13 +168,13 @@
 func (m zoneModel) answer(z *zone, i, j int) {
 	st := z.sides[j].machine.Status(z.at(), m.facts(z, j))
 	st.Name = fmt.Sprint("side", j)
-	if m.omitted == omitAsking && st.Phase == PhaseAsking {
+	if m.omitted == omitAskingRule && st.Phase == PhaseAsking {
 		st.Phase = PhaseIdle
 	}
 	z.sides[i].answers[j] = st
 }
 
-// answered decides on the answers that have come; the side may have slept
+// answered decides on the answers that have come; the side may have been suspended
 // since the first of them.
 func (m zoneModel) answered(z *zone, i int) {
 	s := &z.sides[i]
@@ -185,7 +185,7 @@
 		}
 	}
 	f := m.facts(z, i)
-	if m.omitted == omitLife {
+	if m.omitted == omitPermitLife {
 		f.At = s.machine.askedAt
 	}
 	a := s.machine.Answered(start.Add(f.At), f, came)
@@ -202,11 +202,12 @@
 	z.sides[i].sent = z.now
 }
 
-// engineMoves: an order arrives, or is never heard of again; a load ends.
+// engineMoves are the moves of an engine: it takes an order, or finishes a load. An order
+// that is never taken is lost.
 func (m zoneModel) engineMoves(z *zone, i int, add func(string, func(*zone))) {
 	s := z.sides[i]
-	grace := time.Duration(z.now-s.sent)*zoneTick <= startGrace
-	if s.order.Kind == ActionOrder && (grace || m.omitted == omitPromptly) {
+	grace := time.Duration(z.now-s.sent)*zoneTick <= loadStartTimeout
+	if s.order.Kind == ActionOrder && (grace || m.omitted == omitStartTimeout) {
 		add(fmt.Sprintf("engine %d takes the order", i), func(c *zone) { c.sides[i].take() })
 	}
 	if s.engine.Loading != "" {
@@ -225,8 +226,8 @@
 	s.order = Action{}
 }
 
-// check is the rule: as many engines as the floor says serve and do not
-// load, and none loads what its side has not verified.
+// check verifies the two rules: at least as many engines as the floor requires serve and
+// do not load, and none loads weights that its side has not verified.
 func (m zoneModel) check(z *zone) error {
 	serving := 0
 	for i, s := range z.sides {
@@ -253,11 +254,11 @@
 	})
 }
 
-// A new version goes to the replicas of a zone while sides sleep between
-// question and order, answers are late or missing, and orders are lost or
-// arrive late. In no order of these do fewer replicas serve than the floor
-// says, and none loads weights that are not whole.
-func TestNoOrderOfEventsBreaksTheFloor(t *testing.T) {
+// The replicas of a zone load a new version while sides are suspended between
+// question and order, answers are late or missing, and orders are lost or late. In no
+// sequence of these events do fewer replicas serve than the floor requires, or does one
+// load weights that are not completely verified.
+func TestFloorHoldsInEveryEventOrder(t *testing.T) {
 	tests := []struct {
 		name  string
 		model zoneModel
@@ -277,11 +278,11 @@
 	}
 }
 
-// Each safeguard is left out once; the checker must find what it prevents.
-// The last is what the order relies on outside this package: an engine that
-// takes an order only after its side has given it up.
-func TestEachRuleOfOrderIsNeeded(t *testing.T) {
-	for _, o := range []omitted{omitAsking, omitLife, omitFloor, omitVerified, omitPromptly} {
+// Each safeguard is left out once; the exploration must find the fault that it prevents.
+// The last one is not part of this package: an engine must not take an order after
+// its side has stopped waiting for it.
+func TestEachSafeguardIsNeeded(t *testing.T) {
+	for _, o := range []omitted{omitAskingRule, omitPermitLife, omitFloor, omitVerified, omitStartTimeout} {
 		t.Run(string(o), func(t *testing.T) {
 			t.Parallel()
 			got := zoneModel{sides: 2, floor: 1, ticks: 7, omitted: o}.run()
--- a/core/version/roll/machine.go
+++ b/core/version/roll/machine.go
@@ -6,19 +6,19 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Phase is where a side stands with the load of one version.
+// Phase is the stage of a side's load of one version.
 type Phase string
 
-// The phases of a load. A side that asks or loads is not counted as serving
-// by the replicas that ask it.
+// The phases of a load. The replicas that ask a side count it as serving only while it
+// is idle.
 const (
 	PhaseIdle    Phase = "idle"
 	PhaseAsking  Phase = "asking"
 	PhaseLoading Phase = "loading"
 )
 
-// Target is what an engine reports of itself. LastOrder is the highest order
-// number that it has taken.
+// Target is what an engine reports about itself. LastOrder is the highest order
+// number that it has accepted.
 type Target struct {
 	Boot      string
 	Serving   chunk.Digest
@@ -26,11 +26,11 @@
 	LastOrder uint64
 }
 
-// Facts is what a side knows when it decides. Verified says that every chunk
+// Facts is what a side knows when it decides. Verified means that every chunk
 // of the wanted manifest is staged and has its digest. TargetKnown is false
 // while the engine does not answer.
 type Facts struct {
-	// At is when they were read, on a clock that also counts the time in which
+	// At is when the facts were read, on a clock that also counts the time in which
 	// the machine was suspended.
 	At          time.Duration
 	Want        Want
@@ -38,12 +38,12 @@
 	Target      Target
 	TargetKnown bool
 	Draining    bool
-	// Deadline bounds when the load may begin.
+	// Deadline is the time by which the load must begin.
 	Deadline Deadline
 }
 
 // Status is a side's answer to a replica that asks it. Serving is what its
-// target serves, Wanted what the document at Revision asks of it.
+// target serves, Wanted what the document at Revision requires of it.
 type Status struct {
 	Name     string       `msgpack:"name"`
 	Phase    Phase        `msgpack:"phase"`
@@ -51,25 +51,25 @@
 	Wanted   chunk.Digest `msgpack:"wanted"`
 	Revision uint64       `msgpack:"revision"`
 	Leaving  bool         `msgpack:"leaving"`
-	// Rank is the replica's place in the order of loading.
+	// Rank is the replica's place in the order of loading, 0 being the first.
 	Rank int `msgpack:"rank,omitempty"`
 	// Ordered is the version of the replica's last order, empty for none, and
-	// OrderAge how long ago that was given.
+	// OrderAge how long ago that order was given.
 	Ordered  chunk.Digest  `msgpack:"ordered,omitempty"`
 	OrderAge time.Duration `msgpack:"orderAge,omitempty"`
 }
 
-// ActionKind says what the side has to do next.
+// ActionKind is the kind of an Action.
 type ActionKind string
 
-// The actions.
+// The actions: do nothing, ask the other replicas, order the target to load.
 const (
 	ActionNone  ActionKind = "none"
 	ActionAsk   ActionKind = "ask"
 	ActionOrder ActionKind = "order"
 )
 
-// Action is one decision. Number is set for an order.
+// Action is what the side must do next. Number is set for an order.
 type Action struct {
 	Kind     ActionKind
 	Manifest chunk.Digest
@@ -77,10 +77,10 @@
 	Reason   Reason
 }
 
-// Reason says why an action was decided, or why none was.
+// Reason says why an action was chosen, or why there was none.
 type Reason string
 
-// The reasons.
+// The reasons. They appear in the decision log.
 const (
 	ReasonServed       Reason = "already served"
 	ReasonNotPlaced    Reason = "not placed"
@@ -101,108 +101,109 @@
 	ReasonFloorHolds   Reason = "floor holds without this replica"
 )
 
-// The machine's times.
+// Times of the Machine.
 const (
-	// PermitLife is how long the answers of the other replicas permit an
-	// order. A process that was paused, or suspended with its machine, after it
-	// asked finds its permission too old and asks again.
+	// PermitLife is how long the answers of the other replicas permit an order. A
+	// process that was paused, or suspended with its machine, after it asked must
+	// not act on outdated answers; it asks again.
 	PermitLife = 2 * time.Second
-	// minBackoff and perRank space the questions of the sides of a zone. Two
-	// that ask at the same moment both give way; apart by rank they rarely do,
-	// and the questions a second grow with the replicas, not their square.
-	minBackoff = 200 * time.Millisecond
-	perRank    = 20 * time.Millisecond
-	// startGrace is how long an engine may take to show a load that it
-	// accepted. Without it a load that the engine gave up would keep its side
-	// waiting for good, on the old version.
-	startGrace = 5 * time.Second
+	// minAskBackoff and backoffPerRank space the questions of the sides of a zone. Of
+	// two sides that ask at the same moment neither counts the other as serving, so
+	// that both may have to ask again. Delays by rank make that rare, and questions a
+	// second then grow with the replicas, not with their square.
+	minAskBackoff  = 200 * time.Millisecond
+	backoffPerRank = 20 * time.Millisecond
+	// loadStartTimeout is how long an engine may take to report a load that it
+	// accepted. Without it, a load that the engine dropped would make its side wait
+	// for ever, on the old version.
+	loadStartTimeout = 5 * time.Second
 )
 
-// Machine decides when one side orders its target to load. The zero value is
-// ready for use. It is not safe for concurrent use.
+// Machine decides when one side orders its target to load a version. The zero value
+// is ready for use. It is not safe for concurrent use.
 type Machine struct {
-	phase    Phase
-	manifest chunk.Digest
-	askedAt  time.Duration
-	ordered  time.Time
-	retryAt  time.Time
-	boot     string
+	phase     Phase
+	manifest  chunk.Digest
+	askedAt   time.Duration
+	orderedAt time.Time
+	retryAt   time.Time
+	boot      string
 }
 
-// Step decides on what is known now. ActionAsk makes the side ask all of
-// Want.Peers and hand their answers to Answered.
+// Step decides on the facts f. After ActionAsk the caller asks all of Want.Peers and
+// passes their answers to Answered.
 func (m *Machine) Step(now time.Time, f Facts) Action {
-	m.follow(now, f)
-	if r, ok := blocked(f); ok {
-		m.rest(r)
-		return none(r)
+	m.trackLoad(now, f)
+	if r, ok := blockedReason(f); ok {
+		m.resetPhase(r)
+		return noAction(r)
 	}
 	if m.phase == PhaseLoading || f.Target.Loading != "" {
-		return none(ReasonTargetBusy)
+		return noAction(ReasonTargetBusy)
 	}
 	if f.Target.Serving == "" && !now.Before(m.retryAt) {
-		return m.order(now, f, ReasonFirstLoad)
+		return m.startLoad(now, f, ReasonFirstLoad)
 	}
 	if f.Deadline.passed() && !now.Before(m.retryAt) {
-		return m.order(now, f, ReasonOverdue)
+		return m.startLoad(now, f, ReasonOverdue)
 	}
 	if m.manifest != f.Want.Manifest {
 		m.manifest = f.Want.Manifest
-		m.retryAt = now.Add(time.Duration(f.Want.Rank) * perRank)
+		m.retryAt = now.Add(time.Duration(f.Want.Rank) * backoffPerRank)
 	}
 	if now.Before(m.retryAt) {
-		return none(ReasonBackoff)
+		return noAction(ReasonBackoff)
 	}
 	m.phase = PhaseAsking
 	m.askedAt = f.At
 	return Action{Kind: ActionAsk, Manifest: m.manifest, Reason: ReasonAsking}
 }
 
-// Answered decides on the answers to a question. f is read anew after the
-// answers came in. Replicas that did not answer are left out of answers and
+// Answered decides on the answers to a question. f must be read again after the
+// answers came in. Replicas that did not answer are missing from answers and
 // so count as not serving.
 func (m *Machine) Answered(now time.Time, f Facts, answers []Status) Action {
 	if m.phase != PhaseAsking {
-		return none(ReasonWantChanged)
+		return noAction(ReasonWantChanged)
 	}
-	if r, ok := blocked(f); ok {
-		m.rest(r)
-		return none(r)
+	if r, ok := blockedReason(f); ok {
+		m.resetPhase(r)
+		return noAction(r)
 	}
-	if r, ok := m.refused(f, answers); ok {
+	if r, ok := m.objection(f, answers); ok {
 		m.phase = PhaseIdle
-		m.retryAt = now.Add(backoff(f.Want))
-		return none(r)
+		m.retryAt = now.Add(askBackoff(f.Want))
+		return noAction(r)
 	}
-	if wait := f.Deadline.wait(f.Want, answers); wait > 0 {
+	if wait := f.Deadline.delay(f.Want, answers); wait > 0 {
 		m.phase = PhaseIdle
-		m.retryAt = now.Add(min(wait, mostSpacing) + time.Duration(f.Want.Rank)*perRank)
-		return none(ReasonSpaced)
+		m.retryAt = now.Add(min(wait, maxSpacing) + time.Duration(f.Want.Rank)*backoffPerRank)
+		return noAction(ReasonSpaced)
 	}
-	return m.order(now, f, ReasonFloorHolds)
+	return m.startLoad(now, f, ReasonFloorHolds)
 }
 
-// refused reports the safeguard that forbids the order, if any.
-func (m *Machine) refused(f Facts, answers []Status) (Reason, bool) {
+// objection returns the safeguard that forbids the order, if any.
+func (m *Machine) objection(f Facts, answers []Status) (Reason, bool) {
 	if f.Want.Manifest != m.manifest {
 		return ReasonWantChanged, true
 	}
-	// A side that slept between question and order would load beside another
-	// one that asked meanwhile, and the zone would drop below its floor. Only a
-	// clock that counts suspension tells it that it slept.
+	// A side that was suspended between question and order would load at the same
+	// time as one that asked meanwhile, and the zone would drop below its floor. Only a
+	// clock that counts suspension shows this.
 	if f.At-m.askedAt > PermitLife {
 		return ReasonPermitOld, true
 	}
 	serving := 0
 	for _, s := range answers {
 		// Without this a side cut off from new documents would load a version
-		// that was withdrawn; one answer from a replica that knows better is
+		// that was withdrawn; one answer from a replica with a newer document is
 		// enough to wait. A higher revision alone is not: documents change
-		// about once a second, mostly elsewhere.
+		// about once a second, mostly in parts that do not concern this service.
 		if s.Revision > f.Want.Revision && s.Wanted != f.Want.Manifest {
 			return ReasonBehind, true
 		}
-		if counts(s) {
+		if keepsServing(s) {
 			serving++
 		}
 	}
@@ -212,21 +213,21 @@
 	return "", false
 }
 
-// counts reports whether replica s keeps serving while this one loads. A
-// replica that asks does not count: it may already hold the answers that
-// permit its load, and a tie broken by rank would let both go at once and the
-// zone below its floor.
-func counts(s Status) bool {
+// keepsServing reports whether replica s keeps serving while this one loads. A
+// replica that asks does not count: it may already hold the answers that permit its
+// load. If a tie were broken by rank instead, both could load at once and the zone
+// would drop below its floor.
+func keepsServing(s Status) bool {
 	return s.Serving != "" && !s.Leaving && s.Phase == PhaseIdle
 }
 
-// order makes the order. Its number is above the last one that the engine
-// took, so it grows without anything being stored.
-func (m *Machine) order(now time.Time, f Facts, r Reason) Action {
+// startLoad returns an order and enters PhaseLoading. The order's number is one above the
+// last that the engine accepted, so that it grows without being stored.
+func (m *Machine) startLoad(now time.Time, f Facts, r Reason) Action {
 	m.phase = PhaseLoading
 	m.manifest = f.Want.Manifest
 	m.boot = f.Target.Boot
-	m.ordered = now
+	m.orderedAt = now
 	return Action{
 		Kind:     ActionOrder,
 		Manifest: f.Want.Manifest,
@@ -235,9 +236,9 @@
 	}
 }
 
-// Wait is how long Step may be put off after now, at most longest. Steps that
-// were rounded up to a common tick would make sides that are set apart by
-// rank ask at the same moment again.
+// Wait is how long the next Step may be delayed after now, at most longest. If steps
+// were rounded up to a common tick, sides whose delays differ by rank would ask at
+// the same moment again.
 func (m *Machine) Wait(now time.Time, longest time.Duration) time.Duration {
 	until := m.retryAt.Sub(now)
 	if until <= 0 {
@@ -246,15 +247,14 @@
 	return min(until, longest)
 }
 
-// Failed tells the machine that an order was refused or not answered, or
-// that the target gave a load up.
+// Failed is called when an order was refused or not answered, or when the target
+// stopped loading without serving the version.
 func (m *Machine) Failed(now time.Time, f Facts) {
 	m.phase = PhaseIdle
-	m.retryAt = now.Add(backoff(f.Want))
+	m.retryAt = now.Add(askBackoff(f.Want))
 }
 
-// Status is the answer to another replica that asks. The name is the
-// caller's to fill in.
+// Status is the answer to another replica that asks. The caller sets the name.
 func (m *Machine) Status(now time.Time, f Facts) Status {
 	s := Status{
 		Phase:    m.phase,
@@ -266,8 +266,8 @@
 	if f.TargetKnown {
 		s.Serving = f.Target.Serving
 	}
-	if !m.ordered.IsZero() {
-		s.Ordered, s.OrderAge = m.manifest, now.Sub(m.ordered)
+	if !m.orderedAt.IsZero() {
+		s.Ordered, s.OrderAge = m.manifest, now.Sub(m.orderedAt)
 	}
 	if s.Phase == "" {
 		s.Phase = PhaseIdle
@@ -278,9 +278,9 @@
 	return s
 }
 
-// follow notes the end of a load: the target serves the ordered version, or
-// it started anew and has forgotten the order, or it has given the load up.
-func (m *Machine) follow(now time.Time, f Facts) {
+// trackLoad detects the end of a load: the target serves the ordered version, or it
+// was restarted and lost the order, or it has stopped loading.
+func (m *Machine) trackLoad(now time.Time, f Facts) {
 	if m.phase != PhaseLoading || !f.TargetKnown {
 		return
 	}
@@ -288,19 +288,19 @@
 		m.phase = PhaseIdle
 		return
 	}
-	if f.Target.Loading == "" && now.Sub(m.ordered) > startGrace {
+	if f.Target.Loading == "" && now.Sub(m.orderedAt) > loadStartTimeout {
 		m.Failed(now, f)
 	}
 }
 
-func (m *Machine) rest(r Reason) {
+func (m *Machine) resetPhase(r Reason) {
 	if m.phase == PhaseAsking || r == ReasonServed {
 		m.phase = PhaseIdle
 	}
 }
 
-// blocked reports why no load may start whatever the other replicas do.
-func blocked(f Facts) (Reason, bool) {
+// blockedReason returns why no load may start whatever the other replicas do.
+func blockedReason(f Facts) (Reason, bool) {
 	switch {
 	case f.Want.Manifest == "":
 		return ReasonNoModel, true
@@ -318,8 +318,8 @@
 	return "", false
 }
 
-func backoff(w Want) time.Duration {
-	return minBackoff + time.Duration(w.Rank)*perRank
+func askBackoff(w Want) time.Duration {
+	return minAskBackoff + time.Duration(w.Rank)*backoffPerRank
 }
 
-func none(r Reason) Action { return Action{Kind: ActionNone, Reason: r} }
+func noAction(r Reason) Action { return Action{Kind: ActionNone, Reason: r} }
--- a/core/version/roll/machine_test.go
+++ b/core/version/roll/machine_test.go
@@ -50,16 +50,15 @@
 			tc.edit(&f)
 			var m Machine
 			got := m.Step(start, f)
-			if diff := cmp.Diff(none(tc.want), got); diff != "" {
+			if diff := cmp.Diff(noAction(tc.want), got); diff != "" {
 				t.Errorf("Step (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Callers of a zone with two replicas see none serving if both load at once.
-// The answers below arrive after a side asked; each case names the state in
-// which the other replica was met.
+// If the two replicas of a zone load at the same time, none serves. Each case names the
+// state in which the other replica was when it answered.
 func TestAnsweredKeepsFloor(t *testing.T) {
 	serving := Status{Name: "b", Phase: PhaseIdle, Serving: oldVersion, Wanted: newVersion, Revision: 2}
 	order := Action{Kind: ActionOrder, Manifest: newVersion, Number: 5, Reason: ReasonFloorHolds}
@@ -70,13 +69,13 @@
 		want  Action
 	}{
 		{"serves", 0, func(*Status) {}, order},
-		{"asks too", 0, func(s *Status) { s.Phase = PhaseAsking }, none(ReasonFloor)},
-		{"loads", 0, func(s *Status) { s.Phase = PhaseLoading }, none(ReasonFloor)},
-		{"serves nothing", 0, func(s *Status) { s.Serving = "" }, none(ReasonFloor)},
-		{"leaves", 0, func(s *Status) { s.Leaving = true }, none(ReasonFloor)},
-		{"knows a later document", 0, func(s *Status) { s.Revision = 3; s.Wanted = oldVersion }, none(ReasonBehind)},
+		{"asks too", 0, func(s *Status) { s.Phase = PhaseAsking }, noAction(ReasonFloor)},
+		{"loads", 0, func(s *Status) { s.Phase = PhaseLoading }, noAction(ReasonFloor)},
+		{"serves nothing", 0, func(s *Status) { s.Serving = "" }, noAction(ReasonFloor)},
+		{"leaves", 0, func(s *Status) { s.Leaving = true }, noAction(ReasonFloor)},
+		{"knows a later document", 0, func(s *Status) { s.Revision = 3; s.Wanted = oldVersion }, noAction(ReasonBehind)},
 		{"later document, same version", 0, func(s *Status) { s.Revision = 3 }, order},
-		{"asker slept", PermitLife + time.Millisecond, func(*Status) {}, none(ReasonPermitOld)},
+		{"asker was suspended", PermitLife + time.Millisecond, func(*Status) {}, noAction(ReasonPermitOld)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -96,10 +95,9 @@
 	}
 }
 
-// The zone stays below its floor for good if a load that was lost is never
-// given again: the engine starts anew while it loads and has forgotten the
-// order; the side must order once more, under the number that the new engine
-// asks for.
+// A zone stays below its floor for good if a lost load is never ordered again. Here the
+// engine is restarted while it loads and has lost the order; the side must order again,
+// with a number that the restarted engine accepts.
 func TestStepOrdersAgainAfterTargetRestart(t *testing.T) {
 	f := facts()
 	f.Target.Serving = ""
@@ -117,10 +115,10 @@
 	}
 }
 
-// A zone drops below its floor, or a side loads a version that was withdrawn: its
-// machine is suspended after it asked, and the steady clock stands still for as
-// long. The answers are from before the suspension, so that it has to ask again.
-func TestSuspensionEndsAPermission(t *testing.T) {
+// A zone drops below its floor, or a side loads a version that was withdrawn, if a machine
+// is suspended after its side asked: the monotonic clock stops meanwhile, and the answers
+// are older than they seem. The side must ask again.
+func TestPermissionExpiresDuringSuspension(t *testing.T) {
 	f := facts()
 	var m Machine
 	if got := m.Step(start, f); got.Kind != ActionAsk {
@@ -128,10 +126,10 @@
 	}
 	f.At += PermitLife + time.Millisecond
 	other := Status{Name: "b", Phase: PhaseIdle, Serving: oldVersion, Wanted: newVersion, Revision: 2}
-	if diff := cmp.Diff(none(ReasonPermitOld), m.Answered(start, f, []Status{other})); diff != "" {
+	if diff := cmp.Diff(noAction(ReasonPermitOld), m.Answered(start, f, []Status{other})); diff != "" {
 		t.Errorf("Answered (-want +got):\n%s", diff)
 	}
-	if got := m.Step(start.Add(minBackoff), f); got.Kind != ActionAsk {
+	if got := m.Step(start.Add(minAskBackoff), f); got.Kind != ActionAsk {
 		t.Errorf("Step = %+v, want a question", got)
 	}
 }
--- a/core/version/roll/place.go
+++ b/core/version/roll/place.go
@@ -1,7 +1,9 @@
-// Package roll decides which VMs serve a service and when each of them loads
-// a new version, so that a floor of replicas keeps serving meanwhile. It
-// needs no coordinator: placement is a rendezvous order over the live VMs, and
-// a side asks the other replicas of its zone before it orders a load.
+// Package roll decides which VMs serve a service and when each of them loads a new
+// version, so that a minimum number of replicas, the floor, keeps serving meanwhile.
+// It needs no coordinator: the replicas are the first VMs by rendezvous hash, and a
+// side (the process beside one target) asks the other replicas of its availability
+// zone before it orders its target to load. io/version/order calls Machine and does
+// the network work; io/process/side calls Place and io/version/swarm calls Placed.
 package roll
 
 import (
@@ -12,9 +14,9 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Want is what the document in force asks of one VM's target. Placed is
+// Want is what the current document requires of one VM's target. Placed is
 // false for a VM beyond the wanted number of replicas. Peers are the other
-// placed VMs of the same service and zone, Rank is this VM's place among them
+// placed VMs of the same service and zone. Rank is this VM's place among them
 // in the order of loading, 0 being the first.
 type Want struct {
 	Revision uint64
@@ -28,8 +30,8 @@
 	Rank     int
 }
 
-// Place works out what view v asks of self. It returns false when there is
-// no document yet or the document does not know the VM's service.
+// Place returns what view v requires of self. It returns false when there is
+// no document yet or the document does not contain the VM's service.
 func Place(v view.View, self fleet.VM) (Want, bool) {
 	if v.Document == nil {
 		return Want{}, false
@@ -56,10 +58,10 @@
 	return w, true
 }
 
-// Placed returns the VMs that serve svc in the zone of self: the first ones
-// by rendezvous among the live VMs, as many as the document asks for. Self
-// is counted even when the lagging VM list does not show it yet; otherwise a
-// new VM would wait for the list before it fetches its first byte.
+// Placed returns the VMs that serve svc in the zone of self: the first live VMs by
+// rendezvous hash, as many as the document asks for. self is counted even when the
+// VM list, which lags behind, does not contain it yet; otherwise a new VM would wait
+// for the list before it fetches its first byte.
 func Placed(v view.View, svc envdoc.Service, self fleet.VM) []fleet.VM {
 	var live []fleet.VM
 	seen := false
@@ -75,7 +77,7 @@
 		live = append(live, self)
 	}
 	ordered := rank.Order(svc.Name+"/"+self.Zone, live, vmName)
-	return ordered[:min(len(ordered), replicas(svc, self.Zone))]
+	return ordered[:min(len(ordered), wantedReplicas(svc, self.Zone))]
 }
 
 func isReplica(vm fleet.VM, service, zone string) bool {
@@ -85,7 +87,7 @@
 		vm.Zone == zone
 }
 
-func replicas(svc envdoc.Service, zone string) int {
+func wantedReplicas(svc envdoc.Service, zone string) int {
 	for _, p := range svc.Replicas {
 		if p.Zone == zone {
 			return p.Replicas
--- a/core/version/roll/space_test.go
+++ b/core/version/roll/spacing_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestLoadsAreSpaced(t *testing.T) {
+func TestDelaySpacesLoads(t *testing.T) {
 	waiting := Status{Name: "b", Phase: PhaseIdle, Serving: oldVersion, Wanted: newVersion, Revision: 2}
 	loading := waiting
 	loading.Phase, loading.Ordered, loading.OrderAge = PhaseLoading, newVersion, 300*time.Millisecond
@@ -36,17 +36,17 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			if diff := cmp.Diff(tc.want, tc.deadline.wait(Want{Manifest: newVersion, Rank: 1}, tc.answers)); diff != "" {
+			if diff := cmp.Diff(tc.want, tc.deadline.delay(Want{Manifest: newVersion, Rank: 1}, tc.answers)); diff != "" {
 				t.Errorf("wait (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Guards against replicas of a zone that all load within a second of each other
-// although the old version may be used for seconds more: callers then meet half of
-// the engines, which cannot bear them.
-func TestZoneSpreadsLoadsOverTheTimeLeft(t *testing.T) {
+// Guards against replicas of a zone that all load within a second of each other although
+// the old version may be used for seconds more: half of the engines then get all calls,
+// and are overloaded.
+func TestLoadsSpreadOverTimeLeft(t *testing.T) {
 	const (
 		replicas = 7
 		whole    = 2500 * time.Millisecond
@@ -58,7 +58,7 @@
 	var began []time.Duration
 	for at := whole; at < limit+loadTime; at += step {
 		for i := range zone {
-			if zone[i].act(at, limit, i, zone) {
+			if zone[i].tryLoad(at, limit, i, zone) {
 				began = append(began, at)
 			}
 			zone[i].finish(at, loadTime)
@@ -73,7 +73,7 @@
 			t.Errorf("loads %d and %d began %v apart, want about %v", i-1, i, gap, even)
 		}
 	}
-	if last := slices.Max(began); last > limit+mostSpacing {
+	if last := slices.Max(began); last > limit+maxSpacing {
 		t.Errorf("last load began after %v, limit %v", last, limit)
 	}
 }
@@ -98,8 +98,8 @@
 	return f
 }
 
-// act takes one step, and reports whether it began a load.
-func (r *simulatedReplica) act(at, limit time.Duration, rank int, zone []simulatedReplica) bool {
+// tryLoad takes one step, and reports whether it began a load.
+func (r *simulatedReplica) tryLoad(at, limit time.Duration, rank int, zone []simulatedReplica) bool {
 	if at < r.next {
 		return false
 	}
@@ -123,7 +123,7 @@
 }
 
 func (r *simulatedReplica) finish(at, loadTime time.Duration) {
-	if r.target.Loading != "" && start.Add(at).Sub(r.machine.ordered) >= loadTime {
+	if r.target.Loading != "" && start.Add(at).Sub(r.machine.orderedAt) >= loadTime {
 		r.target.Serving, r.target.Loading = r.target.Loading, ""
 	}
 }
