--- a/core/version/chunk/manifest.go
+++ b/core/version/chunk/manifest.go
@@ -1,5 +1,6 @@
-// Package chunk describes the weights of one model version as content-named
-// chunks.
+// Package chunk describes the weights of one model version as a manifest of
+// chunks, each named by the digest of its content. All packages that store, send
+// or load weights use it.
 package chunk
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of a manifest.
+// Limits of a manifest.
 const (
 	MaxChunkSize = 16 << 20
 	MaxChunks    = 1 << 16
@@ -20,7 +21,7 @@
 // digestPrefix starts every digest and names its algorithm.
 const digestPrefix = "sha256:"
 
-// Digest names content: "sha256:" and 64 hexadecimal digits.
+// Digest identifies content: "sha256:" and 64 hexadecimal digits.
 type Digest string
 
 // Sum returns the digest of b.
@@ -29,10 +30,10 @@
 	return Digest(digestPrefix + hex.EncodeToString(s[:]))
 }
 
-// OfHex returns the digest that is written in hexadecimal digits.
+// OfHex returns the digest with the given hexadecimal digits, in lower case.
 func OfHex(s string) Digest { return Digest(digestPrefix + strings.ToLower(s)) }
 
-// Check reports whether d has the form of a digest.
+// Check returns an error if d does not have the form of a digest.
 func (d Digest) Check() error {
 	rest, ok := strings.CutPrefix(string(d), digestPrefix)
 	if !ok {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// Ref is one chunk of a manifest: its digest and its size in bytes.
+// Ref is a chunk of a manifest: its digest and its size in bytes.
 type Ref struct {
 	Digest Digest `json:"digest" msgpack:"digest"`
 	Size   int64  `json:"size" msgpack:"size"`
@@ -63,15 +64,15 @@
 	Chunks  []Ref  `json:"chunks" msgpack:"chunks"`
 }
 
-// Encode returns the canonical bytes of m; their digest pins the version in
-// an environment document.
+// Encode returns the canonical bytes of m. An environment document refers to a
+// version by their digest.
 func (m Manifest) Encode() ([]byte, error) {
 	b, err := json.Marshal(m)
 	return b, errors.Wrap(err, "encode manifest")
 }
 
-// Decode reads the canonical bytes of a manifest, checks that they have the
-// pinned digest and that the manifest adds up.
+// Decode parses the canonical bytes of a manifest and checks that they have the
+// digest pinned and that the manifest is consistent.
 func Decode(b []byte, pinned Digest) (Manifest, error) {
 	if got := Sum(b); got != pinned {
 		return Manifest{}, errors.Newf("manifest has digest %s, want %s", got, pinned)
@@ -83,7 +84,7 @@
 	return m, m.Check()
 }
 
-// Check reports the first reason why the manifest does not add up.
+// Check returns the first inconsistency of the manifest, if any.
 func (m Manifest) Check() error {
 	if m.Model == "" || m.Version == "" {
 		return errors.New("manifest: model or version is empty")
