--- a/core/version/tree/tree.go
+++ b/core/version/tree/tree.go
@@ -1,7 +1,8 @@
-// Package tree decides from whom each side reads the manifest of a version. A
-// few sides of each region read it from the origin, and the others along a tree
-// of their region: read by all, the manifests of a large fleet take as much of
-// the origin's link as the weights do, and more connections than it accepts.
+// Package tree decides from whom each side, the process beside one target, reads
+// the manifest of a version; io/version/shelf calls it for each attempt. A few sides
+// of each region read the manifest from the origin, and the others along a tree of
+// their region. If all sides of a large fleet read manifests from the origin, these
+// would take as much of its link as the weights do, and more connections than it accepts.
 package tree
 
 import (
@@ -14,37 +15,39 @@
 
 // Sizes of the tree.
 const (
-	// Roots is how many sides of a region read from the origin at once; with one
-	// alone, the region would wait for its successor when it is dead.
+	// Roots is how many sides of a region read from the origin at once. With a single
+	// one that is dead, the region would wait for the next in rank.
 	Roots = 2
-	// Fanout is how many sides ask one side.
+	// Fanout is how many sides read from the same side.
 	Fanout = 4
-	// mostDoublings bounds the shift by which the readers become more.
-	mostDoublings = 16
+	// maxDoublings bounds how often the number of origin readers is doubled, so that
+	// the shift does not overflow.
+	maxDoublings = 16
 )
 
-// Tries is how often a side has asked in vain. Silent counts the tries in which
-// the side above it in the tree did not answer: one that answers that it lacks the
-// manifest is itself waiting for it, and more readers would be of no use.
+// Tries counts the failed attempts of a side. Silent counts those in which the side
+// above it in the tree did not answer. A side that answers that it lacks the manifest is
+// itself waiting for it, and more origin readers would not help.
 type Tries struct {
 	Failed int
 	Silent int
 }
 
-// Plan is whom a side asks in one try.
+// Plan says whom a side asks in one attempt.
 type Plan struct {
 	// Root is set for a side that asks the origin before its peers, and Origin
 	// for one that asks it at all.
 	Root   bool
 	Origin bool
-	// Above is the side above this one in the tree, if any, and Other some side of
-	// any region: the whole top of a region's tree may be dead or cut off.
+	// Above is a side of the region: the one above this one in the tree or, after a
+	// failure, one of the roots. Other is a side of any region, since all sides near
+	// the top of a region's tree may be dead or cut off.
 	Above []fleet.VM
 	Other []fleet.VM
 }
 
-// At returns the plan of self for a manifest, whose name is key. others are the
-// sides that may hold it.
+// At returns the plan of self for the manifest named key. others are the sides
+// that may hold it.
 func At(key string, self fleet.VM, others []fleet.VM, tries Tries) Plan {
 	region := []fleet.VM{self}
 	for _, vm := range others {
@@ -54,7 +57,7 @@
 	}
 	region = rank.Order(key, region, name)
 	place := slices.IndexFunc(region, func(vm fleet.VM) bool { return vm.Name == self.Name })
-	p := Plan{Root: place < Roots, Origin: place < Roots<<min(tries.Silent, mostDoublings)}
+	p := Plan{Root: place < Roots, Origin: place < Roots<<min(tries.Silent, maxDoublings)}
 	switch {
 	case p.Root:
 	case tries.Failed == 0:
@@ -70,7 +73,7 @@
 
 func name(vm fleet.VM) string { return vm.Name }
 
-// other is a different side for each asker and try.
+// other returns a different side for each asker and attempt.
 func other(key string, self fleet.VM, others []fleet.VM, failed int) []fleet.VM {
 	own := key + "/" + self.Name + "/" + strconv.Itoa(failed)
 	ordered := rank.Order(own, others, name)
--- a/core/version/tree/tree_test.go
+++ b/core/version/tree/tree_test.go
@@ -9,7 +9,7 @@
 
 const regions = 5
 
-func sidesOf(n int) []fleet.VM {
+func newSides(n int) []fleet.VM {
 	var out []fleet.VM
 	for i := range n {
 		out = append(out, fleet.VM{Name: fmt.Sprintf("side%03d", i), Region: fmt.Sprintf("r%d", i%regions), State: fleet.StateLive})
@@ -27,11 +27,11 @@
 	return out
 }
 
-// Guards against a fleet all of whose sides read a manifest from the origin, or
-// whose sides ask one side for it: the load of both stays the same as it grows.
-func TestReadersDoNotGrowWithTheFleet(t *testing.T) {
+// Guards against a fleet whose sides all read a manifest from the origin, or from one
+// side: the load of both must stay the same as the fleet grows.
+func TestOriginReadersDoNotGrowWithFleet(t *testing.T) {
 	for _, n := range []int{1, 5, 20, 204} {
-		all := sidesOf(n)
+		all := newSides(n)
 		readers := 0
 		asked := map[string]int{}
 		for _, self := range all {
@@ -53,13 +53,13 @@
 	}
 }
 
-// Guards against sides that never hear of a manifest since those above them in
-// the tree are dead: any that live come to it in a few rounds.
-func TestManifestPassesDeadSides(t *testing.T) {
+// Guards against sides that never get a manifest because those above them in the tree
+// are dead: every live side must get it within a few rounds.
+func TestManifestReachesSidesBelowDeadOnes(t *testing.T) {
 	const rounds = 6
-	all := sidesOf(120)
+	all := newSides(120)
 	for _, dead := range []int{0, 2, 4, 10} {
-		w := &world{t: t, dead: dead, have: map[string]bool{}, tries: map[string]Tries{}}
+		w := &fleetState{t: t, dead: dead, have: map[string]bool{}, tries: map[string]Tries{}}
 		for range rounds {
 			w.round(all)
 		}
@@ -73,18 +73,18 @@
 
 const deadOf = 11
 
-// depth is how many sides a manifest passes at the most.
+// depth is the greatest number of sides that a manifest passes in one round.
 const depth = 8
 
-// world is a fleet in which the same part of each deadOf sides is dead.
-type world struct {
+// fleetState is a simulated fleet: of each deadOf sides the first dead ones do not answer.
+type fleetState struct {
 	t     *testing.T
 	dead  int
 	have  map[string]bool
 	tries map[string]Tries
 }
 
-func (w *world) alive(vm fleet.VM) bool {
+func (w *fleetState) alive(vm fleet.VM) bool {
 	var i int
 	if _, err := fmt.Sscanf(vm.Name, "side%d", &i); err != nil {
 		w.t.Fatal(err)
@@ -92,8 +92,8 @@
 	return i%deadOf >= w.dead
 }
 
-// round has each side ask once; what one has come to is passed down the tree.
-func (w *world) round(all []fleet.VM) {
+// round lets each side ask once; a manifest that a side got is passed down the tree.
+func (w *fleetState) round(all []fleet.VM) {
 	plans := map[string]Plan{}
 	for _, self := range all {
 		plans[self.Name] = At("m/2", self, without(all, self.Name), w.tries[self.Name])
@@ -118,7 +118,7 @@
 	}
 }
 
-func (w *world) anyHas(vms []fleet.VM) bool {
+func (w *fleetState) anyHas(vms []fleet.VM) bool {
 	for _, vm := range vms {
 		if w.alive(vm) && w.have[vm.Name] {
 			return true
