--- a/core/version/burst/acquire.go
+++ b/core/version/burst/acquire.go
@@ -140,6 +140,7 @@
 	return c.failures > 0 || c.deferrals > 0 || !c.tried.IsZero() && now.Sub(c.tried) < minRankDelay
 }
 
+// fetchSlots is how many chunks of one version may be in transfer from upstream up at a time.
 func (s *State) fetchSlots(up string) int {
 	if up == "" {
 		return s.cfg.Draws
@@ -181,6 +182,8 @@
 	return v.ranks[i]
 }
 
+// fetch begins the transfer of chunk i from region up, or from the origin if pickExporter
+// says so. pos is this side's rank.
 func (s *State) fetch(now time.Time, v *version, i int, up string, pos int) {
 	c := v.chunks[i]
 	reason := "ranks first"
@@ -286,6 +289,7 @@
 // anyAvoided reports whether any peer is avoided now.
 func (s *State) anyAvoided(now time.Time) bool { return now.Before(s.avoidEnd) }
 
+// fetchAllFromOrigin is startDue for Config.Direct: it fetches every chunk from the origin.
 func (s *State) fetchAllFromOrigin(now time.Time, v *version) {
 	for _, c := range v.chunks {
 		if c.held || c.pending() || now.Before(c.retryAt) {
@@ -298,6 +302,7 @@
 	}
 }
 
+// countVia is how many transfers by one route are in progress.
 func (s *State) countVia(v Via) int {
 	n := 0
 	for _, c := range s.chunks {
@@ -308,6 +313,7 @@
 	return n
 }
 
+// beginTransfer records a transfer and emits the action that starts it.
 func (s *State) beginTransfer(now time.Time, c *chunkState, f Fetch) {
 	c.via = f.Via
 	c.source = f.Peer
@@ -325,6 +331,7 @@
 	s.emit(f)
 }
 
+// clearPending records that no transfer of c is in progress any more.
 func (s *State) clearPending(c *chunkState) {
 	if c.via == ViaTrade {
 		s.inboundTrades--
--- a/core/version/burst/events.go
+++ b/core/version/burst/events.go
@@ -60,7 +60,7 @@
 	for id := range p.heldChunks {
 		s.forgetMap(p, id)
 	}
-	for _, c := range s.pendingItems() {
+	for _, c := range s.pendingChunks() {
 		if c.source == name {
 			s.handleFailure(now, c, FailGone, 0)
 		}
@@ -238,6 +238,7 @@
 	return p.connected && p.Region == s.cfg.Self.Region
 }
 
+// forgetMap drops what peer p announced of version id.
 func (s *State) forgetMap(p *peer, id chunk.Digest) {
 	delete(p.earlyInRegion, id)
 	m, ok := p.heldChunks[id]
--- a/core/version/burst/retry.go
+++ b/core/version/burst/retry.go
@@ -32,6 +32,8 @@
 	}
 }
 
+// shouldAnnounceRetry reports whether this side's attempts at a chunk that the region lacks
+// have failed.
 func (s *State) shouldAnnounceRetry(v *version, i int, c *chunkState) bool {
 	if v.keepOnly || c.held || v.heldInRegion.Has(i) {
 		return false
@@ -54,7 +56,7 @@
 		c.tried = now
 		// If others get chunks from the same upstream, the fault lies with the side that
 		// fails; the due time is then not restarted, and the next in rank takes over.
-		if dry := now.Sub(s.lastReceived[v.upstream[i]]) >= retryNoticeInterval; dry && !c.dueAt.IsZero() {
+		if nothingReceived := now.Sub(s.lastReceived[v.upstream[i]]) >= retryNoticeInterval; nothingReceived && !c.dueAt.IsZero() {
 			c.dueAt = now
 		}
 		fresh = append(fresh, i)
--- a/core/version/burst/timeout.go
+++ b/core/version/burst/timeout.go
@@ -69,6 +69,7 @@
 	total   movingMean
 }
 
+// recordDuration adds a finished transfer to the mean durations of its route.
 func (s *State) recordDuration(c *chunkState, now time.Time) {
 	t := s.durationsOf(c.via)
 	t.receive.add(now.Sub(c.firstByteAt))
@@ -117,7 +118,7 @@
 // expireTransfers ends transfers past their deadline and frees the upload slots of
 // peers that stopped requesting.
 func (s *State) expireTransfers(now time.Time) {
-	for _, c := range s.pendingItems() {
+	for _, c := range s.pendingChunks() {
 		if now.Before(c.deadline) {
 			continue
 		}
@@ -147,8 +148,8 @@
 	}
 }
 
-// pendingItems lists the chunks in transfer, in a fixed order.
-func (s *State) pendingItems() []*chunkState {
+// pendingChunks lists the chunks in transfer, in a fixed order.
+func (s *State) pendingChunks() []*chunkState {
 	var out []*chunkState
 	for _, v := range s.versions {
 		for i, c := range v.chunks {
@@ -160,6 +161,8 @@
 	return out
 }
 
+// handleFailure records a failed transfer against its source and decides when the chunk may
+// be requested again. after is the Retry-After of the origin, zero otherwise.
 func (s *State) handleFailure(now time.Time, c *chunkState, why Failure, after time.Duration) {
 	s.recordFault(now, c.source, why)
 	if c.via == ViaTrade && why != FailGone && why != FailQueued {
@@ -243,6 +246,7 @@
 	}
 }
 
+// backoff returns d doubled the given number of times, at most most.
 func backoff(d time.Duration, times int, most time.Duration) time.Duration {
 	for range min(max(times, 0), 30) {
 		d = min(2*d, most)
--- a/core/version/burst/trade.go
+++ b/core/version/burst/trade.go
@@ -64,6 +64,8 @@
 	p.uploads = 0
 }
 
+// canOffer reports whether p is a neighbour that lacks a chunk held here, has an upload slot
+// left and neither refuses offers nor stalled recently.
 func (s *State) canOffer(now time.Time, p *peer) bool {
 	if !s.near(p) || (p.uploads > 0 && p.uploads >= s.slotsPerPeer()) || (p.lastFaultStalled && now.Before(p.avoidUntil)) {
 		return false
@@ -80,6 +82,7 @@
 	return false
 }
 
+// pickPeer returns the index of the peer that holds less of two chosen at random.
 func (s *State) pickPeer(open []*peer) int {
 	a, b := s.rng.IntN(len(open)), s.rng.IntN(len(open))
 	if s.heldCount(open[b]) < s.heldCount(open[a]) {
@@ -114,6 +117,8 @@
 	return s.decide(now)
 }
 
+// pickChunk returns the chunk to request from p, nil if there is none or if p is avoided while
+// another neighbour can be used.
 func (s *State) pickChunk(now time.Time, p *peer) *chunkState {
 	if now.Before(p.avoidUntil) && s.anyNeighbourUsable(now) {
 		return nil
--- a/core/version/burst/update.go
+++ b/core/version/burst/update.go
@@ -29,6 +29,7 @@
 	return s.decide(now)
 }
 
+// newSet returns the state of a wanted version, and adds its chunks to s.chunks.
 func (s *State) newSet(w Set) *version {
 	n := len(w.Manifest.Chunks)
 	v := &version{
@@ -64,6 +65,7 @@
 	return v
 }
 
+// place records that the chunk ref is at index i of v, and returns its state.
 func (s *State) place(v *version, i int, ref chunk.Ref) *chunkState {
 	c, ok := s.chunks[ref.Digest]
 	if !ok {
@@ -82,6 +84,7 @@
 	return c
 }
 
+// markStaged marks a chunk from the staging area as held, unless it is being transferred.
 func (s *State) markStaged(d chunk.Digest) {
 	c, ok := s.chunks[d]
 	if !ok {
@@ -94,6 +97,7 @@
 	c.held = true
 }
 
+// dropUnwanted stops the transfers and discards the chunks that no version has any more.
 func (s *State) dropUnwanted() {
 	for _, d := range slices.Sorted(maps.Keys(s.chunks)) {
 		c := s.chunks[d]
@@ -130,6 +134,7 @@
 	}
 }
 
+// recountCopies counts for each chunk of v the neighbours that hold it.
 func (s *State) recountCopies(v *version) {
 	clear(v.neighbourCopies)
 	for _, p := range s.peers {
@@ -223,6 +228,7 @@
 	slices.SortFunc(s.sortedPeers, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
 }
 
+// sendMaps sends peer p the chunk sets of all versions, if it is in this side's region.
 func (s *State) sendMaps(p *peer) {
 	if p.Region != s.cfg.Self.Region {
 		return
