--- a/core/process/trail/state.go
+++ b/core/process/trail/state.go
@@ -1,33 +1,40 @@
 package trail
 
-// Candidates is what a refusal rests on: how many targets the service has, how
-// many of them may have the request, and why the others may not. A target
-// counts once, under the first cause that holds.
+// Candidates counts the targets of a service at the time a request was refused:
+// how many there are, how many could take the request, and why the others could
+// not. A target that cannot is counted once, under the first reason that
+// applies.
 type Candidates struct {
 	Targets int `json:"targets"`
-	Usable  int `json:"usable"`
-	// FreePlaces is how many places the usable targets have left, Requests how
-	// many requests they have, and Waiting how many wait at this entry.
+	// Usable is the number of targets that could take the request.
+	Usable int `json:"usable"`
+	// FreePlaces is how many more requests the usable targets accept, Requests
+	// how many they are processing, and Waiting how many requests for the
+	// service are queued at this entry.
 	FreePlaces int `json:"freePlaces"`
 	Requests   int `json:"requests,omitempty"`
 	Waiting    int `json:"waiting,omitempty"`
 
+	// Leaving counts targets that are about to be removed.
 	Leaving int `json:"leaving,omitempty"`
-	// Paused targets have failed lately, Tried ones have failed this request.
+	// Paused counts targets that get no requests for a while because they failed
+	// recently, Tried those that already failed this request.
 	Paused int `json:"paused,omitempty"`
 	Tried  int `json:"tried,omitempty"`
-	// Silent engines do not answer, Loading ones load weights, and the sides of
-	// Unheard ones are not heard any more.
+	// Silent counts targets whose engine does not respond, Loading those whose
+	// engine is loading weights, and Unheard those whose side no longer reports.
 	Silent  int `json:"silent,omitempty"`
 	Loading int `json:"loading,omitempty"`
 	Unheard int `json:"unheard,omitempty"`
-	// OldVersion ones serve a version that may not begin a request, or none.
+	// OldVersion counts targets that serve no version, or one that new requests
+	// may no longer start on.
 	OldVersion int `json:"oldVersion,omitempty"`
 }
 
-// State restates what a process believes, so that any stretch of its log
-// explains a request without the lines before it.
+// State is a snapshot of what a process knows. Processes log it periodically, so
+// that an excerpt of a log is enough to explain a request.
 type State struct {
+	// Configuration is the version of the routing table in use.
 	Configuration uint64         `json:"configuration,omitempty"`
 	Targets       []TargetCount  `json:"targets,omitempty"`
 	Named         []NamedVersion `json:"named,omitempty"`
@@ -35,30 +42,33 @@
 	Ends          []EndCount     `json:"ends,omitempty"`
 }
 
-// EndCount is how many attempts a process has ended itself since its start for a
-// cause, and how many answers it closed in the middle after an attempt that ended so.
+// EndCount counts, for one cause and since the process started, the attempts that
+// the process itself ended (Abandoned) and the responses that it cut off
+// (BrokenOff).
 type EndCount struct {
 	Cause     string `json:"cause"`
 	Abandoned int    `json:"abandoned,omitempty"`
 	BrokenOff int    `json:"brokenOff,omitempty"`
 }
 
-// TargetCount is how many targets of a service are listed.
+// TargetCount is the number of known targets of a service. Ready ones are those
+// that are not leaving.
 type TargetCount struct {
 	Service string `json:"service"`
 	Ready   int    `json:"ready"`
 	Leaving int    `json:"leaving,omitempty"`
 }
 
-// NamedVersion is the newest version that is named of a model. AgeMS is how
-// long ago the process takes it to have been named.
+// NamedVersion is the newest version announced for a model. AgeMS is the process's
+// estimate of how long ago it was announced.
 type NamedVersion struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	AgeMS   int64  `json:"ageMs"`
 }
 
-// ServedCount is how many targets of a service serve a version, 0 for none.
+// ServedCount is the number of targets of a service that serve Version. A Version
+// of 0 stands for targets that serve none.
 type ServedCount struct {
 	Service string `json:"service"`
 	Version uint64 `json:"version"`
--- a/core/process/trail/trail.go
+++ b/core/process/trail/trail.go
@@ -1,14 +1,15 @@
-// Package trail defines the decision log: one record for each routing,
-// placement, admission, transfer and configuration decision. Processes write
-// the records as JSON lines; the replay command reads them back.
+// Package trail defines the records of the decision log: one for each routing,
+// admission, call, placement, transfer, configuration and membership decision.
+// Every process writes them as JSON lines; the commands explain and replay read
+// them back.
 package trail
 
 import "time"
 
-// Area says which part of the system took a decision.
+// Area is the part of the system that made a decision.
 type Area string
 
-// The areas of decision.
+// The areas.
 const (
 	AreaRouting   Area = "routing"
 	AreaAdmission Area = "admission"
@@ -19,7 +20,7 @@
 	AreaMember    Area = "member"
 )
 
-// Left is a candidate that a decision left out, and why.
+// Left is a candidate that was not chosen, and the reason.
 type Left struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
@@ -27,63 +28,82 @@
 
 // Decision is one record of the log. Fields that do not apply are empty.
 type Decision struct {
-	Time     time.Time `json:"time"`
-	Process  string    `json:"process"`
-	Boot     string    `json:"boot,omitempty"`
-	Area     Area      `json:"area"`
-	Action   string    `json:"action"`
-	Request  string    `json:"request,omitempty"`
-	Customer string    `json:"customer,omitempty"`
-	Service  string    `json:"service,omitempty"`
-	Subject  string    `json:"subject,omitempty"`
-	Choice   string    `json:"choice,omitempty"`
-	Outcome  string    `json:"outcome,omitempty"`
-	Reason   string    `json:"reason,omitempty"`
-	// Cause is why the attempt ended that had begun an answer which was closed in the
-	// middle: overdue, targetSilent, targetLoading or eventOutOfOrder when the entry ended
-	// it.
-	Cause    string `json:"cause,omitempty"`
+	Time    time.Time `json:"time"`
+	Process string    `json:"process"`
+	// Boot identifies one run of the process.
+	Boot string `json:"boot,omitempty"`
+	Area Area   `json:"area"`
+	// Action is what was decided or observed, such as "choose" or "leaving".
+	Action string `json:"action"`
+	// Request is the id of the request that the decision is about.
+	Request  string `json:"request,omitempty"`
+	Customer string `json:"customer,omitempty"`
+	Service  string `json:"service,omitempty"`
+	// Subject is what the decision is about, such as a route, a call, a manifest
+	// or a target, depending on the action. Choice is what was chosen for it,
+	// usually a target.
+	Subject string `json:"subject,omitempty"`
+	Choice  string `json:"choice,omitempty"`
+	Outcome string `json:"outcome,omitempty"`
+	Reason  string `json:"reason,omitempty"`
+	// Cause is set for a response that was cut off after it had started. It says
+	// why the attempt that had started it ended: overdue, targetSilent,
+	// targetLoading or eventOutOfOrder when the entry ended the attempt.
+	Cause string `json:"cause,omitempty"`
+	// Revision is that of the configuration in force, or of the state that a
+	// configuration or membership record is about.
 	Revision uint64 `json:"revision,omitempty"`
 	Left     []Left `json:"left,omitempty"`
-	// Fingerprint names a request by what its repeats have in common, in hexadecimal
-	// digits; told where an attempt broke off.
+	// Fingerprint identifies a request by what it has in common with its repeats,
+	// in hexadecimal digits. It is computed only when needed: after an attempt has
+	// broken off, or while any request is suspected of crashing targets.
 	Fingerprint string `json:"fingerprint,omitempty"`
-	// Status is that of an answer, Load the requests at the choice, Version the
-	// one that it serves and Demanded the least that may answer. WaitedMS,
-	// ExpectedMS, FirstMS and TookMS are of the request: waited for a place,
-	// foreseen and taken to its first event, and whole; AgeMS is how long ago what
-	// the decision rests on was last confirmed. AskedMS is how long before its arrival
-	// the caller is taken to have asked first, where it came back. ObjectiveMS is
-	// the time that the route has to its first event, told of requests that were
-	// refused or late. Attempts is how often the request was sent, left out for once.
-	// LastEvent is the last event of a stream that its caller has where an attempt
-	// ends: the next one goes on from it.
-	Status      int    `json:"status,omitempty"`
-	Load        int    `json:"load,omitempty"`
-	Version     uint64 `json:"version,omitempty"`
-	Demanded    uint64 `json:"demanded,omitempty"`
-	Attempts    int    `json:"attempts,omitempty"`
-	LastEvent   string `json:"lastEvent,omitempty"`
-	AskedMS     int64  `json:"askedMs,omitempty"`
-	WaitedMS    int64  `json:"waitedMs,omitempty"`
-	ObjectiveMS int64  `json:"objectiveMs,omitempty"`
-	ExpectedMS  int64  `json:"expectedMs,omitempty"`
-	FirstMS     int64  `json:"firstMs,omitempty"`
-	TookMS      int64  `json:"tookMs,omitempty"`
-	AgeMS       int64  `json:"ageMs,omitempty"`
-	// Candidates is set for a refusal for want of a target, State where a process
-	// restates what it believes.
+	// Status is the HTTP status of the response.
+	Status int `json:"status,omitempty"`
+	// Load is the number of requests at the chosen target, and Version the model
+	// version that the target serves.
+	Load    int    `json:"load,omitempty"`
+	Version uint64 `json:"version,omitempty"`
+	// Demanded is the lowest version that may answer the request.
+	Demanded uint64 `json:"demanded,omitempty"`
+	// Attempts is how often the request was sent. It is omitted for 1.
+	Attempts int `json:"attempts,omitempty"`
+	// LastEvent is the last event of the stream that the caller had received when
+	// an attempt ended. The next attempt resumes after it.
+	LastEvent string `json:"lastEvent,omitempty"`
+	// AskedMS is set for a request that its caller repeats: the estimated time
+	// between the first request and the arrival of this one.
+	AskedMS int64 `json:"askedMs,omitempty"`
+	// WaitedMS is how long the request waited for a free place at a target.
+	WaitedMS int64 `json:"waitedMs,omitempty"`
+	// ObjectiveMS is the time that the route allows until the first event. It is
+	// set for requests that were refused or answered late.
+	ObjectiveMS int64 `json:"objectiveMs,omitempty"`
+	// ExpectedMS is the predicted and FirstMS the measured time until the first
+	// event.
+	ExpectedMS int64 `json:"expectedMs,omitempty"`
+	FirstMS    int64 `json:"firstMs,omitempty"`
+	// TookMS is the duration of what the record is about, such as an attempt or a
+	// whole request.
+	TookMS int64 `json:"tookMs,omitempty"`
+	// AgeMS is how long ago the information that the decision is based on was last
+	// confirmed. For the record of a version or a load order it is the age of that
+	// version or order.
+	AgeMS int64 `json:"ageMs,omitempty"`
+	// Candidates is set when a request was refused because no target could take
+	// it.
 	Candidates *Candidates `json:"candidates,omitempty"`
-	State      *State      `json:"state,omitempty"`
+	// State is set for the periodic snapshots of what a process knows.
+	State *State `json:"state,omitempty"`
 }
 
-// Log takes decisions. Implementations fill Time, Process and Boot, must be
+// Log records decisions. Implementations set Time, Process and Boot, must be
 // safe for concurrent use and must not block on a slow reader.
 type Log interface {
 	Decide(d Decision)
 }
 
-// Discard drops every decision.
+// Discard is a Log that drops every decision.
 type Discard struct{}
 
 // Decide does nothing.
