--- a/core/process/audit/audit.go
+++ b/core/process/audit/audit.go
@@ -1,7 +1,7 @@
-// Package audit checks recorded decision logs against the outcomes that the
-// system promises. It reads what the processes wrote and takes nothing else
-// on trust: each rule is a plain statement over records of one or several
-// processes.
+// Package audit checks recorded decision logs against the guarantees that the
+// system gives, and collects the records that explain a request. The commands
+// replay and explain use it. Its only input are the records that the processes
+// wrote; each guarantee is checked on the records of one or several processes.
 package audit
 
 import (
@@ -13,75 +13,77 @@
 	"hawthornferry/core/process/trail"
 )
 
-// DefaultLeaving is how long after the first notice a leaving target may
-// still get new work.
-const DefaultLeaving = 5 * time.Second
+// DefaultLeavingGrace is the default of Settings.Leaving.
+const DefaultLeavingGrace = 5 * time.Second
 
-// Settings are the bounds that the rules hold records against.
+// Settings are the limits used by the checks.
 type Settings struct {
-	// Leaving is how long a target that is leaving may still get new work.
-	// It must exceed how far apart the processes' clocks are.
+	// Leaving is how long a target may still get new work after the first process
+	// recorded that it is leaving. It must exceed the difference between the
+	// processes' clocks, since their records are compared by time. 0 means
+	// DefaultLeavingGrace.
 	Leaving time.Duration
 }
 
-// Outcome is a promised outcome.
-type Outcome string
+// Guarantee is a property that every set of decision logs must have. Its value is
+// the description that replay prints.
+type Guarantee string
 
-// The outcomes, each checked by a rule of its own.
+// The guarantees, each checked by a function of its own.
 const (
-	OutcomeOnce     Outcome = "a call runs at most once"
-	OutcomeNotRun   Outcome = "a call that is said not to have run did not run"
-	OutcomeHistory  Outcome = "the outcomes of a call agree with one order of its attempts"
-	OutcomeRevision Outcome = "a revision in force never goes back within a boot"
-	OutcomeLeaving  Outcome = "a leaving target gets no new work after the bound"
-	OutcomeWhole    Outcome = "a load is ordered only of weights that are verified whole"
-	OutcomeServed   Outcome = "a target serves the version that was ordered"
-	OutcomeStream   Outcome = "no stream goes on with another version"
+	GuaranteeAtMostOnce         Guarantee = "a call runs at most once"
+	GuaranteeNotRun             Guarantee = "a call that is said not to have run did not run"
+	GuaranteeConsistentOutcomes Guarantee = "the outcomes of a call agree with one order of its attempts"
+	GuaranteeRevisionOrder      Guarantee = "a revision in force never goes back within a boot"
+	GuaranteeLeaving            Guarantee = "a leaving target gets no new work after the bound"
+	GuaranteeVerifiedLoad       Guarantee = "a load is ordered only of weights that are verified whole"
+	GuaranteeServedVersion      Guarantee = "a target serves the version that was ordered"
+	GuaranteeStreamVersion      Guarantee = "no stream goes on with another version"
 )
 
-// Miss is one record that breaks a promise.
-type Miss struct {
+// Violation is a record that violates a guarantee.
+type Violation struct {
 	Record trail.Decision
 	Detail string
 }
 
-// String names the process and the time, and tells what is wrong.
-func (m Miss) String() string {
+// String returns the time and process of the record and what is wrong with it.
+func (m Violation) String() string {
 	return fmt.Sprintf("%s %s: %s", m.Record.Time.Format(time.RFC3339Nano), m.Record.Process, m.Detail)
 }
 
-// Result is how one outcome came out. Checked is how many cases the records
-// held; with none of them the outcome is neither met nor missed.
+// Result is the result of checking one guarantee. Checked is the number of cases
+// found in the records; if it is 0, the check says nothing.
 type Result struct {
-	Outcome Outcome
+	Outcome Guarantee
 	Checked int
-	Misses  []Miss
+	Misses  []Violation
 }
 
-// miss adds a record that breaks the promise.
-func (r *Result) miss(d trail.Decision, format string, args ...any) {
-	r.Misses = append(r.Misses, Miss{Record: d, Detail: fmt.Sprintf(format, args...)})
+// addViolation adds d with a formatted detail.
+func (r *Result) addViolation(d trail.Decision, format string, args ...any) {
+	r.Misses = append(r.Misses, Violation{Record: d, Detail: fmt.Sprintf(format, args...)})
 }
 
-// Check holds the records against every outcome. Records of one process must
+// Check checks the records against every guarantee. Records of one process must
 // be in the order in which they were written.
 func Check(set Settings, records []trail.Decision) []Result {
-	set.Leaving = cmp.Or(set.Leaving, DefaultLeaving)
+	set.Leaving = cmp.Or(set.Leaving, DefaultLeavingGrace)
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, func(a, b trail.Decision) int { return a.Time.Compare(b.Time) })
 	return []Result{
-		once(sorted),
-		notRun(sorted),
-		history(sorted),
-		revisions(sorted),
-		leaving(set, sorted),
-		whole(sorted),
-		served(sorted),
-		streams(sorted),
+		checkAtMostOnce(sorted),
+		checkNotRun(sorted),
+		checkHistory(sorted),
+		checkRevisions(sorted),
+		checkLeaving(set, sorted),
+		checkVerifiedLoads(sorted),
+		checkServedVersions(sorted),
+		checkStreams(sorted),
 	}
 }
 
-// Missed counts the missed promises of results.
+// Missed returns the number of violations in results.
 func Missed(results []Result) int {
 	n := 0
 	for _, r := range results {
@@ -90,7 +92,7 @@
 	return n
 }
 
-// boot names one life of a process.
+// boot identifies one run of a process, from its start to its end.
 type boot struct {
 	process string
 	boot    string
--- a/core/process/audit/audit_test.go
+++ b/core/process/audit/audit_test.go
@@ -11,7 +11,7 @@
 	"hawthornferry/core/process/trail"
 )
 
-func readTrace(t *testing.T, name string) []trail.Decision {
+func readLog(t *testing.T, name string) []trail.Decision {
 	t.Helper()
 	f, err := os.Open(filepath.Join("testdata", name+".jsonl"))
 	if err != nil {
@@ -28,57 +28,57 @@
 	return log.Decisions
 }
 
-// Each trace but the first two breaks a promise, and the rules must name that
-// promise and no other. In the good one a call is marked and then refused, a
-// call goes to a second target after the first was not reached, a stream is
-// resumed on its version, a target is chosen within the bound of its leaving,
-// and a restarted entry begins at an older revision. The second is a part of
-// what processes of a demonstration wrote while a side was killed.
+// Each log except the first two violates one guarantee, and Check must report
+// that guarantee and no other. In the good log a call is marked and then refused,
+// a call goes to a second target after the first was not reached, a stream is
+// resumed on the same version, a leaving target is chosen within the allowed
+// time, and a restarted entry begins at an older revision. The second log is an
+// excerpt of what the processes of a demonstration wrote while a side was killed.
 func TestCheckNamesTheMissedOutcome(t *testing.T) {
 	tests := []struct {
-		trace  string
-		missed []Outcome
+		log      string
+		violated []Guarantee
 	}{
 		{"good", nil},
 		{"killedSide", nil},
-		{"ranTwice", []Outcome{OutcomeOnce}},
-		{"requestRanTwice", []Outcome{OutcomeOnce}},
-		{"notRunRan", []Outcome{OutcomeNotRun}},
-		{"outcomesDisagree", []Outcome{OutcomeHistory}},
-		{"revisionWentBack", []Outcome{OutcomeRevision}},
-		{"leavingGotWork", []Outcome{OutcomeLeaving}},
-		{"orderedUnverified", []Outcome{OutcomeWhole}},
-		{"servesOther", []Outcome{OutcomeServed}},
-		{"streamChangedVersion", []Outcome{OutcomeStream}},
+		{"ranTwice", []Guarantee{GuaranteeAtMostOnce}},
+		{"requestRanTwice", []Guarantee{GuaranteeAtMostOnce}},
+		{"notRunRan", []Guarantee{GuaranteeNotRun}},
+		{"outcomesDisagree", []Guarantee{GuaranteeConsistentOutcomes}},
+		{"revisionWentBack", []Guarantee{GuaranteeRevisionOrder}},
+		{"leavingGotWork", []Guarantee{GuaranteeLeaving}},
+		{"orderedUnverified", []Guarantee{GuaranteeVerifiedLoad}},
+		{"servesOther", []Guarantee{GuaranteeServedVersion}},
+		{"streamChangedVersion", []Guarantee{GuaranteeStreamVersion}},
 	}
 	for _, tt := range tests {
-		t.Run(tt.trace, func(t *testing.T) {
-			var missed []Outcome
-			for _, r := range Check(Settings{}, readTrace(t, tt.trace)) {
+		t.Run(tt.log, func(t *testing.T) {
+			var violated []Guarantee
+			for _, r := range Check(Settings{}, readLog(t, tt.log)) {
 				if len(r.Misses) > 0 {
-					missed = append(missed, r.Outcome)
+					violated = append(violated, r.Outcome)
 				}
 			}
-			if diff := cmp.Diff(tt.missed, missed); diff != "" {
-				t.Errorf("missed outcomes (-want +got):\n%s", diff)
+			if diff := cmp.Diff(tt.violated, violated); diff != "" {
+				t.Errorf("violated guarantees (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A good trace must hold a case of each outcome; one that is never met would
-// pass whatever the rule says.
-func TestGoodTraceMeetsEveryOutcome(t *testing.T) {
-	for _, r := range Check(Settings{}, readTrace(t, "good")) {
+// The good log must contain a case of each guarantee. Without one, a check could
+// pass in the test above whatever it does.
+func TestGoodLogCoversEveryGuarantee(t *testing.T) {
+	for _, r := range Check(Settings{}, readLog(t, "good")) {
 		if r.Checked == 0 {
-			t.Errorf("no case of %q in the good trace", r.Outcome)
+			t.Errorf("no case of %q in the good log", r.Outcome)
 		}
 	}
 }
 
-// A process was killed in the middle of a line and started again on the same
-// file. The records before and after are read and the broken line is counted,
-// so that whoever reads the verdict knows that something is missing.
+// A process was killed in the middle of a line and restarted with the same log
+// file. The records before and after must be read and the broken line counted, so
+// that the reader of the results knows that a record is missing.
 func TestReadCountsBrokenLines(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/core/process/audit/explain.go
+++ b/core/process/audit/explain.go
@@ -7,24 +7,25 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Line is one record of an explanation. Belief marks what a process believed
-// when it decided, as opposed to a decision on the request itself.
+// Line is one record of an explanation. Belief is set for a record of what a
+// process knew when it decided, as opposed to a decision on the request itself.
 type Line struct {
 	Decision trail.Decision
 	Belief   bool
 }
 
-// Explain returns what became of a request, in order: the decisions on it by
-// all processes, and before them what each of those processes had last come to
-// believe of the configuration, the store, the versions, and the targets that
-// the request went to. What changed of these while the request was on its way
-// comes in between.
+// Explain returns the records that explain the outcome of a request, sorted by
+// time: the decisions on it by all processes, and what each of these processes
+// knew of the configuration, the store, the versions and the targets that the
+// request went to. Of the latter, the last record on each matter from before the
+// request is included, and every change while the request was in progress. It
+// sorts records in place.
 func Explain(records []trail.Decision, request string) []Line {
 	slices.SortStableFunc(records, func(a, b trail.Decision) int { return a.Time.Compare(b.Time) })
 	var out []Line
 	processes := map[string]bool{}
 	targets := map[string]bool{}
-	prints := map[string]bool{}
+	fingerprints := map[string]bool{}
 	var last trail.Decision
 	for _, d := range records {
 		if d.Request != request {
@@ -35,7 +36,7 @@
 			targets[d.Choice] = true
 		}
 		if d.Fingerprint != "" {
-			prints[d.Fingerprint] = true
+			fingerprints[d.Fingerprint] = true
 		}
 		last = d
 		out = append(out, Line{Decision: d})
@@ -43,15 +44,15 @@
 	if len(out) == 0 {
 		return nil
 	}
-	began := beginOf(out)
+	start := requestStart(out)
 	latest := map[string]trail.Decision{}
 	for _, d := range records {
-		if !processes[d.Process] || d.Request != "" || !isBelief(d, targets, prints) {
+		if !processes[d.Process] || d.Request != "" || !isRelevantState(d, targets, fingerprints) {
 			continue
 		}
 		switch {
-		case d.Time.Before(began):
-			latest[d.Process+beliefKey(d)] = d
+		case d.Time.Before(start):
+			latest[d.Process+stateKey(d)] = d
 		case !d.Time.After(last.Time):
 			out = append(out, Line{Decision: d, Belief: true})
 		}
@@ -63,37 +64,40 @@
 	return out
 }
 
-// beginOf is when a request came: a line is written at the end of what it tells,
-// which may be seconds after its begin.
-func beginOf(lines []Line) time.Time {
-	began := lines[0].Decision.Time
+// requestStart returns when a request arrived. A record is written at the end of
+// what it describes, which may be seconds after its beginning, so the duration of
+// the record is subtracted from its time.
+func requestStart(lines []Line) time.Time {
+	start := lines[0].Decision.Time
 	for _, l := range lines {
 		at := l.Decision.Time.Add(-time.Duration(l.Decision.TookMS) * time.Millisecond)
-		if at.Before(began) {
-			began = at
+		if at.Before(start) {
+			start = at
 		}
 	}
-	return began
+	return start
 }
 
-// isBelief reports whether a record says what a process believes of anything
-// that bears on a request to the targets with one of the fingerprints.
-func isBelief(d trail.Decision, targets, prints map[string]bool) bool {
+// isRelevantState reports whether a record says what a process knows of anything
+// that affects a request that was sent to targets and has one of fingerprints.
+func isRelevantState(d trail.Decision, targets, fingerprints map[string]bool) bool {
 	switch d.Area {
 	case trail.AreaConfig:
 		return true
 	case trail.AreaMember:
-		// One without a subject is about the process itself: it stood still.
+		// A record without subject and choice is about the process itself, which
+		// was paused.
 		return d.Subject == "" && d.Choice == "" || targets[d.Subject]
 	case trail.AreaRouting:
-		return d.Action == "versionDemanded" || prints[d.Fingerprint]
+		return d.Action == "versionDemanded" || fingerprints[d.Fingerprint]
 	default:
 		return false
 	}
 }
 
-// beliefKey names what a belief is about; a later one takes its place.
-func beliefKey(d trail.Decision) string {
+// stateKey identifies what a state record is about. A later record with the same
+// key replaces it.
+func stateKey(d trail.Decision) string {
 	switch d.Action {
 	case "storeLost", "storeBack", "told":
 		return "/store"
--- a/core/process/audit/explain_test.go
+++ b/core/process/audit/explain_test.go
@@ -9,9 +9,9 @@
 	"hawthornferry/core/process/trail"
 )
 
-// An engineer asks why a request was refused. The answer has the request's own
-// records, and what its entry believed then: the latest of each matter, not
-// what it believed before, nor what another process believed.
+// The explanation of a request must contain the request's own records and what its
+// entry knew at the time: the latest record on each matter, but no earlier ones
+// and none of other processes.
 func TestExplain(t *testing.T) {
 	at := func(s int) time.Time { return time.Date(2026, 12, 3, 6, 0, s, 0, time.UTC) }
 	record := func(s int, process string, area trail.Area, action, request, subject, choice string) trail.Decision {
@@ -47,10 +47,11 @@
 	}
 }
 
-// A request came, waited for seconds while its process stood still and then heard
-// of a version, and was refused. Its only line is the last one; the explanation
-// still tells apart what the process believed as it came and what changed after.
-func TestExplainBeginsWithTheRequest(t *testing.T) {
+// A request arrived, waited for seconds while its process was paused and then
+// learned of a new version, and was refused. It has a single record, written at
+// its end. The explanation must still separate what the process knew when the
+// request arrived from what changed afterwards.
+func TestExplainIncludesStateFromBeforeTheRequest(t *testing.T) {
 	at := func(s int) time.Time { return time.Date(2026, 12, 3, 6, 0, s, 0, time.UTC) }
 	records := []trail.Decision{
 		{Time: at(1), Process: "e1", Area: trail.AreaConfig, Action: "state", Subject: "state", Revision: 1},
@@ -71,9 +72,10 @@
 	}
 }
 
-// A request is refused since it is said to crash targets. Its own lines do not tell of
-// the attempts that say so, which had other ids.
-func TestExplainTellsWhyARequestIsBlocked(t *testing.T) {
+// A request is refused because its fingerprint is known to crash targets. The
+// attempts that showed this had other request ids, so they must be found by the
+// fingerprint.
+func TestExplainIncludesWhyARequestIsBlocked(t *testing.T) {
 	at := func(s int) time.Time { return time.Date(2026, 12, 3, 6, 0, s, 0, time.UTC) }
 	records := []trail.Decision{
 		{Time: at(1), Process: "e1", Area: trail.AreaRouting, Action: "requestSuspected", Fingerprint: "aa"},
--- a/core/process/audit/linear.go
+++ b/core/process/audit/linear.go
@@ -9,50 +9,53 @@
 	"hawthornferry/core/process/trail"
 )
 
-// historyLimit bounds the search for an order of the attempts of all calls.
-const historyLimit = 30 * time.Second
+// historyTimeout bounds the search for an order of the attempts of one call. A
+// search that runs into it counts as a violation.
+const historyTimeout = 30 * time.Second
 
-// callState is what a call has come to, seen from its callers.
+// callState is the state of a call as seen by its callers.
 type callState string
 
 const (
-	callOpen  callState = "open"
-	callRan   callState = "ran"
-	callNever callState = "never"
+	callOpen   callState = "open"
+	callRan    callState = "ran"
+	callNotRun callState = "never"
 )
 
-// attempt is one request for a call, as its caller saw it.
+// attempt is one request for a call, with the outcome that its caller was told.
 type attempt struct {
 	call    string
 	outcome string
 }
 
-// onceModel is a call that runs once or never. Done is answered by a call
-// that ran; notRun makes it never run; unknown says nothing.
-func onceModel() porcupine.Model {
+// callModel returns the porcupine model of a call that runs at most once. An
+// attempt with outcome done requires that the call has run or runs it; notRun
+// requires that it has not run and keeps it from ever running; unknown fits any
+// state.
+func callModel() porcupine.Model {
 	m := porcupine.NondeterministicModel{
-		Partition: byCall,
+		Partition: partitionByCall,
 		Init:      func() []any { return []any{callOpen} },
-		Step:      func(state, input, _ any) []any { return stepCall(state.(callState), input.(attempt)) },
+		Step:      func(state, input, _ any) []any { return nextCallStates(state.(callState), input.(attempt)) },
 	}
 	return m.ToModel()
 }
 
-func stepCall(s callState, a attempt) []any {
+func nextCallStates(s callState, a attempt) []any {
 	switch {
 	case a.outcome == outcomeUnknown && s == callOpen:
-		return []any{callOpen, callRan, callNever}
+		return []any{callOpen, callRan, callNotRun}
 	case a.outcome == outcomeUnknown:
 		return []any{s}
-	case a.outcome == outcomeDone && s != callNever:
+	case a.outcome == outcomeDone && s != callNotRun:
 		return []any{callRan}
 	case a.outcome == outcomeNotRun && s != callRan:
-		return []any{callNever}
+		return []any{callNotRun}
 	}
 	return nil
 }
 
-func byCall(history []porcupine.Operation) [][]porcupine.Operation {
+func partitionByCall(history []porcupine.Operation) [][]porcupine.Operation {
 	parts := map[string][]porcupine.Operation{}
 	var order []string
 	for _, op := range history {
@@ -69,32 +72,33 @@
 	return out
 }
 
-// history: the outcomes that the attempts of one call were told, through
-// whatever entries, fit one order in which each takes effect at some moment
-// between its begin and its answer.
-func history(records []trail.Decision) Result {
-	r := Result{Outcome: OutcomeHistory}
-	ops, answers := operations(records)
-	for _, part := range byCall(ops) {
+// checkHistory checks that the outcomes of all attempts at one call, through any
+// entries, are linearizable: there is an order of the attempts that explains the
+// outcomes and in which each attempt takes effect between its start and its answer.
+func checkHistory(records []trail.Decision) Result {
+	r := Result{Outcome: GuaranteeConsistentOutcomes}
+	ops, answers := callOperations(records)
+	for _, part := range partitionByCall(ops) {
 		r.Checked++
-		if porcupine.CheckOperationsTimeout(onceModel(), part, historyLimit) == porcupine.Ok {
+		if porcupine.CheckOperationsTimeout(callModel(), part, historyTimeout) == porcupine.Ok {
 			continue
 		}
 		last := answers[part[len(part)-1].ClientId]
-		r.miss(last, "no order of its %d attempts explains the outcomes of call %s", len(part), last.Subject)
+		r.addViolation(last, "no order of its %d attempts explains the outcomes of call %s", len(part), last.Subject)
 	}
 	return r
 }
 
-// operations returns an operation for each answered attempt at a call, from
-// its request's first record to its answer, and the answers by client.
-func operations(records []trail.Decision) ([]porcupine.Operation, []trail.Decision) {
-	begun := map[string]time.Time{}
+// callOperations returns an operation for each answered attempt at a call, lasting
+// from the first record of its request to its answer, and the answer records,
+// indexed by the operations' ClientId.
+func callOperations(records []trail.Decision) ([]porcupine.Operation, []trail.Decision) {
+	started := map[string]time.Time{}
 	var ops []porcupine.Operation
 	var answers []trail.Decision
 	for _, d := range records {
-		if _, ok := begun[d.Request]; !ok {
-			begun[d.Request] = d.Time
+		if _, ok := started[d.Request]; !ok {
+			started[d.Request] = d.Time
 		}
 		if !isCall(d, actionAnswer) || d.Subject == "" || d.Reason == reasonOtherRequest {
 			continue
@@ -102,7 +106,7 @@
 		ops = append(ops, porcupine.Operation{
 			ClientId: len(answers),
 			Input:    attempt{call: d.Subject, outcome: d.Outcome},
-			Call:     begun[d.Request].UnixNano(),
+			Call:     started[d.Request].UnixNano(),
 			Return:   d.Time.UnixNano(),
 		})
 		answers = append(answers, d)
--- a/core/process/audit/read.go
+++ b/core/process/audit/read.go
@@ -10,22 +10,24 @@
 	"hawthornferry/core/process/trail"
 )
 
-// maxLine bounds one line of a log in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a line of a log. Reading fails at a longer
+// line.
+const maxLineBytes = 1 << 20
 
-// Log is what was read of one log. Broken counts the lines that could not be
-// read: a killed process leaves a line cut off, and one that is started again
-// on the same file puts its first line behind the cut.
+// Log is the content of one log. Broken is the number of lines that could not be
+// parsed: a killed process can leave an incomplete line, and if it is restarted
+// with the same file, its first record is appended to that line.
 type Log struct {
 	Decisions []trail.Decision
 	Broken    int
 }
 
-// Read reads a log of JSON lines. Lines without an area are other log lines
-// and are passed over, as are lines that are not JSON objects.
+// Read reads the decisions from a log of JSON lines. It skips lines without an
+// area, which are ordinary log messages, and lines that do not begin with "{".
+// name stands for the log in errors.
 func Read(name string, r io.Reader) (Log, error) {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
+	in.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	var out Log
 	for in.Scan() {
 		if !bytes.HasPrefix(in.Bytes(), []byte("{")) {
--- a/core/process/audit/versions.go
+++ b/core/process/audit/versions.go
@@ -4,7 +4,7 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Actions of configuration, membership and placement.
+// Actions of the records on configuration, membership, routing and placement.
 const (
 	actionInForce    = "inForce"
 	actionLeaving    = "leaving"
@@ -16,62 +16,63 @@
 	actionServes     = "serves"
 )
 
-// revisions: what a process puts in force is above what it had in force in
-// the same boot.
-func revisions(records []trail.Decision) Result {
-	r := Result{Outcome: OutcomeRevision}
-	held := map[boot]uint64{}
+// checkRevisions checks that every revision that a process puts in force is higher
+// than the one before it in the same run of the process.
+func checkRevisions(records []trail.Decision) Result {
+	r := Result{Outcome: GuaranteeRevisionOrder}
+	inForce := map[boot]uint64{}
 	for _, d := range records {
 		if d.Area != trail.AreaConfig || d.Action != actionInForce {
 			continue
 		}
 		r.Checked++
-		if was := held[bootOf(d)]; d.Revision <= was {
-			r.miss(d, "revision %d was put in force after %d", d.Revision, was)
+		if previous := inForce[bootOf(d)]; d.Revision <= previous {
+			r.addViolation(d, "revision %d was put in force after %d", d.Revision, previous)
 		}
-		held[bootOf(d)] = d.Revision
+		inForce[bootOf(d)] = d.Revision
 	}
 	return r
 }
 
-// leaving: from the bound after the first notice of any process on, no entry
-// chooses the target, unless a process has seen it live again since.
-func leaving(set Settings, records []trail.Decision) Result {
-	r := Result{Outcome: OutcomeLeaving}
-	notice := map[string]trail.Decision{}
+// checkLeaving checks that no entry chooses a target later than set.Leaving after
+// any process first recorded that it is leaving, unless a process has since
+// recorded it as live again.
+func checkLeaving(set Settings, records []trail.Decision) Result {
+	r := Result{Outcome: GuaranteeLeaving}
+	notices := map[string]trail.Decision{}
 	for _, d := range records {
 		switch {
 		case d.Area == trail.AreaMember && d.Action == actionLeaving:
-			if _, ok := notice[d.Subject]; !ok {
-				notice[d.Subject] = d
+			if _, ok := notices[d.Subject]; !ok {
+				notices[d.Subject] = d
 				r.Checked++
 			}
 		case d.Area == trail.AreaMember && d.Action == actionLive:
-			// A lagging process calls a VM live for a while after another
-			// has seen it leave; a higher version of the list is needed to
-			// take the notice back.
-			if was, ok := notice[d.Subject]; ok && d.Revision > was.Revision {
-				delete(notice, d.Subject)
+			// A process that lags behind can record a VM as live after another
+			// has seen it leave. Only a higher revision of the VM list
+			// withdraws the notice.
+			if notice, ok := notices[d.Subject]; ok && d.Revision > notice.Revision {
+				delete(notices, d.Subject)
 			}
 		case d.Area == trail.AreaRouting && d.Action == actionChoose:
-			was, ok := notice[d.Choice]
-			if late := d.Time.Sub(was.Time); ok && late > set.Leaving {
-				r.miss(d, "%s got request %s %v after it was seen to leave", d.Choice, d.Request, late)
+			notice, ok := notices[d.Choice]
+			if late := d.Time.Sub(notice.Time); ok && late > set.Leaving {
+				r.addViolation(d, "%s got request %s %v after it was seen to leave", d.Choice, d.Request, late)
 			}
 		}
 	}
 	return r
 }
 
-// whole: a load is ordered of a manifest that the same process verified
-// before, in the same boot. An order that the process took back before it
-// went out counts as none.
-func whole(records []trail.Decision) Result {
+// checkVerifiedLoads checks that a process orders the load of a manifest only after
+// it has verified that manifest's weights in the same run. Orders that the process
+// withdrew before sending them are ignored.
+func checkVerifiedLoads(records []trail.Decision) Result {
 	type key struct {
 		boot     boot
 		manifest string
 	}
-	r := Result{Outcome: OutcomeWhole}
+	r := Result{Outcome: GuaranteeVerifiedLoad}
 	verified := map[key]bool{}
 	for i, d := range records {
 		k := key{bootOf(d), d.Subject}
@@ -80,15 +81,15 @@
 			verified[k] = true
 		case d.Action == actionOrder && d.Area == trail.AreaPlacement:
 			r.Checked++
-			if !verified[k] && !takenBack(records[i+1:], d) {
-				r.miss(d, "a load of %s was ordered before it was verified whole", d.Subject)
+			if !verified[k] && !orderWithdrawn(records[i+1:], d) {
+				r.addViolation(d, "a load of %s was ordered before it was verified whole", d.Subject)
 			}
 		}
 	}
 	return r
 }
 
-func takenBack(later []trail.Decision, order trail.Decision) bool {
+func orderWithdrawn(later []trail.Decision, order trail.Decision) bool {
 	for _, d := range later {
 		if bootOf(d) == bootOf(order) && d.Area == trail.AreaPlacement {
 			return d.Action == actionLoadFailed && d.Subject == order.Subject
@@ -97,10 +98,11 @@
 	return false
 }
 
-// served: what a target turns to serve after an order is what was ordered.
-// What it served when its side started was ordered in an earlier boot.
-func served(records []trail.Decision) Result {
-	r := Result{Outcome: OutcomeServed}
+// checkServedVersions checks that a target that changes its version after an order
+// serves a version that was ordered. Records from before a side's first order are
+// ignored: what the target served then was ordered in an earlier run of the side.
+func checkServedVersions(records []trail.Decision) Result {
+	r := Result{Outcome: GuaranteeServedVersion}
 	ordered := map[boot]map[string]bool{}
 	for _, d := range records {
 		if d.Area != trail.AreaPlacement {
@@ -119,7 +121,7 @@
 			}
 			r.Checked++
 			if !ordered[b][d.Subject] {
-				r.miss(d, "the target serves %s, which was not ordered", d.Subject)
+				r.addViolation(d, "the target serves %s, which was not ordered", d.Subject)
 			}
 		}
 	}
