--- a/core/process/envdoc/change.go
+++ b/core/process/envdoc/change.go
@@ -6,17 +6,18 @@
 	"slices"
 )
 
-// Change says what happens to a section.
+// Change is the kind of difference in a section.
 type Change string
 
-// The changes of a section.
+// The kinds of difference.
 const (
 	ChangeAdded   Change = "added"
 	ChangeRemoved Change = "removed"
 	ChangeAltered Change = "altered"
 )
 
-// SectionChange is one section that differs between two documents.
+// SectionChange is a section that differs between two documents. From and To are
+// one-line summaries of the section in the old and in the new document.
 type SectionChange struct {
 	Section string `json:"section"`
 	Change  Change `json:"change"`
@@ -24,31 +25,31 @@
 	To      string `json:"to,omitempty"`
 }
 
-// sectionChanges compares what the sections say, whatever their order and
-// comments.
+// sectionChanges returns the sections whose values differ. The order of the
+// sections and comments make no difference.
 func sectionChanges(old, next *Document) []SectionChange {
-	a, b := old.sections(), next.sections()
+	a, b := old.sectionSummaries(), next.sectionSummaries()
 	var out []SectionChange
-	for name, was := range a {
-		now, ok := b[name]
+	for name, before := range a {
+		after, ok := b[name]
 		switch {
 		case !ok:
-			out = append(out, SectionChange{Section: name, Change: ChangeRemoved, From: was})
-		case now != was:
-			out = append(out, SectionChange{Section: name, Change: ChangeAltered, From: was, To: now})
+			out = append(out, SectionChange{Section: name, Change: ChangeRemoved, From: before})
+		case after != before:
+			out = append(out, SectionChange{Section: name, Change: ChangeAltered, From: before, To: after})
 		}
 	}
-	for name, now := range b {
+	for name, after := range b {
 		if _, ok := a[name]; !ok {
-			out = append(out, SectionChange{Section: name, Change: ChangeAdded, To: now})
+			out = append(out, SectionChange{Section: name, Change: ChangeAdded, To: after})
 		}
 	}
 	slices.SortFunc(out, func(a, b SectionChange) int { return cmp.Compare(a.Section, b.Section) })
 	return out
 }
 
-// sections gives each section's values as one line.
-func (d *Document) sections() map[string]string {
+// sectionSummaries returns the values of each section as one line, by section name.
+func (d *Document) sectionSummaries() map[string]string {
 	out := map[string]string{}
 	if d.Name != "" {
 		out[sectionEnvironment] = fmt.Sprintf("name %s, stage %s, weigh %s", d.Name, d.Stage, d.Weigh)
@@ -64,7 +65,7 @@
 		out[sectionModel+"."+m.Name] = fmt.Sprintf("version %s, manifest %s", m.Version, m.Manifest)
 	}
 	for _, s := range d.Services {
-		out[sectionService+"."+s.Name] = s.line()
+		out[sectionService+"."+s.Name] = s.summary()
 	}
 	for _, c := range d.Customers {
 		out[sectionCustomer+"."+c.Name] = fmt.Sprintf("share %d", c.Share)
@@ -72,11 +73,11 @@
 	return out
 }
 
-func (s Service) line() string {
-	line := fmt.Sprintf("kind %s, model %s, fencing %s, floor %d, timeout %v, repeatable %v, replicas",
+func (s Service) summary() string {
+	summary := fmt.Sprintf("kind %s, model %s, fencing %s, floor %d, timeout %v, repeatable %v, replicas",
 		s.Kind, s.Model, s.Fencing, s.Floor, s.Timeout, s.Repeatable)
 	for _, r := range s.Replicas {
-		line += fmt.Sprintf(" %s=%d", r.Zone, r.Replicas)
+		summary += fmt.Sprintf(" %s=%d", r.Zone, r.Replicas)
 	}
-	return line
+	return summary
 }
--- a/core/process/envdoc/doc.go
+++ b/core/process/envdoc/doc.go
@@ -1,5 +1,8 @@
-// Package envdoc is the environment document: what an operator writes to say
-// which models and versions serve which services, and where.
+// Package envdoc parses and checks environment documents, and compares two of
+// them. In an environment document an operator declares the services, the model
+// versions that they serve, and how many replicas run in each zone. The processes
+// of an environment read it through the configuration service; the commands check
+// and plan read it from files.
 package envdoc
 
 import (
@@ -8,10 +11,10 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Document is a checked environment document. Revision is the one that the
-// configuration service gave it; a higher one always replaces a lower one.
-// Its lists are sorted by name, so that the same sections give the same
-// document whichever way they came.
+// Document is a checked environment document. Revision is assigned by the
+// configuration service; a document with a higher revision always replaces one
+// with a lower revision. The lists are sorted by name, so that the same sections
+// give the same document in whatever order they were read.
 type Document struct {
 	Revision  uint64
 	Name      string
@@ -25,7 +28,7 @@
 	Customers []Customer
 }
 
-// Stage is the environment that a document is for.
+// Stage is the kind of environment that a document describes.
 type Stage string
 
 // The stages.
@@ -34,26 +37,27 @@
 	StageProduction Stage = "production"
 )
 
-// Weigh says which of the two measures of a rollout counts more.
+// Weigh is what a rollout optimizes for.
 type Weigh string
 
-// The weighings: the fewest bytes from the origin, or the least time until
-// all replicas serve, within the copies that the origin's link carries.
+// The values of Weigh. WeighOrigin downloads as few bytes from the origin as
+// possible. WeighTime minimizes the time until all replicas serve the new version,
+// and may download up to Origin.Copies copies from the origin to that end.
 const (
 	WeighOrigin Weigh = "originBytes"
 	WeighTime   Weigh = "time"
 )
 
-// Origin is where the weights are drawn from. Region is empty when it lies in
-// none of the document's regions. Copies is how many whole copies of a new
-// version may be drawn from it during one rollout.
+// Origin is the server from which model weights are downloaded. Region is empty if
+// the origin is outside all of the document's regions. Copies is how many complete
+// copies of a new version may be downloaded from it during one rollout.
 type Origin struct {
 	Region string
 	Copies int
 }
 
-// Region is a set of zones behind one shared link. Link is the rate to other
-// regions in bytes a second each way.
+// Region is a set of zones that share one link to other regions. Link is the rate
+// of that link in bytes per second in each direction.
 type Region struct {
 	Name string
 	Link int64
@@ -72,29 +76,30 @@
 	Manifest chunk.Digest
 }
 
-// Kind says what stands behind a service.
+// Kind is the kind of a service.
 type Kind string
 
-// The kinds of service.
+// The kinds of service: an engine service serves a model, a plain service has none.
 const (
 	KindEngine Kind = "engine"
 	KindPlain  Kind = "plain"
 )
 
-// Fencing says whether a service's targets refuse an order that carries an
-// old fencing number.
+// Fencing says whether a service's targets reject a load order that carries an
+// outdated fencing number.
 type Fencing string
 
-// The ways in which targets treat an old fencing number.
+// The ways in which targets treat an outdated fencing number.
 const (
 	FencingChecked Fencing = "checked"
 	FencingIgnored Fencing = "ignored"
 )
 
-// Service is a service and its placement. Replicas holds the wanted number
-// for each zone. Floor is the least number of replicas in each zone that
-// keep serving while versions change. Repeatable lists the "METHOD /path"
-// patterns, beside the safe methods, which may run more than once.
+// Service is a service and its placement. Replicas is the desired number of
+// replicas in each zone. Floor is the minimum number of replicas in each zone that
+// keep serving while a new version is rolled out. Repeatable lists "METHOD /path"
+// patterns of requests that may run more than once, in addition to requests with
+// safe methods.
 type Service struct {
 	Name       string
 	Kind       Kind
@@ -106,43 +111,43 @@
 	Repeatable []string
 }
 
-// Placement is the wanted number of replicas in one zone.
+// Placement is the desired number of replicas in one zone.
 type Placement struct {
 	Zone     string
 	Replicas int
 }
 
-// Customer is a customer and its share of capacity under load, relative to
-// the other customers' shares.
+// Customer is a customer and its share of the capacity under high load, relative
+// to the shares of the other customers.
 type Customer struct {
 	Name  string
 	Share int
 }
 
-// ServiceByName returns the service called name.
+// ServiceByName returns the service with the given name.
 func (d *Document) ServiceByName(name string) (Service, bool) {
 	return byName(d.Services, name, func(s Service) string { return s.Name })
 }
 
-// ModelByName returns the model called name.
+// ModelByName returns the model with the given name.
 func (d *Document) ModelByName(name string) (Model, bool) {
 	return byName(d.Models, name, func(m Model) string { return m.Name })
 }
 
-// ZoneByName returns the zone called name.
+// ZoneByName returns the zone with the given name.
 func (d *Document) ZoneByName(name string) (Zone, bool) {
 	return byName(d.Zones, name, func(z Zone) string { return z.Name })
 }
 
-// RegionByName returns the region called name.
+// RegionByName returns the region with the given name.
 func (d *Document) RegionByName(name string) (Region, bool) {
 	return byName(d.Regions, name, func(r Region) string { return r.Name })
 }
 
-func byName[T any](items []T, name string, of func(T) string) (T, bool) {
-	for _, it := range items {
-		if of(it) == name {
-			return it, true
+func byName[T any](items []T, name string, nameOf func(T) string) (T, bool) {
+	for _, item := range items {
+		if nameOf(item) == name {
+			return item, true
 		}
 	}
 	var zero T
--- a/core/process/envdoc/parse.go
+++ b/core/process/envdoc/parse.go
@@ -12,13 +12,14 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Bounds and defaults of a document's values.
+// Limits and defaults of the values in a document. The link rates are in bytes per
+// second.
 const (
 	maxReplicas    = 2000
 	maxCopies      = 64
 	maxShare       = 1000
-	minLink        = 8 << 10
-	maxLink        = 50 << 30
+	minLinkRate    = 8 << 10
+	maxLinkRate    = 50 << 30
 	minTimeout     = 10 * time.Millisecond
 	maxTimeout     = 10 * time.Minute
 	maxPatterns    = 64
@@ -27,7 +28,8 @@
 	defaultTimeout = 30 * time.Second
 )
 
-// Sections of a document; all but the first two have a name after a dot.
+// Kinds of sections. All but the first two are followed by a dot and a name in the
+// section's header, such as [zone.NAME].
 const (
 	sectionEnvironment = "environment"
 	sectionOrigin      = "origin"
@@ -40,25 +42,25 @@
 
 const replicasPrefix = "replicas."
 
-// Parse reads the INI text of a document and checks it. name stands for the
-// text in errors. An error is inidoc.Flaws and lists every fault.
+// Parse parses the INI text of a document and checks it. name is the text's name
+// in errors. The error is an inidoc.Flaws that lists every fault.
 func Parse(name string, revision uint64, text []byte) (*Document, error) {
-	return fromFile(inidoc.Parse(name, text), revision)
+	return parseFile(inidoc.Parse(name, text), revision)
 }
 
-// Assemble is Parse for sections that came one by one.
+// Assemble is Parse for a document whose sections were received separately.
 func Assemble(name string, revision uint64, contents []inidoc.Content) (*Document, error) {
-	return fromFile(inidoc.Assemble(name, contents), revision)
+	return parseFile(inidoc.Assemble(name, contents), revision)
 }
 
-func fromFile(f *inidoc.File, revision uint64) (*Document, error) {
+func parseFile(f *inidoc.File, revision uint64) (*Document, error) {
 	p := &parser{file: f, doc: &Document{Revision: revision}}
-	p.environment()
+	p.parseEnvironment()
 	for _, s := range p.file.Sections {
-		p.section(s)
+		p.parseSection(s)
 	}
 	p.doc.sort()
-	p.references()
+	p.checkReferences()
 	for _, s := range p.file.Sections {
 		s.Close()
 	}
@@ -73,7 +75,7 @@
 	doc  *Document
 }
 
-func (p *parser) environment() {
+func (p *parser) parseEnvironment() {
 	s := p.file.Section(sectionEnvironment)
 	if s == nil {
 		p.file.Reject("section [environment] is missing")
@@ -85,77 +87,78 @@
 	p.doc.Origin.Copies = defaultCopies
 }
 
-func (p *parser) section(s *inidoc.Section) {
+func (p *parser) parseSection(s *inidoc.Section) {
 	if s.Name == sectionEnvironment {
 		return
 	}
 	if s.Name == sectionOrigin {
-		p.origin(s)
+		p.parseOrigin(s)
 		return
 	}
 	kind, name, _ := strings.Cut(s.Name, ".")
-	read, ok := p.readers()[kind]
+	parse, ok := p.sectionParsers()[kind]
 	if !ok {
 		s.Reject("", "", "unknown section")
-		p.ignore(s)
+		p.takeAllKeys(s)
 		return
 	}
 	if _, err := inidoc.Word(name); err != nil {
-		s.Reject("", "", "the name after "+kind+". is not sound: "+err.Error())
+		s.Reject("", "", "the name after "+kind+". is invalid: "+err.Error())
 	}
-	read(s, name)
+	parse(s, name)
 }
 
-func (p *parser) readers() map[string]func(*inidoc.Section, string) {
+func (p *parser) sectionParsers() map[string]func(*inidoc.Section, string) {
 	return map[string]func(*inidoc.Section, string){
-		sectionRegion:   p.region,
-		sectionZone:     p.zone,
-		sectionModel:    p.model,
-		sectionService:  p.service,
-		sectionCustomer: p.customer,
+		sectionRegion:   p.parseRegion,
+		sectionZone:     p.parseZone,
+		sectionModel:    p.parseModel,
+		sectionService:  p.parseService,
+		sectionCustomer: p.parseCustomer,
 	}
 }
 
-// ignore marks all keys of an unknown section as known: one flaw tells it all.
-func (p *parser) ignore(s *inidoc.Section) {
+// takeAllKeys marks all keys of an unknown section as known, so that they are not
+// reported in addition to the section.
+func (p *parser) takeAllKeys(s *inidoc.Section) {
 	for _, key := range s.Prefixed("") {
 		s.Take(key)
 	}
 }
 
-func (p *parser) origin(s *inidoc.Section) {
+func (p *parser) parseOrigin(s *inidoc.Section) {
 	p.doc.Origin.Region = inidoc.Optional(s, "region", "", inidoc.Word)
 	p.doc.Origin.Copies = inidoc.Optional(s, "copies", defaultCopies, inidoc.Whole(1, maxCopies))
 }
 
-func (p *parser) region(s *inidoc.Section, name string) {
-	link := inidoc.Required(s, "link", inidoc.Bounded(inidoc.Rate, minLink, maxLink))
+func (p *parser) parseRegion(s *inidoc.Section, name string) {
+	link := inidoc.Required(s, "link", inidoc.Bounded(inidoc.Rate, minLinkRate, maxLinkRate))
 	p.doc.Regions = append(p.doc.Regions, Region{Name: name, Link: link})
 }
 
-func (p *parser) zone(s *inidoc.Section, name string) {
+func (p *parser) parseZone(s *inidoc.Section, name string) {
 	region := inidoc.Required(s, "region", inidoc.Word)
 	p.doc.Zones = append(p.doc.Zones, Zone{Name: name, Region: region})
 }
 
-func (p *parser) model(s *inidoc.Section, name string) {
+func (p *parser) parseModel(s *inidoc.Section, name string) {
 	m := Model{Name: name}
 	m.Version = inidoc.Required(s, "version", inidoc.Word)
 	if _, ok := s.Take("manifest"); !ok {
 		s.Reject("manifest", "", "missing: version "+m.Version+" is not pinned by a digest")
 	}
-	m.Manifest = inidoc.Optional(s, "manifest", "", digest)
+	m.Manifest = inidoc.Optional(s, "manifest", "", parseDigest)
 	p.doc.Models = append(p.doc.Models, m)
 }
 
-func (p *parser) service(s *inidoc.Section, name string) {
+func (p *parser) parseService(s *inidoc.Section, name string) {
 	v := Service{Name: name}
 	v.Kind = inidoc.Required(s, "kind", inidoc.OneOf(KindEngine, KindPlain))
 	v.Model = inidoc.Optional(s, "model", "", inidoc.Word)
 	v.Fencing = inidoc.Optional(s, "fencing", FencingIgnored, inidoc.OneOf(FencingChecked, FencingIgnored))
 	v.Floor = inidoc.Optional(s, "floor", 0, inidoc.Whole(0, maxReplicas))
 	v.Timeout = inidoc.Optional(s, "timeout", defaultTimeout, inidoc.Span(minTimeout, maxTimeout))
-	v.Repeatable = inidoc.Optional(s, "repeatable", nil, patterns)
+	v.Repeatable = inidoc.Optional(s, "repeatable", nil, parsePatterns)
 	for _, zone := range s.Prefixed(replicasPrefix) {
 		n := inidoc.Optional(s, replicasPrefix+zone, 0, inidoc.Whole(0, maxReplicas))
 		v.Replicas = append(v.Replicas, Placement{Zone: zone, Replicas: n})
@@ -163,12 +166,12 @@
 	p.doc.Services = append(p.doc.Services, v)
 }
 
-func (p *parser) customer(s *inidoc.Section, name string) {
+func (p *parser) parseCustomer(s *inidoc.Section, name string) {
 	share := inidoc.Optional(s, "share", defaultShare, inidoc.Whole(1, maxShare))
 	p.doc.Customers = append(p.doc.Customers, Customer{Name: name, Share: share})
 }
 
-func digest(text string) (chunk.Digest, error) {
+func parseDigest(text string) (chunk.Digest, error) {
 	d := chunk.Digest(text)
 	if err := d.Check(); err != nil {
 		return "", errors.New("want sha256: and 64 hexadecimal digits")
@@ -176,8 +179,8 @@
 	return d, nil
 }
 
-// patterns parses "METHOD /path" items parted by commas.
-func patterns(text string) ([]string, error) {
+// parsePatterns parses a comma-separated list of "METHOD /path" items.
+func parsePatterns(text string) ([]string, error) {
 	items := inidoc.List(text)
 	if len(items) > maxPatterns {
 		return nil, errors.Newf("want at most %d patterns", maxPatterns)
--- a/core/process/envdoc/parse_test.go
+++ b/core/process/envdoc/parse_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// change is one line of the example that a test replaces.
+// change is a part of the example document and the text that replaces it in a test.
 type change struct{ from, to string }
 
-func TestFlawsNameSectionKeyValueAndReason(t *testing.T) {
+func TestErrorsNameSectionKeyValueAndReason(t *testing.T) {
 	manifest := "manifest = sha256:" + strings.Repeat("0", 64)
 	tests := []struct {
 		change
@@ -103,8 +103,8 @@
 	}
 }
 
-// Any text gives either a document or faults, never a panic, and a document
-// put together from its sections equals the one that was read whole.
+// Parsing must return a document or an error for any text and never panic, and a
+// document assembled from separate sections must equal the one parsed as a whole.
 func FuzzParse(f *testing.F) {
 	f.Add(readExample(f))
 	f.Add("[environment]\nname = a\nstage = trial\n[zone.z]\nregion = r\n[region.r]\nlink = 1Mbit\n[service.s]\nkind = plain\nreplicas.z = 1\n")
--- a/core/process/envdoc/plan.go
+++ b/core/process/envdoc/plan.go
@@ -7,7 +7,7 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Plan is what promoting one document over another would change.
+// Plan describes what would change if one document replaced another.
 type Plan struct {
 	Versions []VersionChange `json:"versions"`
 	Replicas []ReplicaChange `json:"replicas"`
@@ -15,9 +15,9 @@
 	Sections []SectionChange `json:"sections"`
 }
 
-// VersionChange is a service's change of model or version. From is empty for
-// a service or model that is new. Bytes is nil unless the manifests are
-// known.
+// VersionChange is a change of the model or version that a service serves. From is
+// empty if the service is new or had no model. Bytes is nil if the manifest of the
+// new version is not known.
 type VersionChange struct {
 	Service  string       `json:"service"`
 	Model    string       `json:"model"`
@@ -28,11 +28,12 @@
 	Bytes    *Bytes       `json:"bytes,omitempty"`
 }
 
-// Bytes is what a new version brings to the links. Whole is the size of the
-// version and New the part of it in chunks that the version before does not
-// have. Origin is the least and OriginMost the most that the rollout draws
-// from the origin; Regions is the least that crosses the link of each region
-// apart from the origin's.
+// Bytes is the amount of data that the rollout of a new version transfers. Whole
+// is the size of the version, and New the size of its chunks that the previous
+// version does not have; if the manifest of the previous version is not known, all
+// chunks count. Origin and OriginMost are the minimum and the maximum downloaded
+// from the origin. Regions has the minimum that crosses the link of each region
+// with replicas, except the origin's region.
 type Bytes struct {
 	Whole      int64        `json:"whole"`
 	New        int64        `json:"new"`
@@ -41,15 +42,16 @@
 	Regions    []RegionLoad `json:"regions"`
 }
 
-// RegionLoad is the bytes that cross a region's link, and the least time
-// that its rate allows, in milliseconds.
+// RegionLoad is the number of bytes that cross a region's link, and the minimum
+// time that this takes at the link's rate, in milliseconds.
 type RegionLoad struct {
 	Region  string `json:"region"`
 	Bytes   int64  `json:"bytes"`
 	LeastMs int64  `json:"leastMs"`
 }
 
-// ReplicaChange is a change of the wanted replicas of a service in a zone.
+// ReplicaChange is a change of the desired number of replicas of a service in a
+// zone.
 type ReplicaChange struct {
 	Service string `json:"service"`
 	Zone    string `json:"zone"`
@@ -57,8 +59,9 @@
 	To      int    `json:"to"`
 }
 
-// Wave is the replicas that may load at the same time. Each zone goes on to
-// its next wave by itself; none waits for another zone.
+// Wave is a step of a rollout in one zone: Loading replicas load the new version at
+// the same time while Serving replicas keep serving. Zones go through their waves
+// independently of each other.
 type Wave struct {
 	Number  int    `json:"number"`
 	Service string `json:"service"`
@@ -67,9 +70,8 @@
 	Serving int    `json:"serving"`
 }
 
-// Compare returns what promoting next over old would change. manifests holds
-// the manifests that are known, by digest. old may be nil for an environment
-// without a document.
+// Compare returns what would change if next replaced old. manifests holds the known
+// manifests by digest. old may be nil for an environment without a document.
 func Compare(old, next *Document, manifests map[chunk.Digest]chunk.Manifest) Plan {
 	if old == nil {
 		old = &Document{}
@@ -80,7 +82,7 @@
 		p.Replicas = append(p.Replicas, replicaChanges(s.Name, before.Replicas, s.Replicas)...)
 		if c, ok := versionChange(old, next, s, manifests); ok {
 			p.Versions = append(p.Versions, c)
-			p.Waves = append(p.Waves, waves(s)...)
+			p.Waves = append(p.Waves, planWaves(s)...)
 		}
 	}
 	for _, s := range old.Services {
@@ -95,17 +97,17 @@
 
 func replicaChanges(service string, old, next []Placement) []ReplicaChange {
 	counts := map[string]*ReplicaChange{}
-	at := func(zone string) *ReplicaChange {
+	change := func(zone string) *ReplicaChange {
 		if counts[zone] == nil {
 			counts[zone] = &ReplicaChange{Service: service, Zone: zone}
 		}
 		return counts[zone]
 	}
 	for _, r := range old {
-		at(r.Zone).From = r.Replicas
+		change(r.Zone).From = r.Replicas
 	}
 	for _, r := range next {
-		at(r.Zone).To = r.Replicas
+		change(r.Zone).To = r.Replicas
 	}
 	var out []ReplicaChange
 	for _, c := range counts {
@@ -134,20 +136,20 @@
 		c.Replicas += r.Replicas
 	}
 	if manifest, ok := manifests[m.Manifest]; ok {
-		c.Bytes = bytesOf(next, s, manifest, manifests[before.Manifest])
+		c.Bytes = transferBytes(next, s, manifest, manifests[before.Manifest])
 	}
 	return c, true
 }
 
-func bytesOf(d *Document, s Service, m, before chunk.Manifest) *Bytes {
-	have := map[chunk.Digest]bool{}
+func transferBytes(d *Document, s Service, m, before chunk.Manifest) *Bytes {
+	known := map[chunk.Digest]bool{}
 	for _, c := range before.Chunks {
-		have[c.Digest] = true
+		known[c.Digest] = true
 	}
 	b := &Bytes{Whole: m.Size}
 	for _, c := range m.Chunks {
-		if !have[c.Digest] {
-			have[c.Digest] = true
+		if !known[c.Digest] {
+			known[c.Digest] = true
 			b.New += c.Size
 		}
 	}
@@ -163,7 +165,7 @@
 func regionLoads(d *Document, s Service, bytes int64) []RegionLoad {
 	var out []RegionLoad
 	for _, r := range d.Regions {
-		if r.Name == d.Origin.Region || !d.servesIn(s, r.Name) {
+		if r.Name == d.Origin.Region || !d.hasReplicasIn(s, r.Name) {
 			continue
 		}
 		out = append(out, RegionLoad{Region: r.Name, Bytes: bytes, LeastMs: bytes * 1000 / max(1, r.Link)})
@@ -171,8 +173,8 @@
 	return out
 }
 
-// servesIn reports whether s has replicas in a zone of the region.
-func (d *Document) servesIn(s Service, region string) bool {
+// hasReplicasIn reports whether s has replicas in a zone of the region.
+func (d *Document) hasReplicasIn(s Service, region string) bool {
 	for _, r := range s.Replicas {
 		if z, ok := d.ZoneByName(r.Zone); ok && z.Region == region && r.Replicas > 0 {
 			return true
@@ -181,14 +183,15 @@
 	return false
 }
 
-// waves lists how the replicas of each zone load within the floor.
-func waves(s Service) []Wave {
+// planWaves returns the waves in which the replicas of each zone load, with as many
+// replicas at a time as the floor allows, but at least one.
+func planWaves(s Service) []Wave {
 	var out []Wave
 	for _, r := range s.Replicas {
-		width := max(1, r.Replicas-s.Floor)
+		maxLoading := max(1, r.Replicas-s.Floor)
 		left := r.Replicas
 		for n := 1; left > 0; n++ {
-			loading := min(width, left)
+			loading := min(maxLoading, left)
 			out = append(out, Wave{Number: n, Service: s.Name, Zone: r.Zone, Loading: loading, Serving: r.Replicas - loading})
 			left -= loading
 		}
--- a/core/process/envdoc/refs.go
+++ b/core/process/envdoc/refs.go
@@ -2,35 +2,36 @@
 
 import "fmt"
 
-// references checks what one section says of another.
-func (p *parser) references() {
+// checkReferences checks that the regions, zones and models to which sections refer
+// exist, and that each service's placement is possible.
+func (p *parser) checkReferences() {
 	if len(p.file.Sections) == 0 {
 		return
 	}
 	if p.doc.Origin.Region != "" {
-		p.needRegion(sectionOrigin, p.doc.Origin.Region)
+		p.checkRegion(sectionOrigin, p.doc.Origin.Region)
 	}
 	for _, z := range p.doc.Zones {
 		if z.Region != "" {
-			p.needRegion(sectionZone+"."+z.Name, z.Region)
+			p.checkRegion(sectionZone+"."+z.Name, z.Region)
 		}
 	}
 	for _, s := range p.doc.Services {
-		p.modelOf(s)
-		p.placement(s)
+		p.checkModel(s)
+		p.checkPlacement(s)
 	}
 	if len(p.doc.Services) == 0 {
 		p.file.Reject("no service: want at least one section [service.NAME]")
 	}
 }
 
-func (p *parser) needRegion(section, region string) {
+func (p *parser) checkRegion(section, region string) {
 	if _, ok := p.doc.RegionByName(region); !ok {
 		p.reject(section, "region", region, "unknown region: there is no section [region."+region+"]")
 	}
 }
 
-func (p *parser) modelOf(s Service) {
+func (p *parser) checkModel(s Service) {
 	section := sectionService + "." + s.Name
 	switch {
 	case s.Kind == KindEngine && s.Model == "":
@@ -44,7 +45,7 @@
 	}
 }
 
-func (p *parser) placement(s Service) {
+func (p *parser) checkPlacement(s Service) {
 	section := sectionService + "." + s.Name
 	total := 0
 	for _, r := range s.Replicas {
@@ -52,8 +53,9 @@
 		if _, ok := p.doc.ZoneByName(r.Zone); !ok {
 			p.reject(section, replicasPrefix+r.Zone, fmt.Sprint(r.Replicas), "unknown zone: there is no section [zone."+r.Zone+"]")
 		}
-		// A floor as high as the number of replicas lets none of them stop to
-		// load: the rollout would wait for ever without a fault to see.
+		// If the floor is not below the number of replicas, none of them may stop
+		// serving to load a version: a rollout would wait forever without
+		// reporting an error.
 		if s.Kind == KindEngine && r.Replicas > 0 && s.Floor >= r.Replicas {
 			p.reject(section, "floor", fmt.Sprint(s.Floor), fmt.Sprintf("leaves none of the %d replicas in zone %s free to load a version", r.Replicas, r.Zone))
 		}
