--- a/core/process/envdoc/parse.go
+++ b/core/process/envdoc/parse.go
@@ -81,7 +81,7 @@
 		p.file.Reject("section [environment] is missing")
 		return
 	}
-	p.doc.Name = inidoc.Required(s, "name", inidoc.Word)
+	p.doc.Name = inidoc.Required(s, "name", inidoc.Identifier)
 	p.doc.Stage = inidoc.Required(s, "stage", inidoc.OneOf(StageTrial, StageProduction))
 	p.doc.Weigh = inidoc.Optional(s, "weigh", WeighOrigin, inidoc.OneOf(WeighOrigin, WeighTime))
 	p.doc.Origin.Copies = defaultCopies
@@ -102,7 +102,7 @@
 		p.takeAllKeys(s)
 		return
 	}
-	if _, err := inidoc.Word(name); err != nil {
+	if _, err := inidoc.Identifier(name); err != nil {
 		s.Reject("", "", "the name after "+kind+". is invalid: "+err.Error())
 	}
 	parse(s, name)
@@ -121,14 +121,14 @@
 // takeAllKeys marks all keys of an unknown section as known, so that they are not
 // reported in addition to the section.
 func (p *parser) takeAllKeys(s *inidoc.Section) {
-	for _, key := range s.Prefixed("") {
+	for _, key := range s.KeySuffixes("") {
 		s.Take(key)
 	}
 }
 
 func (p *parser) parseOrigin(s *inidoc.Section) {
-	p.doc.Origin.Region = inidoc.Optional(s, "region", "", inidoc.Word)
-	p.doc.Origin.Copies = inidoc.Optional(s, "copies", defaultCopies, inidoc.Whole(1, maxCopies))
+	p.doc.Origin.Region = inidoc.Optional(s, "region", "", inidoc.Identifier)
+	p.doc.Origin.Copies = inidoc.Optional(s, "copies", defaultCopies, inidoc.IntBetween(1, maxCopies))
 }
 
 func (p *parser) parseRegion(s *inidoc.Section, name string) {
@@ -137,13 +137,13 @@
 }
 
 func (p *parser) parseZone(s *inidoc.Section, name string) {
-	region := inidoc.Required(s, "region", inidoc.Word)
+	region := inidoc.Required(s, "region", inidoc.Identifier)
 	p.doc.Zones = append(p.doc.Zones, Zone{Name: name, Region: region})
 }
 
 func (p *parser) parseModel(s *inidoc.Section, name string) {
 	m := Model{Name: name}
-	m.Version = inidoc.Required(s, "version", inidoc.Word)
+	m.Version = inidoc.Required(s, "version", inidoc.Identifier)
 	if _, ok := s.Take("manifest"); !ok {
 		s.Reject("manifest", "", "missing: version "+m.Version+" is not pinned by a digest")
 	}
@@ -154,20 +154,20 @@
 func (p *parser) parseService(s *inidoc.Section, name string) {
 	v := Service{Name: name}
 	v.Kind = inidoc.Required(s, "kind", inidoc.OneOf(KindEngine, KindPlain))
-	v.Model = inidoc.Optional(s, "model", "", inidoc.Word)
+	v.Model = inidoc.Optional(s, "model", "", inidoc.Identifier)
 	v.Fencing = inidoc.Optional(s, "fencing", FencingIgnored, inidoc.OneOf(FencingChecked, FencingIgnored))
-	v.Floor = inidoc.Optional(s, "floor", 0, inidoc.Whole(0, maxReplicas))
-	v.Timeout = inidoc.Optional(s, "timeout", defaultTimeout, inidoc.Span(minTimeout, maxTimeout))
+	v.Floor = inidoc.Optional(s, "floor", 0, inidoc.IntBetween(0, maxReplicas))
+	v.Timeout = inidoc.Optional(s, "timeout", defaultTimeout, inidoc.DurationBetween(minTimeout, maxTimeout))
 	v.Repeatable = inidoc.Optional(s, "repeatable", nil, parsePatterns)
-	for _, zone := range s.Prefixed(replicasPrefix) {
-		n := inidoc.Optional(s, replicasPrefix+zone, 0, inidoc.Whole(0, maxReplicas))
+	for _, zone := range s.KeySuffixes(replicasPrefix) {
+		n := inidoc.Optional(s, replicasPrefix+zone, 0, inidoc.IntBetween(0, maxReplicas))
 		v.Replicas = append(v.Replicas, Placement{Zone: zone, Replicas: n})
 	}
 	p.doc.Services = append(p.doc.Services, v)
 }
 
 func (p *parser) parseCustomer(s *inidoc.Section, name string) {
-	share := inidoc.Optional(s, "share", defaultShare, inidoc.Whole(1, maxShare))
+	share := inidoc.Optional(s, "share", defaultShare, inidoc.IntBetween(1, maxShare))
 	p.doc.Customers = append(p.doc.Customers, Customer{Name: name, Share: share})
 }
 
--- a/core/process/inidoc/file.go
+++ b/core/process/inidoc/file.go
@@ -1,6 +1,7 @@
-// Package inidoc reads INI texts and keeps all their faults, not just the
-// first: duplicate sections and keys, unknown keys, and values that do not
-// parse. Settings and environment documents are both read through it.
+// Package inidoc parses INI texts and reports all their faults, not only the first:
+// duplicate sections and keys, unknown keys, and invalid values. Settings files
+// (io/process/conf) and environment documents (core/process/envdoc) are both read
+// with it.
 package inidoc
 
 import (
@@ -9,15 +10,16 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxBytes is the most that a text may hold, the bound of a value of the
-// configuration service.
+// MaxBytes is the maximum size of a text. It equals the maximum size of a value in
+// the configuration service.
 const MaxBytes = 1 << 20
 
-// MaxSection is the most bytes that the keys and values of one section may
-// hold; sections go from process to process one by one, each in one message.
-const MaxSection = 32 << 10
+// MaxSectionBytes is the maximum total size of the keys and values of one section.
+// Processes send each other sections one by one, each in a single message.
+const MaxSectionBytes = 32 << 10
 
-// File is a parsed text. Flaws grows while its sections are read.
+// File is a parsed text. Flaws lists its faults; reading the values of its sections
+// adds to it.
 type File struct {
 	Name     string
 	Sections []*Section
@@ -35,21 +37,22 @@
 	used map[string]bool
 }
 
-// Pair is one key of a section with the text of its value.
+// Pair is a key of a section and the text of its value.
 type Pair struct {
 	Key   string `json:"k"`
 	Value string `json:"v"`
 }
 
-// Content is a section apart from its file, as it goes from process to
-// process. A value keeps its exact text, which writing it as INI and reading
-// it again would not promise for quotes and comment signs.
+// Content is the content of a section without its file, in the form in which
+// processes send it to each other. It preserves the exact text of each value;
+// formatting a section as INI and parsing it again might not, for values with
+// quotes or comment characters.
 type Content struct {
 	Name string
 	Keys []Pair
 }
 
-func (c Content) size() int {
+func (c Content) byteSize() int {
 	n := 0
 	for _, p := range c.Keys {
 		n += len(p.Key) + len(p.Value)
@@ -57,12 +60,12 @@
 	return n
 }
 
-// Assemble makes a file of sections that came one by one. name stands for
-// the text in flaws.
+// Assemble makes a file from sections that were received separately. name is the
+// file's name in flaws.
 func Assemble(name string, contents []Content) *File {
 	f := newFile(name)
 	for _, c := range contents {
-		f.addContent(c)
+		f.addSection(c)
 	}
 	return f
 }
@@ -76,13 +79,13 @@
 	return out
 }
 
-func (f *File) addContent(c Content) {
+func (f *File) addSection(c Content) {
 	if f.Section(c.Name) != nil {
-		f.add(Flaw{Section: c.Name, Reason: "section appears twice"})
+		f.addFlaw(Flaw{Section: c.Name, Reason: "section appears twice"})
 		return
 	}
-	if c.size() > MaxSection {
-		f.add(Flaw{Section: c.Name, Reason: "section is longer than 32 KiB"})
+	if c.byteSize() > MaxSectionBytes {
+		f.addFlaw(Flaw{Section: c.Name, Reason: "section is longer than 32 KiB"})
 	}
 	s := &Section{Name: c.Name, file: f, keys: c.Keys, used: map[string]bool{}}
 	f.Sections = append(f.Sections, s)
@@ -93,27 +96,28 @@
 	return &File{Name: name, byName: map[string]*Section{}}
 }
 
-// Parse reads an INI text. name stands for the text in flaws. A text that is
-// no INI at all gives a File without sections and one flaw.
+// Parse parses an INI text. name is the file's name in flaws. If the text is too
+// long or not INI at all, the File has no sections and one flaw.
 func Parse(name string, b []byte) *File {
 	f := newFile(name)
 	if len(b) > MaxBytes {
-		f.add(Flaw{Reason: "longer than 1 MiB"})
+		f.addFlaw(Flaw{Reason: "longer than 1 MiB"})
 		return f
 	}
-	text, err := ini.LoadSources(options(), b)
+	text, err := ini.LoadSources(loadOptions(), b)
 	if err != nil {
-		f.add(Flaw{Reason: oneLine(err)})
+		f.addFlaw(Flaw{Reason: oneLine(err)})
 		return f
 	}
 	for _, s := range text.Sections() {
-		f.addSection(s)
+		f.addINISection(s)
 	}
 	return f
 }
 
-// options turns off what would let a duplicate pass or change a value.
-func options() ini.LoadOptions {
+// loadOptions returns options with which the parser keeps duplicate sections and
+// keys, so that they can be reported, and does not alter values.
+func loadOptions() ini.LoadOptions {
 	return ini.LoadOptions{
 		AllowNonUniqueSections:     true,
 		AllowShadows:               true,
@@ -125,10 +129,10 @@
 	}
 }
 
-func (f *File) addSection(s *ini.Section) {
+func (f *File) addINISection(s *ini.Section) {
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			f.add(Flaw{Key: k.Name(), Value: k.Value(), Reason: "stands outside of any section"})
+			f.addFlaw(Flaw{Key: k.Name(), Value: k.Value(), Reason: "stands outside of any section"})
 		}
 		return
 	}
@@ -136,30 +140,31 @@
 	for _, k := range s.Keys() {
 		all := k.ValueWithShadows()
 		if len(all) > 1 {
-			f.add(Flaw{Section: c.Name, Key: k.Name(), Value: all[len(all)-1], Reason: "key appears twice"})
+			f.addFlaw(Flaw{Section: c.Name, Key: k.Name(), Value: all[len(all)-1], Reason: "key appears twice"})
 		}
 		c.Keys = append(c.Keys, Pair{Key: k.Name(), Value: k.Value()})
 	}
-	f.addContent(c)
+	f.addSection(c)
 }
 
-func (f *File) add(flaw Flaw) {
+func (f *File) addFlaw(flaw Flaw) {
 	flaw.File = f.Name
 	f.Flaws = append(f.Flaws, flaw)
 }
 
 // Reject records a flaw of the whole file.
-func (f *File) Reject(reason string) { f.add(Flaw{Reason: reason}) }
+func (f *File) Reject(reason string) { f.addFlaw(Flaw{Reason: reason}) }
 
-// Section returns the section called name, nil when it is missing.
+// Section returns the section with the given name, or nil if there is none.
 func (f *File) Section(name string) *Section { return f.byName[name] }
 
 // Reject records a flaw of one key of the section; key and value may be empty.
 func (s *Section) Reject(key, value, reason string) {
-	s.file.add(Flaw{Section: s.Name, Key: key, Value: value, Reason: reason})
+	s.file.addFlaw(Flaw{Section: s.Name, Key: key, Value: value, Reason: reason})
 }
 
-// Take returns the value of key and marks the key as known.
+// Take returns the value of key, if there is one, and marks the key as known for
+// Close.
 func (s *Section) Take(key string) (string, bool) {
 	s.used[key] = true
 	for _, p := range s.keys {
@@ -170,9 +175,9 @@
 	return "", false
 }
 
-// Prefixed returns the rest of each key that starts with prefix, in the
-// order of the text.
-func (s *Section) Prefixed(prefix string) []string {
+// KeySuffixes returns, for each key that starts with prefix, the part after the
+// prefix, in the order of the text.
+func (s *Section) KeySuffixes(prefix string) []string {
 	var out []string
 	for _, p := range s.keys {
 		if rest, ok := strings.CutPrefix(p.Key, prefix); ok {
@@ -182,7 +187,8 @@
 	return out
 }
 
-// Close records a flaw for each key that nothing has taken.
+// Close records a flaw for each unknown key, that is each key for which Take was
+// not called. Call it after reading all known keys.
 func (s *Section) Close() {
 	for _, p := range s.keys {
 		if !s.used[p.Key] {
@@ -191,7 +197,8 @@
 	}
 }
 
-// Optional takes key and parses it, or returns def when it is missing.
+// Optional returns the parsed value of key, or def if the key is missing or its
+// value is invalid. An invalid value is recorded as a flaw.
 func Optional[T any](s *Section, key string, def T, parse func(string) (T, error)) T {
 	text, ok := s.Take(key)
 	if !ok {
@@ -205,7 +212,8 @@
 	return v
 }
 
-// Required is Optional for a key that must be there.
+// Required is like Optional with the zero value as default, but records a flaw if
+// the key is missing.
 func Required[T any](s *Section, key string, parse func(string) (T, error)) T {
 	var zero T
 	if _, ok := s.Take(key); !ok {
--- a/core/process/inidoc/flaw.go
+++ b/core/process/inidoc/flaw.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Flaw is one fault of an INI text: where it stands and why it is one. Key
-// and Value are empty when the fault is of a whole section, and Section when
-// it is of the whole file.
+// Flaw is a fault in an INI text: its location and the reason. Key and Value are
+// empty if the fault concerns a whole section, and Section is empty if it concerns
+// the whole file.
 type Flaw struct {
 	File    string
 	Section string
@@ -36,19 +36,19 @@
 	return b.String()
 }
 
-// Flaws are all the faults of a text, in the order in which they were found.
+// Flaws lists the faults of a text in the order in which they were found.
 type Flaws []Flaw
 
 // Error returns one line for each flaw.
 func (f Flaws) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, one := range f {
-		lines = append(lines, one.Error())
+	for _, flaw := range f {
+		lines = append(lines, flaw.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the flaws as an error, nil when there are none.
+// Err returns f as an error, or nil if it is empty.
 func (f Flaws) Err() error {
 	if len(f) == 0 {
 		return nil
--- a/core/process/inidoc/value.go
+++ b/core/process/inidoc/value.go
@@ -11,53 +11,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// unit is a suffix of a number and what one of it is worth.
+// unit is the suffix of a number and the factor that it stands for.
 type unit struct {
-	name  string
-	worth int64
+	name   string
+	factor int64
 }
 
 const bitsPerByte = 8
 
-// Decimal and binary multiples of a byte. The longer suffix goes first.
+// Decimal and binary multiples of a byte. "B" comes last, as it is a suffix of the
+// others.
 var sizeUnits = []unit{
-	{name: "KiB", worth: 1 << 10},
-	{name: "MiB", worth: 1 << 20},
-	{name: "GiB", worth: 1 << 30},
-	{name: "TiB", worth: 1 << 40},
-	{name: "kB", worth: 1e3},
-	{name: "MB", worth: 1e6},
-	{name: "GB", worth: 1e9},
-	{name: "TB", worth: 1e12},
-	{name: "B", worth: 1},
+	{name: "KiB", factor: 1 << 10},
+	{name: "MiB", factor: 1 << 20},
+	{name: "GiB", factor: 1 << 30},
+	{name: "TiB", factor: 1 << 40},
+	{name: "kB", factor: 1e3},
+	{name: "MB", factor: 1e6},
+	{name: "GB", factor: 1e9},
+	{name: "TB", factor: 1e12},
+	{name: "B", factor: 1},
 }
 
-// Rates a second in bits, beside those of sizeUnits in bytes.
+// Units of rates in bits per second. Rates in bytes per second use sizeUnits. "bit"
+// comes last, as it is a suffix of the others.
 var bitUnits = []unit{
-	{name: "kbit", worth: 1e3},
-	{name: "Mbit", worth: 1e6},
-	{name: "Gbit", worth: 1e9},
-	{name: "bit", worth: 1},
+	{name: "kbit", factor: 1e3},
+	{name: "Mbit", factor: 1e6},
+	{name: "Gbit", factor: 1e9},
+	{name: "bit", factor: 1},
 }
 
-// Word accepts a name: letters, digits, dash, dot and underscore, at most
-// MaxWord of them.
-func Word(text string) (string, error) {
-	if text == "" || len(text) > MaxWord {
-		return "", errors.Newf("want 1 to %d characters", MaxWord)
+// Identifier parses a name: 1 to MaxIdentifierLength letters, digits, dashes, dots
+// and underscores.
+func Identifier(text string) (string, error) {
+	if text == "" || len(text) > MaxIdentifierLength {
+		return "", errors.Newf("want 1 to %d characters", MaxIdentifierLength)
 	}
 	for _, r := range text {
-		if !isWordRune(r) {
+		if !isIdentifierRune(r) {
 			return "", errors.New("want letters, digits, '-', '_' and '.' only")
 		}
 	}
 	return text, nil
 }
 
-// MaxWord is the most characters of a name.
-const MaxWord = 64
+// MaxIdentifierLength is the maximum number of characters in a name.
+const MaxIdentifierLength = 64
 
-func isWordRune(r rune) bool {
+func isIdentifierRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return true
@@ -65,8 +67,8 @@
 	return r == '-' || r == '_' || r == '.'
 }
 
-// Whole returns a parser of whole numbers from low to high.
-func Whole(low, high int) func(string) (int, error) {
+// IntBetween returns a parser of whole numbers from low to high.
+func IntBetween(low, high int) func(string) (int, error) {
 	return func(text string) (int, error) {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < low || n > high {
@@ -76,8 +78,8 @@
 	}
 }
 
-// Span returns a parser of durations from low to high, such as 250ms or 30s.
-func Span(low, high time.Duration) func(string) (time.Duration, error) {
+// DurationBetween returns a parser of durations from low to high, such as 250ms or 30s.
+func DurationBetween(low, high time.Duration) func(string) (time.Duration, error) {
 	return func(text string) (time.Duration, error) {
 		d, err := time.ParseDuration(text)
 		if err != nil {
@@ -90,28 +92,29 @@
 	}
 }
 
-// Size parses a number of bytes with a unit, such as 64KiB or 10MB.
+// Size parses a size with a unit, such as 64KiB or 10MB, and returns bytes.
 func Size(text string) (int64, error) {
-	n, ok := scaled(text, sizeUnits)
+	n, ok := parseScaled(text, sizeUnits)
 	if !ok {
 		return 0, errors.New("want a size with a unit, such as 64KiB, 10MiB or 5MB")
 	}
 	return n, nil
 }
 
-// Rate parses a number of bytes or bits a second with a unit, such as 10MiB
-// or 25Mbit, and returns bytes a second.
+// Rate parses a rate per second in bytes or bits with a unit, such as 10MiB or
+// 25Mbit, and returns bytes per second.
 func Rate(text string) (int64, error) {
-	if n, ok := scaled(text, bitUnits); ok {
+	if n, ok := parseScaled(text, bitUnits); ok {
 		return n / bitsPerByte, nil
 	}
-	if n, ok := scaled(text, sizeUnits); ok {
+	if n, ok := parseScaled(text, sizeUnits); ok {
 		return n, nil
 	}
 	return 0, errors.New("want a rate a second with a unit, such as 25Mbit or 10MiB")
 }
 
-// Bounded narrows a parser of sizes or rates to the range from low to high.
+// Bounded returns a parser that accepts what parse accepts if the result is from
+// low to high.
 func Bounded(parse func(string) (int64, error), low, high int64) func(string) (int64, error) {
 	return func(text string) (int64, error) {
 		n, err := parse(text)
@@ -125,7 +128,7 @@
 	}
 }
 
-// OneOf returns a parser that accepts the given strings only.
+// OneOf returns a parser that accepts only the given strings.
 func OneOf[T ~string](allowed ...T) func(string) (T, error) {
 	return func(text string) (T, error) {
 		if slices.Contains(allowed, T(text)) {
@@ -148,7 +151,8 @@
 	return a, nil
 }
 
-// AddrPorts parses AddrPort items parted by commas; an empty text has none.
+// AddrPorts parses a comma-separated list of IP addresses with ports. An empty text
+// is an empty list.
 func AddrPorts(text string) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
 	for _, part := range List(text) {
@@ -161,7 +165,7 @@
 	return out, nil
 }
 
-// List splits a text at its commas and trims the parts; empty parts go.
+// List splits a comma-separated list and trims its items. Empty items are dropped.
 func List(text string) []string {
 	var out []string
 	for part := range strings.SplitSeq(text, ",") {
@@ -172,17 +176,17 @@
 	return out
 }
 
-func scaled(text string, units []unit) (int64, bool) {
+func parseScaled(text string, units []unit) (int64, bool) {
 	for _, u := range units {
 		digits, ok := strings.CutSuffix(text, u.name)
 		if !ok {
 			continue
 		}
 		n, err := strconv.ParseFloat(strings.TrimSpace(digits), 64)
-		if err != nil || n < 0 || math.IsNaN(n) || n*float64(u.worth) >= math.MaxInt64 {
+		if err != nil || n < 0 || math.IsNaN(n) || n*float64(u.factor) >= math.MaxInt64 {
 			return 0, false
 		}
-		return int64(n * float64(u.worth)), true
+		return int64(n * float64(u.factor)), true
 	}
 	return 0, false
 }
--- a/core/process/opt/opt.go
+++ b/core/process/opt/opt.go
@@ -133,7 +133,7 @@
 		parse = inidoc.OneOf(inidoc.List(f.OneOf)...)
 	}
 	if f.Unit == unitName {
-		parse = inidoc.Word
+		parse = inidoc.Identifier
 	}
 	s, err := parse(text)
 	if err != nil {
@@ -151,7 +151,7 @@
 	if n, err := strconv.Atoi(f.Max); err == nil {
 		high = n
 	}
-	return inidoc.Whole(low, high)
+	return inidoc.IntBetween(low, high)
 }
 
 func (f Field) setBytes(p *int64, text string) error {
@@ -177,7 +177,7 @@
 	if d, err := time.ParseDuration(f.Max); err == nil {
 		high = d
 	}
-	return assign(p, text, inidoc.Span(low, high))
+	return assign(p, text, inidoc.DurationBetween(low, high))
 }
 
 // Bounds of the options that declare none.
