--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -1,10 +1,11 @@
-// Package drift measures slow decline. A sudden fault shows in any graph; an
-// answer that comes one part in a hundred later each day, or a table that
-// grows by a few entries an hour, shows in none of them until it fails.
+// Package drift detects slow degradation of a process. A sudden fault is visible in
+// any graph, but responses that get 1 % slower each day, or a table that grows by a
+// few entries an hour, go unnoticed until something fails.
 //
-// Each measure is summed up over windows of time. A finished window is
-// compared with those before it on more than one scale, so that a decline is
-// seen whether it takes an hour or a week.
+// The samples of each measure are aggregated over windows of time. The last finished
+// window is compared with the ones before it, for more than one window length, so
+// that a degradation is detected whether it takes an hour or a week. Package
+// io/process/gauge feeds a Tracker and exports its results.
 package drift
 
 import (
@@ -15,68 +16,69 @@
 	"hawthornferry/core/process/aged"
 )
 
-// Kind says how the samples of a measure are summed up over a window.
+// Kind says how the samples of a measure are aggregated over a window.
 type Kind string
 
 // The kinds of measure.
 const (
-	// KindLatency takes durations; a window's value is their 95th percentile
+	// KindLatency is for durations. The value of a window is their 95th percentile
 	// in milliseconds.
 	KindLatency Kind = "latency"
-	// KindCount takes increments; a window's value is their sum.
+	// KindCount is for increments. The value of a window is their sum.
 	KindCount Kind = "count"
-	// KindSize takes the size of something; a window's value is the largest.
+	// KindSize is for the size of something. The value of a window is the maximum.
 	KindSize Kind = "size"
 )
 
-// Defaults of a Tracker's settings.
+// Defaults of a Tracker's fields.
 const (
-	DefaultSeries = 256
-	DefaultAge    = 14 * 24 * time.Hour
-	DefaultFactor = 1.5
-	DefaultTrend  = 1.2
+	DefaultMaxSeries = 256
+	DefaultMaxAge    = 14 * 24 * time.Hour
+	DefaultMaxFactor = 1.5
+	DefaultMaxTrend  = 1.2
 )
 
-// Scale is a length of window and how many finished ones are kept.
+// Scale is a window length and the number of finished windows to keep.
 type Scale struct {
 	Window time.Duration
 	Keep   int
 }
 
-// DefaultScales show a decline within an hour and one within a week.
+// DefaultScales returns scales that detect a degradation within an hour and within
+// a week.
 func DefaultScales() []Scale {
 	return []Scale{{Window: 5 * time.Minute, Keep: 12}, {Window: 6 * time.Hour, Keep: 28}}
 }
 
-// Tracker holds the windows of a process's measures. Set the exported fields
-// before the first call; zero values stand for the defaults. It is not safe
-// for concurrent use.
+// Tracker aggregates the measures of a process. Set the exported fields before the
+// first call; zero values stand for the defaults. It is not safe for concurrent
+// use.
 type Tracker struct {
 	Scales []Scale
-	// Series bounds the measures; Age is how long one without samples is
-	// remembered.
-	Series int
-	Age    time.Duration
-	// Factor is how many times its usual value a window may reach, and Trend
-	// how high the trend may be, before a measure counts as declined. The
-	// trend is over many windows, so it may be held tighter.
-	Factor float64
-	Trend  float64
+	// MaxSeries limits the number of measures. A measure without samples for
+	// MaxAge is forgotten.
+	MaxSeries int
+	MaxAge    time.Duration
+	// A measure counts as declined if its last window is above MaxFactor times
+	// its usual value, or its trend is above MaxTrend. MaxTrend can be the lower
+	// of the two, because the trend averages many windows.
+	MaxFactor float64
+	MaxTrend  float64
 
 	series aged.Table[Name, *series]
 	ready  bool
 }
 
-// Name names a measure.
+// Name identifies a measure.
 type Name struct {
 	Kind Kind
 	Name string
 }
 
-// Line is how one measure stands on one scale. Value is the last finished
-// window's, Usual the median of those before it, Trend the newest quarter of
-// the windows over the oldest quarter, 1 for no change. Declined is set when
-// Value or Trend is above what the tracker allows.
+// Line is the result for one measure on one scale. Value is the value of the last
+// finished window, Usual the median of the windows before it, and Trend the average
+// of the newest quarter of the windows divided by that of the oldest quarter, so 1
+// means no change. Declined is set if Value or Trend is above the tracker's limit.
 type Line struct {
 	Name     Name
 	Window   time.Duration
@@ -87,31 +89,31 @@
 	Declined bool
 }
 
-// Latency adds a duration.
+// Latency adds a sample to a measure of KindLatency.
 func (t *Tracker) Latency(now time.Time, name string, d time.Duration) {
-	t.of(now, Name{KindLatency, name}).add(now, float64(d)/float64(time.Millisecond))
+	t.seriesFor(now, Name{KindLatency, name}).add(now, float64(d)/float64(time.Millisecond))
 }
 
-// Count adds n to a count.
+// Count adds n to a measure of KindCount.
 func (t *Tracker) Count(now time.Time, name string, n int) {
-	t.of(now, Name{KindCount, name}).add(now, float64(n))
+	t.seriesFor(now, Name{KindCount, name}).add(now, float64(n))
 }
 
-// Size notes a size.
+// Size adds a sample to a measure of KindSize.
 func (t *Tracker) Size(now time.Time, name string, n int) {
-	t.of(now, Name{KindSize, name}).add(now, float64(n))
+	t.seriesFor(now, Name{KindSize, name}).add(now, float64(n))
 }
 
-// Lines returns a line for each measure and scale that has a finished window
-// with one before it, sorted by name.
+// Lines returns a line for each measure and scale with at least two finished
+// windows, sorted by kind, name and window length.
 func (t *Tracker) Lines(now time.Time) []Line {
 	t.prepare()
 	t.series.Expire(now)
 	var out []Line
 	for name, s := range t.series.All(now) {
-		for _, w := range s.scales {
-			w.roll(now)
-			if l, ok := w.line(name, t.Factor, t.Trend); ok {
+		for _, w := range s.histories {
+			w.closeEnded(now)
+			if l, ok := w.line(name, t.MaxFactor, t.MaxTrend); ok {
 				out = append(out, l)
 			}
 		}
@@ -131,7 +133,7 @@
 	)
 }
 
-func (t *Tracker) of(now time.Time, n Name) *series {
+func (t *Tracker) seriesFor(now time.Time, n Name) *series {
 	t.prepare()
 	s, ok := t.series.Get(now, n)
 	if !ok {
@@ -149,8 +151,8 @@
 	if len(t.Scales) == 0 {
 		t.Scales = DefaultScales()
 	}
-	t.series.Max = cmp.Or(t.Series, DefaultSeries)
-	t.series.Age = cmp.Or(t.Age, DefaultAge)
-	t.Factor = cmp.Or(t.Factor, DefaultFactor)
-	t.Trend = cmp.Or(t.Trend, DefaultTrend)
+	t.series.Max = cmp.Or(t.MaxSeries, DefaultMaxSeries)
+	t.series.Age = cmp.Or(t.MaxAge, DefaultMaxAge)
+	t.MaxFactor = cmp.Or(t.MaxFactor, DefaultMaxFactor)
+	t.MaxTrend = cmp.Or(t.MaxTrend, DefaultMaxTrend)
 }
--- a/core/process/drift/drift_test.go
+++ b/core/process/drift/drift_test.go
@@ -9,13 +9,13 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// feed gives one sample a minute for a week; value is its value at a time
-// since the start.
-func feed(add func(*Tracker, time.Time, float64), value func(time.Duration) float64) []Line {
+// recordWeek records one sample a minute for a week and returns the results. value
+// gives the sample at a time since the start.
+func recordWeek(record func(*Tracker, time.Time, float64), value func(time.Duration) float64) []Line {
 	t := &Tracker{}
 	const week = 7 * 24 * time.Hour
 	for d := time.Duration(0); d <= week; d += time.Minute {
-		add(t, start.Add(d), value(d))
+		record(t, start.Add(d), value(d))
 	}
 	return t.Lines(start.Add(week))
 }
@@ -28,10 +28,10 @@
 
 func count(t *Tracker, now time.Time, v float64) { t.Count(now, "repeats", int(v)) }
 
-// An operator must be told of a decline that no single window shows: five
-// parts in a hundred a day in one case, a few entries an hour in another. A
-// measure that goes up and down by day must not be reported.
-func TestDeclineIsSeen(t *testing.T) {
+// A degradation that no single window shows must be reported: 5 % a day in one
+// case, a few entries an hour in another. A measure that rises and falls with the
+// time of day must not be reported.
+func TestDeclineIsDetected(t *testing.T) {
 	days := func(d time.Duration) float64 { return d.Hours() / 24 }
 	tests := []struct {
 		name  string
@@ -64,7 +64,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var got []bool
-			for _, l := range feed(tt.add, tt.value) {
+			for _, l := range recordWeek(tt.add, tt.value) {
 				got = append(got, l.Declined)
 			}
 			if diff := cmp.Diff(tt.want, got); diff != "" {
@@ -74,9 +74,9 @@
 	}
 }
 
-// A process that was paused for hours has windows without samples. They are
-// no windows at all: taken as zero they would make the next one look slow.
-func TestPauseIsNoWindow(t *testing.T) {
+// A process that was paused for hours has windows without samples. They must be
+// left out: counted as zero they would make the next window look slow.
+func TestPauseAddsNoWindows(t *testing.T) {
 	tr := &Tracker{Scales: []Scale{{Window: time.Minute, Keep: 10}}}
 	now := start
 	for range 20 {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Measures of services that come and go must not pile up.
+// Measures of services that no longer exist must not accumulate.
 func TestSeriesAreBounded(t *testing.T) {
-	tr := &Tracker{Series: 16}
+	tr := &Tracker{MaxSeries: 16}
 	now := start
 	for i := range 1000 {
 		now = now.Add(time.Minute)
--- a/core/process/drift/window.go
+++ b/core/process/drift/window.go
@@ -7,56 +7,58 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of a latency window in its unit, which is a thousandth of a
-// millisecond.
+// Settings of the latency histograms. They count in microseconds, that is
+// latencyUnitsPerMS to a millisecond; longer latencies than maxLatency count as
+// maxLatency.
 const (
-	latencyUnit   = 1000
-	latencyMax    = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits = 2
-	percentile    = 95
+	latencyUnitsPerMS        = 1000
+	maxLatency               = int64(10 * time.Minute / time.Microsecond)
+	latencySignificantDigits = 2
+	latencyPercentile        = 95
 )
 
-// trendParts is the part of the kept windows, one in trendParts, that is
-// taken from each end for the trend.
+// trendParts says how many windows the trend compares: one in trendParts of the kept
+// windows at each end.
 const trendParts = 4
 
-// series is one measure on all scales.
+// series is one measure with its windows on all scales.
 type series struct {
-	scales []*windows
+	histories []*windowHistory
 }
 
 func newSeries(k Kind, scales []Scale, now time.Time) *series {
 	s := &series{}
 	for _, sc := range scales {
-		s.scales = append(s.scales, &windows{scale: sc, begun: now, current: newSum(k)})
+		s.histories = append(s.histories, &windowHistory{scale: sc, start: now, current: newAccumulator(k)})
 	}
 	return s
 }
 
 func (s *series) add(now time.Time, v float64) {
-	for _, w := range s.scales {
-		w.roll(now)
+	for _, w := range s.histories {
+		w.closeEnded(now)
 		w.current.add(v)
 	}
 }
 
-// windows are the finished windows of one scale, the oldest first, and the
-// current one.
-type windows struct {
+// windowHistory holds the values of the finished windows of one scale, oldest first,
+// and the current window.
+type windowHistory struct {
 	scale    Scale
-	begun    time.Time
-	current  sum
+	start    time.Time
+	current  accumulator
 	finished []float64
 }
 
-// roll finishes windows that have ended. A window without samples, as a
-// process that was paused leaves it, is left out: it is no sign of health.
-func (w *windows) roll(now time.Time) {
-	passed := now.Sub(w.begun) / w.scale.Window
+// closeEnded finishes the current window if it has ended. A window without samples,
+// such as one during which the process was paused, is left out, since it says
+// nothing about the measure.
+func (w *windowHistory) closeEnded(now time.Time) {
+	passed := now.Sub(w.start) / w.scale.Window
 	if passed <= 0 {
 		return
 	}
-	w.begun = w.begun.Add(passed * w.scale.Window)
+	w.start = w.start.Add(passed * w.scale.Window)
 	v, ok := w.current.finish()
 	if !ok {
 		return
@@ -67,27 +69,28 @@
 	}
 }
 
-func (w *windows) line(n Name, factor, trend float64) (Line, bool) {
+func (w *windowHistory) line(n Name, factor, trend float64) (Line, bool) {
 	last := len(w.finished) - 1
 	if last < 1 {
 		return Line{}, false
 	}
 	l := Line{Name: n, Window: w.scale.Window, Windows: len(w.finished), Value: w.finished[last]}
 	l.Usual = median(w.finished[:last])
-	oldest, newest := w.ends()
+	oldest, newest := w.trendEnds()
 	l.Trend = ratio(newest, oldest)
-	l.Declined = rose(l.Value, l.Usual, factor) || rose(newest, oldest, trend)
+	l.Declined = hasRisen(l.Value, l.Usual, factor) || hasRisen(newest, oldest, trend)
 	return l, true
 }
 
-// leastRise is the rise, in a measure's own unit, below which nothing counts
-// as declined: a table that holds one entry where it held none is not twice
-// as large in any sense that matters.
-const leastRise = 2
+// minRise is the smallest rise, in the unit of the measure, that counts as a decline.
+// Without it, a table that grows from no entry to one would be reported, since any
+// value exceeds a multiple of 0.
+const minRise = 2
 
-func rose(v, from, factor float64) bool { return v > factor*from && v-from >= leastRise }
+func hasRisen(v, from, factor float64) bool { return v > factor*from && v-from >= minRise }
 
-// ratio is v over from, and 1 where there is nothing to compare.
+// ratio returns v divided by from. If from is 0, it returns 1 + v, so that the result
+// is 1 if both are 0 and above 1 otherwise.
 func ratio(v, from float64) float64 {
 	if from == 0 {
 		return 1 + v
@@ -95,10 +98,10 @@
 	return v / from
 }
 
-// ends returns the averages of the oldest and of the newest quarter of what is
-// kept. Compared, they show a rise too small to show from one window to the
-// next.
-func (w *windows) ends() (oldest, newest float64) {
+// trendEnds returns the averages of the oldest and of the newest quarter of the kept
+// windows, or zeros if there are too few windows. Comparing them reveals a rise that
+// is too small to notice from one window to the next.
+func (w *windowHistory) trendEnds() (oldest, newest float64) {
 	n := len(w.finished) / trendParts
 	if n == 0 {
 		return 0, 0
@@ -106,8 +109,9 @@
 	return average(w.finished[:n]), average(w.finished[len(w.finished)-n:])
 }
 
-// average is used for the ends of the trend, since the median of a few
-// windows that hold more nights than days would take a day for a decline.
+// average is used for the trend instead of the median. Each end has only a few
+// windows; if one has more windows of the night and the other more of the day, their
+// medians would differ by the daily variation and it would be taken for a decline.
 func average(vs []float64) float64 {
 	sum := 0.0
 	for _, v := range vs {
@@ -121,66 +125,68 @@
 	return sorted[len(sorted)/2]
 }
 
-// sum is the current window of a measure.
-type sum interface {
+// accumulator aggregates the samples of the current window of a measure.
+type accumulator interface {
 	add(v float64)
-	// finish returns the window's value, if it has one, and begins anew.
+	// finish returns the value of the window, if it has one, and resets the
+	// accumulator for the next window.
 	finish() (float64, bool)
 }
 
-func newSum(k Kind) sum {
+func newAccumulator(k Kind) accumulator {
 	switch k {
 	case KindLatency:
-		return &latencies{h: hdrhistogram.New(1, latencyMax, latencyDigits)}
+		return &percentileAccumulator{h: hdrhistogram.New(1, maxLatency, latencySignificantDigits)}
 	case KindCount:
-		return &total{}
+		return &sumAccumulator{}
 	default:
-		return &largest{}
+		return &maxAccumulator{}
 	}
 }
 
-type latencies struct {
+type percentileAccumulator struct {
 	h *hdrhistogram.Histogram
 }
 
-func (l *latencies) add(v float64) {
-	_ = l.h.RecordValue(min(int64(v*latencyUnit), latencyMax))
+func (l *percentileAccumulator) add(v float64) {
+	_ = l.h.RecordValue(min(int64(v*latencyUnitsPerMS), maxLatency))
 }
 
-func (l *latencies) finish() (float64, bool) {
+func (l *percentileAccumulator) finish() (float64, bool) {
 	if l.h.TotalCount() == 0 {
 		return 0, false
 	}
-	v := float64(l.h.ValueAtQuantile(percentile)) / latencyUnit
+	v := float64(l.h.ValueAtQuantile(latencyPercentile)) / latencyUnitsPerMS
 	l.h.Reset()
 	return v, true
 }
 
-// total counts; no increment in a window is a count of zero.
-type total struct {
+// sumAccumulator adds up increments. A window without increments has the value 0,
+// unlike with the other accumulators, where it has none.
+type sumAccumulator struct {
 	n float64
 }
 
-func (t *total) add(v float64) { t.n += v }
+func (t *sumAccumulator) add(v float64) { t.n += v }
 
-func (t *total) finish() (float64, bool) {
+func (t *sumAccumulator) finish() (float64, bool) {
 	n := t.n
 	t.n = 0
 	return n, true
 }
 
-type largest struct {
-	v    float64
-	some bool
+type maxAccumulator struct {
+	v         float64
+	hasSample bool
 }
 
-func (l *largest) add(v float64) {
+func (l *maxAccumulator) add(v float64) {
 	l.v = max(l.v, v)
-	l.some = true
+	l.hasSample = true
 }
 
-func (l *largest) finish() (float64, bool) {
-	v, ok := l.v, l.some
-	*l = largest{}
+func (l *maxAccumulator) finish() (float64, bool) {
+	v, ok := l.v, l.hasSample
+	*l = maxAccumulator{}
 	return v, ok
 }
