--- a/core/process/explor/explor.go
+++ b/core/process/explor/explor.go
@@ -1,10 +1,11 @@
-// Package explor explores every state that a small model of a protocol can
-// reach, breadth first, and checks each. A model runs the protocol's own code
-// on a few processes and messages; its moves are all that may happen next:
-// steps of the protocol, crashes, losses, repetitions, and time.
+// Package explor is an explicit-state model checker. Tests use it to check every
+// state that a small model of a protocol can reach. A model runs the code of the
+// protocol itself with a few processes and messages. Its moves are all events that
+// may happen next: steps of the protocol, crashes, lost and repeated messages, and
+// the passing of time.
 //
-// Breadth first gives the shortest way to a state that breaks a rule, which
-// is the one that is easiest to read.
+// The search is breadth first, so the trace to a state that violates the model's
+// check is the shortest one, which is the easiest to read.
 package explor
 
 import (
@@ -12,28 +13,33 @@
 	"strings"
 )
 
-// Move is one thing that may happen, and the state that it leads to.
+// Move is an event that may happen in a state, and the state that follows.
 type Move[S any] struct {
 	Name string
 	Next S
 }
 
-// Model is what is explored. States are never changed once they are made.
+// Model is the model to explore. Its functions must not modify a state that they
+// are given or have returned.
 type Model[S any] struct {
 	Initial S
-	// Moves returns all that may happen in a state.
+	// Moves returns all events that may happen in a state.
 	Moves func(S) []Move[S]
-	// Key names a state; states with equal keys behave alike.
+	// Key identifies a state. Of several states with the same key only the first
+	// one found is explored, so they must behave alike.
 	Key func(S) string
-	// Check returns the rule that a state breaks, or nil.
+	// Check returns an error if a state violates a property of the protocol.
 	Check func(S) error
-	// Max bounds the states that are held.
+	// Max limits the number of states. The exploration ends incomplete when it
+	// would find more.
 	Max int
 }
 
-// Result is what an exploration found. Whole is set when every reachable
-// state was checked and none broke a rule. Err and Trace are the broken rule
-// and the moves that lead to it.
+// Result is the result of an exploration. States and Moves are the numbers of
+// states found and of moves tried, and Depth is the number of moves from the initial
+// state to the last state expanded. Whole is set if every reachable state was
+// checked without an error. Err is the error of the check and Trace the moves from
+// the initial state to the state that it is about.
 type Result struct {
 	States int
 	Moves  int
@@ -43,28 +49,29 @@
 	Trace  []string
 }
 
-// String tells the result in a line, and the moves to a broken rule in one
-// line each.
+// String returns a summary in one line, followed by one line for each move of the
+// trace.
 func (r Result) String() string {
 	if r.Err != nil {
-		return fmt.Sprintf("%v after %d moves (%d states seen):\n  %s",
+		return fmt.Sprintf("%v after %d moves (%d states found):\n  %s",
 			r.Err, len(r.Trace), r.States, strings.Join(r.Trace, "\n  "))
 	}
 	if !r.Whole {
-		return fmt.Sprintf("not whole: stopped at %d states", r.States)
+		return fmt.Sprintf("incomplete: stopped at %d states", r.States)
 	}
-	return fmt.Sprintf("%d states, %d moves, depth %d, no rule broken", r.States, r.Moves, r.Depth)
+	return fmt.Sprintf("%d states, %d moves, depth %d, no violation", r.States, r.Moves, r.Depth)
 }
 
-// node is a state's place in the search.
+// node is the position of a state in the search tree: the index of the state before
+// it, the move between them, and the number of moves from the initial state.
 type node struct {
 	parent int
 	move   string
 	depth  int
 }
 
-// Explore checks every state of m, or stops at the first that breaks a rule
-// or when m.Max states are held.
+// Explore checks every reachable state of m. It stops at the first error of m.Check,
+// or when there are more than m.Max states.
 func Explore[S any](m Model[S]) Result {
 	var r Result
 	seen := map[string]bool{m.Key(m.Initial): true}
@@ -73,25 +80,25 @@
 	if err := m.Check(m.Initial); err != nil {
 		return Result{States: 1, Err: err}
 	}
-	for at := 0; at < len(nodes); at++ {
-		s := states[at]
-		var none S
-		states[at] = none
-		r.Depth = nodes[at].depth
-		for _, mv := range m.Moves(s) {
+	for i := 0; i < len(nodes); i++ {
+		s := states[i]
+		var zero S
+		states[i] = zero
+		r.Depth = nodes[i].depth
+		for _, move := range m.Moves(s) {
 			r.Moves++
-			k := m.Key(mv.Next)
-			if seen[k] {
+			key := m.Key(move.Next)
+			if seen[key] {
 				continue
 			}
 			if len(nodes) >= m.Max {
 				r.States = len(nodes)
 				return r
 			}
-			seen[k] = true
-			nodes = append(nodes, node{parent: at, move: mv.Name, depth: nodes[at].depth + 1})
-			states = append(states, mv.Next)
-			if err := m.Check(mv.Next); err != nil {
+			seen[key] = true
+			nodes = append(nodes, node{parent: i, move: move.Name, depth: nodes[i].depth + 1})
+			states = append(states, move.Next)
+			if err := m.Check(move.Next); err != nil {
 				r.States = len(nodes)
 				r.Err = err
 				r.Trace = trace(nodes)
@@ -104,11 +111,11 @@
 	return r
 }
 
-// trace returns the moves that lead to the last node.
+// trace returns the moves from the initial state to the last node.
 func trace(nodes []node) []string {
 	var names []string
-	for at := len(nodes) - 1; nodes[at].parent >= 0; at = nodes[at].parent {
-		names = append([]string{nodes[at].move}, names...)
+	for i := len(nodes) - 1; nodes[i].parent >= 0; i = nodes[i].parent {
+		names = append([]string{nodes[i].move}, names...)
 	}
 	return names
 }
--- a/core/process/explor/explor_test.go
+++ b/core/process/explor/explor_test.go
@@ -8,8 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// counter counts up by one or two, modulo ten.
-func counter(broken int) Model[int] {
+// counterModel is a counter that counts up by one or two, modulo ten. Its check
+// fails at the value broken.
+func counterModel(broken int) Model[int] {
 	return Model[int]{
 		Moves: func(n int) []Move[int] {
 			return []Move[int]{{Name: "one", Next: (n + 1) % 10}, {Name: "two", Next: (n + 2) % 10}}
@@ -25,28 +26,28 @@
 	}
 }
 
-func TestExploreSeesEveryState(t *testing.T) {
+func TestExploreChecksEveryState(t *testing.T) {
 	want := Result{States: 10, Moves: 20, Depth: 5, Whole: true}
-	if diff := cmp.Diff(want, Explore(counter(-1))); diff != "" {
+	if diff := cmp.Diff(want, Explore(counterModel(-1))); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
 	}
 }
 
-func TestExploreFindsTheShortestWay(t *testing.T) {
-	got := Explore(counter(5))
+func TestExploreFindsTheShortestTrace(t *testing.T) {
+	got := Explore(counterModel(5))
 	if got.Err == nil {
-		t.Fatalf("no rule broken: %v", got)
+		t.Fatalf("no violation found: %v", got)
 	}
 	if diff := cmp.Diff([]string{"one", "two", "two"}, got.Trace); diff != "" {
 		t.Errorf("trace (-want +got):\n%s", diff)
 	}
 }
 
-// A model too large for the bound must not pass as checked.
-func TestExploreIsNotWholeAtTheBound(t *testing.T) {
-	m := counter(-1)
+// A model with more states than the limit must not be reported as checked.
+func TestExploreIsIncompleteAtTheStateLimit(t *testing.T) {
+	m := counterModel(-1)
 	m.Max = 4
 	if got := Explore(m); got.Whole {
-		t.Errorf("result is whole at the bound: %v", got)
+		t.Errorf("result is complete at the state limit: %v", got)
 	}
 }
