--- a/core/process/aged/table.go
+++ b/core/process/aged/table.go
@@ -1,6 +1,7 @@
-// Package aged holds a table that is bounded in entries and in age. Whatever
-// is learnt from other processes is kept in one: entries of targets, keys and
-// customers that no longer exist would otherwise pile up over weeks.
+// Package aged implements a map that limits the number and the age of its entries.
+// Packages such as core/request/route and core/request/admit use it for what they
+// learn from and about other processes. In a plain map, entries for targets, keys and
+// customers that no longer exist would accumulate over weeks.
 package aged
 
 import (
@@ -8,25 +9,27 @@
 	"time"
 )
 
-// Table maps keys to values. Set the exported fields before the first use. It
-// is not safe for concurrent use.
+// Table maps keys to values. Set the exported fields before the first use. It is
+// not safe for concurrent use.
 type Table[K comparable, V any] struct {
-	// Max is the most entries; the least recently put one gives way.
+	// Max is the maximum number of entries. When a new one would exceed it, the
+	// entry whose last Put is the longest ago is removed.
 	Max int
-	// Age is how long an entry lives after it was last put.
+	// Age is how long an entry is kept after its last Put.
 	Age time.Duration
 
 	items map[K]*list.Element
+	// order has the items, those put last at the front.
 	order list.List
 }
 
 type item[K comparable, V any] struct {
 	key   K
 	value V
-	put   time.Time
+	putAt time.Time
 }
 
-// Get returns the value of key, if there is one that is not too old at now.
+// Get returns the value of key, if there is one that has not expired at now.
 func (t *Table[K, V]) Get(now time.Time, key K) (V, bool) {
 	var zero V
 	e, ok := t.items[key]
@@ -34,13 +37,14 @@
 		return zero, false
 	}
 	it := e.Value.(*item[K, V])
-	if t.old(now, it) {
+	if t.expired(now, it) {
 		return zero, false
 	}
 	return it.value, true
 }
 
-// Put sets the value of key and drops what is too old or over the bound.
+// Put sets the value of key. If the key is new, Put then removes entries as Expire
+// does.
 func (t *Table[K, V]) Put(now time.Time, key K, value V) {
 	if t.items == nil {
 		t.items = make(map[K]*list.Element)
@@ -48,44 +52,44 @@
 	if e, ok := t.items[key]; ok {
 		it := e.Value.(*item[K, V])
 		it.value = value
-		it.put = now
+		it.putAt = now
 		t.order.MoveToFront(e)
 		return
 	}
-	t.items[key] = t.order.PushFront(&item[K, V]{key: key, value: value, put: now})
+	t.items[key] = t.order.PushFront(&item[K, V]{key: key, value: value, putAt: now})
 	t.Expire(now)
 }
 
-// Delete drops key.
+// Delete removes key.
 func (t *Table[K, V]) Delete(key K) {
 	if e, ok := t.items[key]; ok {
-		t.drop(e)
+		t.remove(e)
 	}
 }
 
-// Expire drops what is too old at now or over the bound.
+// Expire removes the entries that have expired at now or exceed Max.
 func (t *Table[K, V]) Expire(now time.Time) {
 	for e := t.order.Back(); e != nil; e = t.order.Back() {
-		if len(t.items) <= t.Max && !t.old(now, e.Value.(*item[K, V])) {
+		if len(t.items) <= t.Max && !t.expired(now, e.Value.(*item[K, V])) {
 			return
 		}
-		t.drop(e)
+		t.remove(e)
 	}
 }
 
-// Len returns the number of entries, the too old ones included that no Put
-// or Expire has dropped yet.
+// Len returns the number of entries, including expired ones that have not been
+// removed yet.
 func (t *Table[K, V]) Len() int { return len(t.items) }
 
-// All calls yield for each entry that is not too old at now, the latest put
-// first.
+// All iterates over the entries that have not expired at now, the one put last
+// first. The current entry may be deleted during the iteration.
 func (t *Table[K, V]) All(now time.Time) func(yield func(K, V) bool) {
 	return func(yield func(K, V) bool) {
 		var next *list.Element
 		for e := t.order.Front(); e != nil; e = next {
 			next = e.Next()
 			it := e.Value.(*item[K, V])
-			if t.old(now, it) {
+			if t.expired(now, it) {
 				return
 			}
 			if !yield(it.key, it.value) {
@@ -95,11 +99,11 @@
 	}
 }
 
-func (t *Table[K, V]) old(now time.Time, it *item[K, V]) bool {
-	return now.Sub(it.put) > t.Age
+func (t *Table[K, V]) expired(now time.Time, it *item[K, V]) bool {
+	return now.Sub(it.putAt) > t.Age
 }
 
-func (t *Table[K, V]) drop(e *list.Element) {
+func (t *Table[K, V]) remove(e *list.Element) {
 	delete(t.items, e.Value.(*item[K, V]).key)
 	t.order.Remove(e)
 }
