--- a/core/process/fault/fault.go
+++ b/core/process/fault/fault.go
@@ -1,4 +1,6 @@
-// Package fault gives errors the step and the peer at which they arose.
+// Package fault wraps errors with the operation that failed and the process, address
+// or file that it involved. The packages that do I/O use it, so that their messages
+// have the same form.
 package fault
 
 import (
@@ -7,15 +9,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is an error met while Step was done with Peer. Peer is a process
-// name or an address, and empty when the step involves no other process.
+// Error is the error of an operation. Step describes the operation, such as "read
+// answer". Peer is what it involved: a process name, an address or a file name. Peer
+// is empty if there is nothing to name.
 type Error struct {
 	Step string
 	Peer string
 	Err  error
 }
 
-// Error returns "step (peer): cause".
+// Error returns the error as "step (peer): cause", or as "step: cause" without a
+// peer.
 func (e *Error) Error() string {
 	if e.Peer == "" {
 		return fmt.Sprintf("%s: %v", e.Step, e.Err)
@@ -26,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// At wraps err with the step and the peer. It returns nil for a nil err.
+// At wraps err with a step and a peer. It returns nil if err is nil.
 func At(step, peer string, err error) error {
 	if err == nil {
 		return nil
@@ -34,7 +38,7 @@
 	return &Error{Step: step, Peer: peer, Err: err}
 }
 
-// Newf makes an error of the step and the peer from a format.
+// Newf returns an Error whose cause has the formatted message.
 func Newf(step, peer, format string, args ...any) error {
 	return &Error{Step: step, Peer: peer, Err: errors.Newf(format, args...)}
 }
