--- a/core/process/opt/opt.go
+++ b/core/process/opt/opt.go
@@ -1,18 +1,20 @@
-// Package opt reads options that are declared as tags of struct fields. The
-// settings of a process and the flags of a command are both declared so, and
-// each has one declaration that its parser, its help and its tests share.
+// Package opt reads options that are declared by the tags of struct fields. The
+// settings of a process (io/process/conf) and the flags of a command
+// (io/process/cmds) are declared in this way, so that the parser, the help and the
+// tests of an option share one declaration.
 //
 // The tags of a field:
 //
-//	key      name of the option
+//	key      name of the option; fields without it are no options
 //	help     one line of help
-//	default  text of the value when it is not given
-//	need     "true" when it must be given
-//	unit     "rate" or "size" for an int64; other types have their own
-//	min, max bounds, in the text form of the value
-//	oneof    the allowed strings, parted by commas
-//	role     the only role for which the option is read
-//	arg      place among the arguments, from 1, for one that is no flag
+//	default  text of the value if it is not given
+//	need     "true" if it must be given
+//	unit     "rate" or "size" (the default) for an int64, "name" for a string that
+//	         must be a name; other types have a fixed unit
+//	min, max limits, in the text form of the value
+//	oneof    the allowed strings, separated by commas
+//	role     the only role of a process for which the option is read
+//	arg      position among the arguments, from 1, if it is an argument and not a flag
 package opt
 
 import (
@@ -27,7 +29,8 @@
 	"hawthornferry/core/process/inidoc"
 )
 
-// Field is one declared option of a struct.
+// Field is an option declared by a struct field. Its fields are the tags that the
+// package comment describes.
 type Field struct {
 	Key     string
 	Help    string
@@ -38,13 +41,14 @@
 	OneOf   string
 	Role    string
 	Need    bool
-	// Arg is the place among the arguments, 0 for a flag.
+	// Arg is the position among the arguments, or 0 for a flag.
 	Arg int
 
 	value reflect.Value
 }
 
-// Fields lists the options of the struct that ptr points to.
+// Fields returns the options of the struct that ptr points to. Setting one sets the
+// field of that struct.
 func Fields(ptr any) []Field {
 	v := reflect.ValueOf(ptr).Elem()
 	var out []Field
@@ -78,7 +82,8 @@
 	return f
 }
 
-// Describe returns the help line with unit, default and bounds.
+// Describe returns the help text followed by the unit or the allowed strings, the
+// limits and the default.
 func (f Field) Describe() string {
 	var parts []string
 	switch {
@@ -99,27 +104,29 @@
 	return f.Help + " (" + strings.Join(parts, "; ") + ")"
 }
 
-// IsBool reports whether the option is a switch without a value.
+// IsBool reports whether the option is a bool, which is a flag without a value on
+// the command line.
 func (f Field) IsBool() bool { return f.value.Kind() == reflect.Bool }
 
-// Bool returns where the value of a switch is kept.
+// Bool returns a pointer to the value of a bool option. It panics for other types.
 func (f Field) Bool() *bool { return f.value.Addr().Interface().(*bool) }
 
-// Set parses text into the field; the error says what was wanted.
+// Set parses text and assigns the value to the field. The error says which values
+// are accepted.
 func (f Field) Set(text string) error {
 	switch p := f.value.Addr().Interface().(type) {
 	case *int:
-		return assign(p, text, f.whole())
+		return parseInto(p, text, f.intParser())
 	case *int64:
-		return f.setBytes(p, text)
+		return f.setByteCount(p, text)
 	case *time.Duration:
-		return f.setSpan(p, text)
+		return f.setDuration(p, text)
 	case *netip.AddrPort:
-		return assign(p, text, inidoc.AddrPort)
+		return parseInto(p, text, inidoc.AddrPort)
 	case *[]netip.AddrPort:
-		return assign(p, text, inidoc.AddrPorts)
+		return parseInto(p, text, inidoc.AddrPorts)
 	case *bool:
-		return assign(p, text, parseBool)
+		return parseInto(p, text, parseBool)
 	}
 	if f.value.Kind() == reflect.String {
 		return f.setString(text)
@@ -143,8 +150,8 @@
 	return nil
 }
 
-func (f Field) whole() func(string) (int, error) {
-	low, high := 0, maxWhole
+func (f Field) intParser() func(string) (int, error) {
+	low, high := 0, maxInt
 	if n, err := strconv.Atoi(f.Min); err == nil {
 		low = n
 	}
@@ -154,7 +161,7 @@
 	return inidoc.IntBetween(low, high)
 }
 
-func (f Field) setBytes(p *int64, text string) error {
+func (f Field) setByteCount(p *int64, text string) error {
 	parse := inidoc.Size
 	if f.Unit == unitRate {
 		parse = inidoc.Rate
@@ -166,46 +173,46 @@
 	if n, err := parse(f.Max); err == nil {
 		high = n
 	}
-	return assign(p, text, inidoc.Bounded(parse, low, high))
+	return parseInto(p, text, inidoc.Bounded(parse, low, high))
 }
 
-func (f Field) setSpan(p *time.Duration, text string) error {
-	low, high := time.Duration(0), maxSpan
+func (f Field) setDuration(p *time.Duration, text string) error {
+	low, high := time.Duration(0), maxDuration
 	if d, err := time.ParseDuration(f.Min); err == nil {
 		low = d
 	}
 	if d, err := time.ParseDuration(f.Max); err == nil {
 		high = d
 	}
-	return assign(p, text, inidoc.DurationBetween(low, high))
+	return parseInto(p, text, inidoc.DurationBetween(low, high))
 }
 
-// Bounds of the options that declare none.
+// Limits of the options that declare none. The lower limit is 0.
 const (
-	maxWhole = 1 << 30
-	maxBytes = 1 << 50
-	maxSpan  = 24 * time.Hour
+	maxInt      = 1 << 30
+	maxBytes    = 1 << 50
+	maxDuration = 24 * time.Hour
 )
 
-// Units of the options, as they are shown in help.
+// Units of the options, as shown in the help.
 const (
-	unitName  = "name"
-	unitRate  = "rate"
-	unitSize  = "size"
-	unitSpan  = "duration"
-	unitWhole = "number"
-	unitAddr  = "ip:port"
-	unitText  = "text"
+	unitName     = "name"
+	unitRate     = "rate"
+	unitSize     = "size"
+	unitDuration = "duration"
+	unitNumber   = "number"
+	unitAddr     = "ip:port"
+	unitText     = "text"
 )
 
 func unitOf(v reflect.Value) string {
 	switch v.Interface().(type) {
 	case int:
-		return unitWhole
+		return unitNumber
 	case int64:
 		return unitSize
 	case time.Duration:
-		return unitSpan
+		return unitDuration
 	case netip.AddrPort, []netip.AddrPort:
 		return unitAddr
 	}
@@ -222,7 +229,7 @@
 	return false, errors.New("want yes or no")
 }
 
-func assign[T any](p *T, text string, parse func(string) (T, error)) error {
+func parseInto[T any](p *T, text string, parse func(string) (T, error)) error {
 	v, err := parse(text)
 	if err != nil {
 		return err
