--- a/core/process/retry/retry_test.go
+++ b/core/process/retry/retry_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestBackoffGrowsToItsBound(t *testing.T) {
+func TestBackoffGrowsUpToMax(t *testing.T) {
 	b := Backoff{Base: 100 * time.Millisecond, Max: time.Second}
 	var got []time.Duration
 	for range 6 {
