--- a/core/conn/lease/lease.go
+++ b/core/conn/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease says how long what one process last heard of another may be
-// relied on. A side reads only its own clock and an entry only its own; the
-// two are never compared.
+// Package lease decides whether the last message from another process is recent
+// enough to rely on. Entries and sides use it: for calls (core/request/calls,
+// io/request/gate) and for the connections that carry them (io/conn/sessn). Each
+// process reads only its own clock; the clocks of two processes are never compared.
 package lease
 
 import (
@@ -9,43 +10,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reading is a side's own clock: the time since its boot. Heartbeats carry
-// it and each call echoes the latest one that the entry has seen.
+// Reading is a reading of a side's clock. The side sends one with each heartbeat, and
+// the entry includes the latest one that it has received in each call. Tickets contain
+// the reading at which they were issued.
 type Reading struct {
-	Boot string        `msgpack:"boot"`
-	At   time.Duration `msgpack:"at"`
+	// Boot identifies one run of the side.
+	Boot string `msgpack:"boot"`
+	// At is the time since the start of that run.
+	At time.Duration `msgpack:"at"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (r Reading) Check() error {
 	if r.Boot == "" {
 		return errors.New("reading: boot is empty")
 	}
 	if r.At < 0 {
-		return errors.Newf("reading: %s is before the boot", r.At)
+		return errors.Newf("reading: time since the boot is %s, want 0 or more", r.At)
 	}
 	return nil
 }
 
-// Standing is what a side concludes from an echoed reading.
-type Standing string
+// Freshness is how a reading in a call compares with the side's clock.
+type Freshness string
 
-// The conclusions.
+// The results of Judge. OtherBoot is for a reading from another run of the side.
 const (
-	Fresh     Standing = "fresh"
-	Stale     Standing = "stale"
-	OtherBoot Standing = "otherBoot"
+	Fresh     Freshness = "fresh"
+	Stale     Freshness = "stale"
+	OtherBoot Freshness = "otherBoot"
 )
 
-// Judge tells whether a call that echoes a reading may start at a side whose
-// clock reads now. A reading that is over maxAge old, or from the future, is
-// stale.
+// Judge compares the reading echo of a call with now, the current reading of the
+// side that received the call. Only a call with a fresh reading may start. A reading
+// older than maxAge, or from the future, is stale.
 //
-// Without it a call that sat in a silent connection or in a paused entry
-// would start long after its caller was told to look elsewhere. The side
-// alone issues readings and alone measures their age, so neither clock drift
+// Without this check, a call that was delayed in an unresponsive connection or a
+// paused entry could start long after its caller was told to try elsewhere. Readings
+// are issued and their age is measured by the side alone, so that neither clock drift
 // nor a pause of the entry can make an old call look new.
-func Judge(now, echo Reading, maxAge time.Duration) Standing {
+func Judge(now, echo Reading, maxAge time.Duration) Freshness {
 	if echo.Boot != now.Boot {
 		return OtherBoot
 	}
@@ -56,20 +60,22 @@
 	return Fresh
 }
 
-// Silence tells when an open connection has been quiet for too long.
+// Silence detects when an open connection has received nothing for too long.
 //
-// A connection that something between the two ends has lost track of gives no
-// error: its calls would wait until their deadlines. Heartbeats make a
-// healthy connection speak at a known rate, so quiet for several of them
-// means that the connection must be replaced.
+// If a device between the two ends has lost the state of a connection, neither end
+// gets an error, and calls would wait until their deadlines. A healthy connection
+// receives heartbeats at a known rate, so if several of them are missing, the
+// connection must be replaced.
 type Silence struct {
-	After time.Duration
-	last  time.Time
+	// After is the time without a message after which the connection counts as
+	// silent.
+	After     time.Duration
+	lastHeard time.Time
 }
 
-// Heard notes that a message came in at now.
-func (s *Silence) Heard(now time.Time) { s.last = now }
+// Heard records that a message was received at now.
+func (s *Silence) Heard(now time.Time) { s.lastHeard = now }
 
-// Silent reports whether nothing has come in for After. A connection that
-// has never spoken counts from the first Heard.
-func (s *Silence) Silent(now time.Time) bool { return now.Sub(s.last) > s.After }
+// Silent reports whether nothing was received for longer than After. Call Heard when
+// the connection is opened; without it, every connection counts as silent.
+func (s *Silence) Silent(now time.Time) bool { return now.Sub(s.lastHeard) > s.After }
