--- a/io/process/hosted/entry.go
+++ b/io/process/hosted/entry.go
@@ -13,18 +13,19 @@
 	"hawthornferry/io/request/direct"
 )
 
-// The parts of the operator's bounds that an entry uses.
+// The fractions of the operator's bounds that an entry uses.
 const (
-	// keyShare is the part of the bound on revoked keys for which a belief
-	// vouches for them. The rest is for a watch that hears late of a change
-	// and for requests on their way.
+	// keyShare is the part of the bound on revoked keys for which the process's copy of
+	// the keys is trusted. The rest covers a watch that learns late of a change, and
+	// requests in flight.
 	keyShare = 0.8
-	// tableShare is the part of the bound on configurations for which a
-	// belief vouches that a route or a key does not exist.
+	// tableShare is the part of the bound on configurations for which the process's copy
+	// is trusted when it lacks a route or a key.
 	tableShare = 0.9
 )
 
-// Entry is an entry process. Set the exported fields before Run.
+// Entry is the process that accepts callers' requests and forwards each to a target. Set
+// the exported fields before Run.
 type Entry struct {
 	Settings Settings
 	Platform Platform
@@ -32,9 +33,9 @@
 	Log      io.Writer
 }
 
-// Run runs the entry until ctx ends and it has drained.
+// Run runs the entry until ctx ends and requests in flight have finished.
 func (e *Entry) Run(ctx context.Context) error {
-	f, err := newFrame(e.Settings, e.Platform, e.Log)
+	p, err := newProcess(e.Settings, e.Platform, e.Log)
 	if err != nil {
 		return err
 	}
@@ -42,44 +43,44 @@
 	if err != nil {
 		return err
 	}
-	b := e.Settings.Bounds
+	bounds := e.Settings.Bounds
 	server := &direct.Server{
-		Net: callers, Clock: f.clock, Log: f.log, Metrics: f.metrics, Source: f.feed, Dialect: e.Dialect,
+		Net: callers, Clock: p.clock, Log: p.log, Metrics: p.metrics, Source: p.feed, Dialect: e.Dialect,
 		Placer: &place.Placer{
 			Name: e.Settings.VM.Name, Zone: e.Settings.VM.Zone, Regions: e.Settings.Regions,
 			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		},
 		Rules: direct.Rules{
-			TableAge: scaled(b.Apply, tableShare),
-			Grace:    b.Grace,
-			Version:  b.Version,
-			Retry:    spend.Budget{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow},
+			TableAge: scaleDuration(bounds.Apply, tableShare),
+			Grace:    bounds.Grace,
+			Version:  bounds.Version,
+			Retry:    spend.Budget{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
 		},
 	}
-	if b.StrictKeys {
-		server.Rules.KeyAge = scaled(b.Revoke, keyShare)
+	if bounds.StrictKeys {
+		server.Rules.KeyAge = scaleDuration(bounds.Revoke, keyShare)
 	}
-	server.Suspects = f.alerts
-	alerts := &alert.Caller{Self: f.self, Clock: f.clock, Log: f.log, Registry: f.alerts}
-	listing := &alert.Listing{Clock: f.clock, Registry: f.alerts, Source: f.feed}
-	loads := &pulse.Listener{Self: f.self, Clock: f.clock, Log: f.log}
-	listener := &audience{entry: e.Settings.VM, sidePort: e.Settings.SidePort, listen: loads.Want, report: server.Report}
-	loads.Heard = listener.take
-	f.parts = append(
-		f.parts,
-		part{"callers", server.Run},
-		part{"load reports", loads.Run},
-		part{"alerts", alerts.Run},
-		part{"listed targets", listing.Run},
-		part{"hubs of alerts", func(ctx context.Context) error { return f.followHubs(ctx, alerts.Want) }},
-		part{"sides to hear", func(ctx context.Context) error { return listener.follow(ctx, f.feed) }},
+	server.Suspects = p.alerts
+	alerts := &alert.Caller{Self: p.self, Clock: p.clock, Log: p.log, Registry: p.alerts}
+	listing := &alert.Listing{Clock: p.clock, Registry: p.alerts, Source: p.feed}
+	loadListener := &pulse.Listener{Self: p.self, Clock: p.clock, Log: p.log}
+	reports := &loadReports{entry: e.Settings.VM, sidePort: e.Settings.SidePort, setSides: loadListener.Want, report: server.Report}
+	loadListener.Heard = reports.receive
+	p.components = append(
+		p.components,
+		component{"callers", server.Run},
+		component{"load reports", loadListener.Run},
+		component{"alerts", alerts.Run},
+		component{"target list", listing.Run},
+		component{"alert hubs", func(ctx context.Context) error { return p.updateHubs(ctx, alerts.Want) }},
+		component{"sides to listen to", func(ctx context.Context) error { return reports.watchTargets(ctx, p.feed) }},
 	)
-	f.ready, f.drain, f.served, f.ends = server.Ready, server.Drain, server.Served, server.Ends
+	p.ready, p.drain, p.served, p.ends = server.Ready, server.Drain, server.Served, server.Ends
 	peers, api, err := e.listeners()
 	if err != nil {
 		return err
 	}
-	return f.run(ctx, peers, api)
+	return p.run(ctx, peers, api)
 }
 
 func (e *Entry) listeners() (peers, api []net.Listener, err error) {
--- a/io/process/hosted/gauges.go
+++ b/io/process/hosted/gauges.go
@@ -10,29 +10,30 @@
 	"hawthornferry/core/request/place"
 )
 
-// gaugeEvery is how often what is believed is measured.
-const gaugeEvery = time.Second
+// gaugeInterval is how often the gauges are updated.
+const gaugeInterval = time.Second
 
-// gauges keeps the metrics of what the process believes.
-func (f *frame) gauges(ctx context.Context) error {
-	scope := f.metrics.SubScope("belief")
+// runGauges publishes metrics of this process's copy of the platform's state until ctx
+// ends.
+func (p *process) runGauges(ctx context.Context) error {
+	scope := p.metrics.SubScope("belief")
 	served := servedGauges{scope: scope}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.clock.After(gaugeEvery):
+		case <-p.clock.After(gaugeInterval):
 		}
-		f.measure(scope)
-		served.update(f.served())
+		p.updateGauges(scope)
+		served.update(p.served())
 	}
 }
 
-func (f *frame) measure(scope tally.Scope) {
-	if age, known := f.feed.Age(); known {
+func (p *process) updateGauges(scope tally.Scope) {
+	if age, known := p.feed.Age(); known {
 		scope.Gauge("age_seconds").Update(age.Seconds())
 	}
-	known := f.feed.Current()
+	known := p.feed.Current()
 	scope.Gauge("revision").Update(float64(known.Revision))
 	if known.Table != nil {
 		scope.Gauge("configuration_version").Update(float64(known.Table.Version))
@@ -42,45 +43,46 @@
 			scope.Tagged(map[string]string{"service": c.Service, "state": state}).Gauge("targets").Update(float64(n))
 		}
 	}
-	for _, v := range newestVersions(known) {
-		model := scope.Tagged(map[string]string{"model": v.Model})
-		model.Gauge("named_version").Update(float64(v.Version))
-		model.Gauge("named_version_age_seconds").Update(f.clock.Since(v.Since).Seconds())
+	for _, version := range newestVersions(known) {
+		model := scope.Tagged(map[string]string{"model": version.Model})
+		model.Gauge("named_version").Update(float64(version.Version))
+		model.Gauge("named_version_age_seconds").Update(p.clock.Since(version.Since).Seconds())
 	}
 }
 
-// servedGauges shows the version that each target serves. Targets go by their
-// address here: each start of one has an id of its own, and as the library
-// can't take a gauge back, those of ids would become more with each release.
+// servedGauges publishes the version that each target serves, labelled by the target's
+// address. The ID of a target changes at each start, and since tally can't remove a
+// gauge, gauges labelled by ID would pile up with each release.
 type servedGauges struct {
-	scope tally.Scope
-	shown map[servedKey]tally.Gauge
+	scope  tally.Scope
+	gauges map[servedKey]tally.Gauge
 }
 
-// servedKey names a target.
+// servedKey identifies a target by its service and address.
 type servedKey struct {
 	service string
 	address netip.AddrPort
 }
 
-// update shows what is served now. An address without a target serves nothing.
+// update publishes the served versions. A known address that no longer has a target
+// gets 0.
 func (g *servedGauges) update(served []place.Served) {
 	now := make(map[servedKey]uint64, len(served))
 	for _, s := range served {
-		k := servedKey{s.Service, s.Address}
-		now[k] = s.Version
-		if _, ok := g.shown[k]; !ok {
-			g.show(k)
+		key := servedKey{s.Service, s.Address}
+		now[key] = s.Version
+		if _, ok := g.gauges[key]; !ok {
+			g.create(key)
 		}
 	}
-	for k, gauge := range g.shown {
-		gauge.Update(float64(now[k]))
+	for key, gauge := range g.gauges {
+		gauge.Update(float64(now[key]))
 	}
 }
 
-func (g *servedGauges) show(k servedKey) {
-	if g.shown == nil {
-		g.shown = map[servedKey]tally.Gauge{}
+func (g *servedGauges) create(key servedKey) {
+	if g.gauges == nil {
+		g.gauges = map[servedKey]tally.Gauge{}
 	}
-	g.shown[k] = g.scope.Tagged(map[string]string{"service": k.service, "address": k.address.String()}).Gauge("served_version")
+	g.gauges[key] = g.scope.Tagged(map[string]string{"service": key.service, "address": key.address.String()}).Gauge("served_version")
 }
--- a/io/process/hosted/hubs.go
+++ b/io/process/hosted/hubs.go
@@ -10,41 +10,43 @@
 )
 
 const (
-	// sideHubs is how many sides are hubs of alerts beside the seeds, all of which may
-	// be gone at once.
-	sideHubs = 2
-	// hubsEvery is how often the hubs are chosen anew: the seeds change by themselves.
-	hubsEvery = time.Second
-	hubsKey   = "alerts"
+	// sideHubCount is how many sides are alert hubs in addition to the seeds, which may
+	// all be down at the same time.
+	sideHubCount = 2
+	// hubsInterval is how often the hubs are recomputed without a change of the
+	// platform's state: the seeds change with the settings.
+	hubsInterval = time.Second
+	hubsRankKey  = "alerts"
 )
 
-// followHubs hands on which processes are the hubs of alerts.
-func (f *frame) followHubs(ctx context.Context, want func([]netip.AddrPort)) error {
+// updateHubs calls setHubs with the current alert hubs at each change of the platform's
+// state and every hubsInterval, until ctx ends.
+func (p *process) updateHubs(ctx context.Context, setHubs func([]netip.AddrPort)) error {
 	for {
-		changed := f.feed.Changed()
-		want(f.hubs())
+		changed := p.feed.Changed()
+		setHubs(p.hubs())
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-		case <-f.clock.After(hubsEvery):
+		case <-p.clock.After(hubsInterval):
 		}
 	}
 }
 
-// hubs are the processes that pass alerts on: the seeds, which all know, and the sides
-// that all entries rank first.
-func (f *frame) hubs() []netip.AddrPort {
+// hubs returns the processes that relay alerts between entries: the seeds, which every
+// entry knows from its settings, and the sides that every entry ranks first.
+func (p *process) hubs() []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, p := range f.seeds() {
-		out = append(out, p.Address)
+	for _, seed := range p.seeds() {
+		out = append(out, seed.Address)
 	}
-	return append(out, firstSides(f.sides(), sideHubs)...)
+	return append(out, topRankedSides(p.sides(), sideHubCount)...)
 }
 
-// firstSides returns the first few of the sides, which all processes rank alike. Two
-// targets may be listed at one address.
-func firstSides(sides []netip.AddrPort, n int) []netip.AddrPort {
-	ranked := slices.Compact(rank.Order(hubsKey, sides, netip.AddrPort.String))
+// topRankedSides returns the n highest-ranked distinct sides, or all if there are fewer.
+// Every process ranks them alike. Two targets may be listed at the same address.
+func topRankedSides(sides []netip.AddrPort, n int) []netip.AddrPort {
+	ranked := slices.Compact(rank.Order(hubsRankKey, sides, netip.AddrPort.String))
 	return ranked[:min(n, len(ranked))]
 }
--- /dev/null
+++ b/io/process/hosted/process.go
@@ -0,0 +1,289 @@
+package hosted
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"net/netip"
+	"os"
+	"runtime/debug"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/google/uuid"
+	"github.com/jonboulle/clockwork"
+	"github.com/sirupsen/logrus"
+	"github.com/uber-go/tally/v4"
+	"golang.org/x/sync/errgroup"
+
+	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/process/trail"
+	"hawthornferry/core/request/place"
+	"hawthornferry/io/conn/link"
+	"hawthornferry/io/process/admin"
+	"hawthornferry/io/process/alert"
+	"hawthornferry/io/process/awake"
+	"hawthornferry/io/process/feed"
+	"hawthornferry/io/process/trace"
+	"hawthornferry/io/request/direct"
+)
+
+// Platform is the access of a process to the platform that it runs on.
+type Platform struct {
+	Store  feed.Store
+	Reader feed.Reader
+	// Settings rereads the settings; nil if they cannot change while the process runs.
+	Settings func() (Settings, error)
+}
+
+// Sizes and times that apply to every process.
+const (
+	// logBufferLines is how many lines are buffered for a slow log output. A burst of
+	// one second writes about 200.
+	logBufferLines = 2048
+	// logLinesPerSecond limits the lines of one kind per second, and
+	// routineLinesPerSecond those of requests that succeed: four times and twice the 60
+	// requests per second that an entry gets at the load of a busy day. The limit for
+	// refusals has to be higher, since refused callers retry.
+	logLinesPerSecond     = 240
+	routineLinesPerSecond = 120
+	// gcPercent makes the garbage collector run when the heap has grown by this many
+	// percent. Memory is charged by its peak, and the live heap is only a few megabytes,
+	// so that frequent collections cost little.
+	gcPercent = 60
+	// memoryLimitShare is the part of the memory limit above which the garbage
+	// collector works harder.
+	memoryLimitShare = 0.8
+)
+
+// component is a part of a process that runs until its context ends.
+type component struct {
+	name string
+	run  func(ctx context.Context) error
+}
+
+// process is what an entry and a side have in common: the feed of the platform's
+// state, logs, metrics, alerts and the servers for peers and administration. Entry
+// and Side add their own components and callbacks before run.
+type process struct {
+	settings Settings
+	self     *link.Self
+	clock    clockwork.Clock
+	logger   *logrus.Logger
+	log      trail.Log
+	metrics  tally.Scope
+	feed     *feed.Feed
+	watch    *awake.Watch
+	alerts   *alert.Registry
+
+	sink           *trace.Sink
+	metricsCloser  io.Closer
+	metricsHandler http.Handler
+	handlers       map[link.Purpose]link.Handler
+	components     []component
+	started        time.Time
+	// readSettings rereads the settings; nil if they cannot change. latest are the
+	// settings that were read last; mu guards it.
+	readSettings func() (Settings, error)
+	mu           sync.Mutex
+	latest       Settings
+	// ready returns why the process does not accept callers, nil if it does. drain
+	// stops new work and returns when requests in flight have finished; nil if there
+	// is nothing to drain.
+	ready func() error
+	drain func(ctx context.Context) error
+	// served returns the model version that each engine is believed to serve.
+	served func() []place.Served
+	// ends counts the attempts and answers that this process ended itself.
+	ends func() []trail.EndCount
+}
+
+func newProcess(s Settings, platform Platform, out io.Writer) (*process, error) {
+	debug.SetGCPercent(gcPercent)
+	if s.Memory > 0 {
+		debug.SetMemoryLimit(int64(float64(s.Memory) * memoryLimitShare))
+	}
+	p := &process{settings: s, latest: s, readSettings: platform.Settings, clock: clockwork.NewRealClock(), ready: func() error { return nil }, served: func() []place.Served { return nil }, ends: func() []trail.EndCount { return nil }}
+	p.started = p.clock.Now()
+	p.self = &link.Self{VM: s.VM, Boot: uuid.NewString()}
+	p.metrics, p.metricsHandler, p.metricsCloser = admin.NewMetrics()
+	p.sink = &trace.Sink{Out: out, Buffer: logBufferLines, Metrics: p.metrics}
+	logger, err := trace.NewLogger(p.sink, logrus.InfoLevel.String())
+	if err != nil {
+		return nil, err
+	}
+	p.logger = logger
+	p.log = &trace.Log{Process: s.Node, Clock: p.clock, Logger: logger, Routine: direct.Routine, Budget: &trace.Budget{PerSecond: logLinesPerSecond, RoutinePerSecond: routineLinesPerSecond, Metrics: p.metrics}}
+	p.watch = &awake.Watch{Clock: p.clock, Now: awake.Now, Log: p.log, Metrics: p.metrics}
+	wait, peerWait := entryWaits(s.Bounds)
+	if s.VM.Role == fleet.RoleSide {
+		wait, peerWait = sideStoreWait, sidePeerWait
+	}
+	p.feed = &feed.Feed{
+		Self: p.self, Clock: p.clock, Log: p.log, Metrics: p.metrics,
+		Store: platform.Store, Reader: platform.Reader, Awake: awake.Now, RanSince: p.watch.RanSince, Wait: wait,
+		Drain: s.Bounds.Drain, Peers: p.peers, Readers: p.seeds,
+	}
+	if !p.readsStore() {
+		p.feed.Tellers, p.feed.TellWait = p.seeds, peerWait
+		if s.VM.Role == fleet.RoleSide {
+			p.feed.StoreRest = sideStoreBackoff
+		}
+	}
+	p.alerts = &alert.Registry{Clock: p.clock, Log: p.log, Metrics: p.metrics}
+	p.handlers = map[link.Purpose]link.Handler{link.PurposeConfig: p.feed.Handler(), link.PurposeAlerts: p.alerts.Handler()}
+	return p, nil
+}
+
+// readsStore reports whether this process watches the store itself and passes changes
+// on to the others. All processes that the settings list as seeds do, and every process
+// if there are no seeds. The store's rate limit does not grow with the number of
+// processes, and each call has a cost.
+func (p *process) readsStore() bool {
+	return len(p.settings.Seeds) == 0 || slices.Contains(p.settings.Seeds, p.settings.Control)
+}
+
+// peers returns the processes that may know the state of the store: the seeds and the
+// sides of all engines.
+func (p *process) peers() []feed.Peer {
+	out := p.seeds()
+	for _, a := range p.sides() {
+		if a != p.settings.VM.Address {
+			out = append(out, feed.Peer{Address: a})
+		}
+	}
+	return out
+}
+
+// seeds returns the entries that the settings list as seeds, without this process.
+func (p *process) seeds() []feed.Peer {
+	var out []feed.Peer
+	for _, a := range p.current().Seeds {
+		if a != p.settings.Control {
+			out = append(out, feed.Peer{Address: a})
+		}
+	}
+	return out
+}
+
+// sides returns the addresses of the sides of all engines.
+func (p *process) sides() []netip.AddrPort {
+	var out []netip.AddrPort
+	snapshot := p.feed.Current()
+	if snapshot.Table == nil {
+		return nil
+	}
+	for _, t := range snapshot.Targets {
+		if s, ok := snapshot.Table.ServiceByName(t.Service); ok && s.Engine != nil {
+			out = append(out, netip.AddrPortFrom(t.Address.Addr(), p.settings.SidePort))
+		}
+	}
+	return out
+}
+
+// listen opens a TCP listener. The error says what it is for and on which address.
+func listen(what string, addr netip.AddrPort) (net.Listener, error) {
+	l, err := net.Listen("tcp", addr.String())
+	return l, fault.At("listen for "+what, addr.String(), err)
+}
+
+// run runs the components until ctx ends, then drains within the grace period. It
+// flushes the log last.
+func (p *process) run(ctx context.Context, peers []net.Listener, api []net.Listener) error {
+	sinkCtx, stopSink := context.WithCancel(context.Background())
+	var sink errgroup.Group
+	sink.Go(func() error { return p.sink.Run(sinkCtx) })
+	p.logger.WithFields(logrus.Fields{
+		"vm": p.settings.Node, "address": p.settings.VM.Name, "role": p.settings.VM.Role, "zone": p.settings.VM.Zone,
+		"boot": p.self.Boot, "pid": os.Getpid(),
+	}).Info("started")
+	err := p.runComponents(ctx, peers, api)
+	p.logger.WithField("vm", p.settings.Node).WithField("reason", stopReason(err)).Info("stopped")
+	stopSink()
+	return errors.CombineErrors(err, errors.CombineErrors(p.flushLog(&sink), p.metricsCloser.Close()))
+}
+
+// flushTimeout limits the wait for the last log lines. Without it, a log output that
+// nobody reads would block a drained process until it is killed.
+const flushTimeout = killReserve / 2
+
+// flushLog waits until the last log lines are written, flushTimeout at most.
+func (p *process) flushLog(sink *errgroup.Group) error {
+	done := make(chan error, 1)
+	go func() { done <- sink.Wait() }()
+	select {
+	case err := <-done:
+		return err
+	case <-p.clock.After(flushTimeout):
+		return nil
+	}
+}
+
+func stopReason(err error) string {
+	if err == nil {
+		return "asked to stop"
+	}
+	return err.Error()
+}
+
+func (p *process) runComponents(ctx context.Context, peers, api []net.Listener) error {
+	runCtx, stop := context.WithCancel(context.Background())
+	defer stop()
+	g, runCtx := errgroup.WithContext(runCtx)
+	components := append([]component{{"store feed", p.feed.Run}, {"settings", p.watchSettings}, {"gauges", p.runGauges}, {"state log", p.logState}, {"standstills", p.watch.Run}}, p.components...)
+	for _, nl := range peers {
+		l := &link.Listener{Self: p.self, Net: nl, Handlers: p.handlers, Rejected: p.rejected}
+		components = append(components, component{"peers", l.Run})
+	}
+	for _, nl := range api {
+		server := &admin.Server{Listener: nl, Status: p.status, Ready: p.ready, Metrics: p.metricsHandler}
+		components = append(components, component{"administration", server.Run})
+	}
+	for _, c := range components {
+		g.Go(func() error { return fault.At("run "+c.name, "", c.run(runCtx)) })
+	}
+	select {
+	case <-runCtx.Done():
+		return g.Wait()
+	case <-ctx.Done():
+	}
+	p.logger.WithField("vm", p.settings.Node).Info("draining")
+	err := p.drainWithin()
+	stop()
+	return errors.CombineErrors(err, g.Wait())
+}
+
+// killReserve is how long before the platform kills the process it stops draining, to
+// exit by itself.
+const killReserve = 200 * time.Millisecond
+
+func (p *process) drainWithin() error {
+	if p.drain == nil {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Grace-killReserve)
+	defer cancel()
+	return fault.At("drain within the grace period", "", p.drain(ctx))
+}
+
+func (p *process) rejected(err error) {
+	p.metrics.Counter("peers_rejected_total").Inc(1)
+	p.logger.WithError(err).Debug("peer rejected")
+}
+
+func (p *process) status() admin.Status {
+	vm := p.settings.VM
+	s := admin.Status{Process: admin.Process{
+		Name: vm.Name, Role: vm.Role, Zone: vm.Zone, Region: vm.Region,
+		Boot: p.self.Boot, Started: p.started, Ready: true,
+	}}
+	if err := p.ready(); err != nil {
+		s.Process.Ready, s.Process.Reason = false, err.Error()
+	}
+	s.Config = admin.Config{Revision: p.self.Revision.Load(), VMs: len(p.feed.Current().Targets)}
+	return s
+}
--- a/io/process/hosted/reload.go
+++ b/io/process/hosted/reload.go
@@ -11,56 +11,56 @@
 	"github.com/sirupsen/logrus"
 )
 
-// reloadEvery is how often the settings are read without being asked to: they
-// may change without a signal. Seeds are of use for minutes after.
-const reloadEvery = 2 * time.Second
+// reloadInterval is how often the settings are reread without a SIGHUP, since they may
+// change without one. Seeds stay useful for minutes after the settings changed.
+const reloadInterval = 2 * time.Second
 
-// followSettings takes changed settings over, at a SIGHUP and by itself. The
-// seeds are in force at once; what the listeners and the bounds were made from
-// is in force after the next start.
-func (f *frame) followSettings(ctx context.Context) error {
+// watchSettings rereads the settings at a SIGHUP and every reloadInterval until ctx
+// ends. New seeds take effect at once; settings that listeners and bounds were created
+// from take effect at the next start.
+func (p *process) watchSettings(ctx context.Context) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
 	for {
-		asked := false
+		requested := false
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-hup:
-			asked = true
-		case <-f.clock.After(reloadEvery):
+			requested = true
+		case <-p.clock.After(reloadInterval):
 		}
-		f.reload(asked)
+		p.reload(requested)
 	}
 }
 
-func (f *frame) reload(asked bool) {
-	if f.read == nil {
+func (p *process) reload(requested bool) {
+	if p.readSettings == nil {
 		return
 	}
-	next, err := f.read()
+	next, err := p.readSettings()
 	if err != nil {
-		// The last good settings stay in force.
-		f.logger.WithField("error", err.Error()).Warn("settings rejected")
+		// The last valid settings stay in effect.
+		p.logger.WithField("error", err.Error()).Warn("settings rejected")
 		return
 	}
-	f.mu.Lock()
-	old := f.latest
-	f.latest = next
-	f.mu.Unlock()
+	p.mu.Lock()
+	old := p.latest
+	p.latest = next
+	p.mu.Unlock()
 	changed := !reflect.DeepEqual(old, next)
-	if !asked && !changed {
+	if !requested && !changed {
 		return
 	}
-	f.logger.WithFields(logrus.Fields{
-		"asked": asked, "changed": changed, "seedsChanged": !reflect.DeepEqual(old.Seeds, next.Seeds),
+	p.logger.WithFields(logrus.Fields{
+		"asked": requested, "changed": changed, "seedsChanged": !reflect.DeepEqual(old.Seeds, next.Seeds),
 	}).Info("settings reloaded")
 }
 
 // current returns the settings that were read last.
-func (f *frame) current() Settings {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.latest
+func (p *process) current() Settings {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.latest
 }
--- /dev/null
+++ b/io/process/hosted/reports.go
@@ -0,0 +1,118 @@
+package hosted
+
+import (
+	"context"
+	"net/netip"
+	"sync"
+
+	"hawthornferry/core/process/facts"
+	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/request/place"
+	"hawthornferry/io/process/feed"
+	"hawthornferry/io/process/pulse"
+)
+
+// loadReports connects an entry to the sides of the engines in its subset of the
+// targets, and passes their load reports to the placement of requests.
+type loadReports struct {
+	entry    fleet.VM
+	sidePort uint16
+	// setSides sets the sides to which to keep connections, and report passes on the load
+	// report of one target.
+	setSides func(sides []netip.AddrPort)
+	report   func(target string, r place.Report)
+
+	mu     sync.Mutex
+	vms    map[netip.Addr]sideVM
+	census place.Census
+}
+
+// sideVM is a VM with a side to whose load reports this entry listens.
+type sideVM struct {
+	targets []string
+	// zoneTargets is the number of targets of the same service in the VM's zone, and
+	// zones the number of zones that have such targets.
+	zoneTargets int
+	zones       int
+}
+
+// watchTargets updates the sides to listen to at each change of the platform's state,
+// until ctx ends.
+func (r *loadReports) watchTargets(ctx context.Context, f *feed.Feed) error {
+	for {
+		changed := f.Changed()
+		if known := f.Current(); known.Table != nil {
+			r.selectSides(known)
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-changed:
+		}
+	}
+}
+
+func (r *loadReports) selectSides(f *facts.Facts) {
+	vms := map[netip.Addr]sideVM{}
+	var sides []netip.AddrPort
+	for _, targets := range engineTargets(f) {
+		zoneTargets := map[string]int{}
+		for _, t := range targets {
+			zoneTargets[t.Zone]++
+		}
+		for i, kept := range place.Subset(r.entry.Name, r.entry.Zone, targets) {
+			if !kept {
+				continue
+			}
+			addr := targets[i].Address.Addr()
+			vm, known := vms[addr]
+			if !known {
+				sides = append(sides, netip.AddrPortFrom(addr, r.sidePort))
+			}
+			vm.zoneTargets, vm.zones = zoneTargets[targets[i].Zone], len(zoneTargets)
+			vm.targets = append(vm.targets, targets[i].ID)
+			vms[addr] = vm
+		}
+	}
+	r.setVMs(vms)
+	r.setSides(sides)
+}
+
+func (r *loadReports) setVMs(vms map[netip.Addr]sideVM) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for addr := range r.vms {
+		if _, kept := vms[addr]; !kept {
+			r.census.Forget(addr)
+		}
+	}
+	r.vms = vms
+}
+
+// engineTargets returns the targets of each service that has engines, by service name.
+func engineTargets(f *facts.Facts) map[string][]facts.Target {
+	out := map[string][]facts.Target{}
+	for _, t := range f.Targets {
+		if s, ok := f.Table.ServiceByName(t.Service); ok && s.Engine != nil {
+			out[t.Service] = append(out[t.Service], t)
+		}
+	}
+	return out
+}
+
+// receive passes on the load report that a side sends for the engine on its VM.
+func (r *loadReports) receive(side netip.AddrPort, l pulse.Load) {
+	r.mu.Lock()
+	vm, known := r.vms[side.Addr()]
+	if known {
+		r.census.Note(side.Addr(), l.Near, l.Far, vm.zoneTargets, vm.zones)
+	}
+	entries := r.census.Entries()
+	r.mu.Unlock()
+	for _, id := range vm.targets {
+		r.report(id, place.Report{
+			Alive: l.Alive, Active: l.Active, Queued: l.Queued, Pace: l.Pace, Serving: l.Serving, Busy: l.Loading,
+			Entries: l.Near + l.Far, Fleet: entries, Born: l.Born,
+		})
+	}
+}
--- a/io/process/hosted/rollout.go
+++ b/io/process/hosted/rollout.go
@@ -16,33 +16,34 @@
 	"hawthornferry/io/version/shelf"
 )
 
-// firstVersion is the version that engines hold before any is named.
+// firstVersion is the version that engines serve before any is announced.
 const firstVersion = 1
 
-// mostWanted is how many versions are fetched at a time: the newest, and the
-// one before it, which the origin still has.
-const mostWanted = 2
+// maxWantedVersions is how many versions are fetched at once: the newest, and the one
+// before it, which the origin still has.
+const maxWantedVersions = 2
 
-// leastLead is how much sooner than the newest version the one before it must
-// have been named to be fetched as well. Both share the links; named at nearly the
-// same time, or heard of together after an outage of the store, the older one is of
-// no use and doubles the time until the newest is whole. Bringing and loading a
-// version takes about seven of the eight seconds that it has, so that the newest
-// alone is in time for the older one's bound when it follows within a second.
-const leastLead = time.Second
+// minAnnounceGap is how long before the newest version the one before it must have been
+// announced to be fetched as well. Both share the links. If they were announced at nearly
+// the same time, or were learned of together after an outage of the store, the older one
+// is useless and doubles the time until the newest is complete. Fetching and loading a
+// version takes about seven of the eight seconds of its time limit, so that the newest
+// alone meets the older one's limit as well if it follows within a second.
+const minAnnounceGap = time.Second
 
-// olderCutoff is how long before the newest version's bound the one before it is
-// not wanted any more.
+// olderCutoff is how long before the newest version's time limit the one before it is
+// no longer wanted.
 const olderCutoff = 3 * time.Second
 
-// loadingPart is the part of a zone's replicas that may load at once. With
-// half, a version takes two rounds of about two seconds after its weights
-// have come, which the bound on versions leaves; with a third it takes three.
-const loadingPart = 2
+// loadingDivisor limits how many of a zone's replicas may load at the same time: the
+// replicas divided by it. With half of them, a version takes two rounds of about two
+// seconds after its weights have arrived, which fits in the time limit for versions; a
+// third takes three rounds.
+const loadingDivisor = 2
 
-// rollout is the view by which a side distributes and loads weights: the
-// platform's facts in the terms of an environment document.
-type rollout struct {
+// rolloutView holds the current view from which a side distributes and loads weights:
+// the platform's state in the form of an environment document.
+type rolloutView struct {
 	settings Settings
 
 	mu      sync.Mutex
@@ -50,23 +51,25 @@
 	changed chan struct{}
 }
 
-func newRollout(s Settings) *rollout { return &rollout{settings: s, changed: make(chan struct{})} }
+func newRolloutView(s Settings) *rolloutView {
+	return &rolloutView{settings: s, changed: make(chan struct{})}
+}
 
-// Current returns the view.
-func (r *rollout) Current() view.View {
+// Current returns the current view.
+func (r *rolloutView) Current() view.View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view
 }
 
-// Changed returns a channel that is closed at the next change.
-func (r *rollout) Changed() <-chan struct{} {
+// Changed returns a channel that is closed when the view changes next.
+func (r *rolloutView) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-func (r *rollout) set(v view.View) {
+func (r *rolloutView) set(v view.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.view = v
@@ -74,11 +77,12 @@
 	r.changed = make(chan struct{})
 }
 
-// wantedOf returns the model of a service and the versions that are wanted at now,
-// the newest first: older ones are of use while the newest cannot be had and its own
-// time, bound, leaves room for a load. From then on they would only share the links
-// with the newest, and a load of one would hold up that of the newest.
-func wantedOf(f *facts.Facts, service string, now time.Time, bound time.Duration) (string, []uint64, bool) {
+// wantedVersions returns the model of a service and the versions of it that are wanted
+// at now, newest first. bound is the time limit of a version. An older version is useful
+// while the newest is not available and the newest's own time limit leaves room for a
+// load. After that it would only share the links with the newest, and loading it would
+// delay the newest.
+func wantedVersions(f *facts.Facts, service string, now time.Time, bound time.Duration) (string, []uint64, bool) {
 	if f.Table == nil {
 		return "", nil, false
 	}
@@ -86,8 +90,8 @@
 	if !ok || s.Engine == nil || s.Engine.Model == "" {
 		return "", nil, false
 	}
-	// A replaced version that only peers know of is of no use here: it was over
-	// before this process started, or it would have to be brought anew.
+	// Skips replaced versions that only peers know of: such a version was replaced
+	// before this process started, or would have to be fetched from scratch.
 	named := slices.DeleteFunc(f.Named(s.Engine.Model), func(v facts.Named) bool { return !v.Read })
 	if len(named) == 0 {
 		return s.Engine.Model, []uint64{firstVersion}, true
@@ -96,17 +100,17 @@
 	if bound > 0 && now.Sub(named[0].Since) >= bound-olderCutoff {
 		return s.Engine.Model, out, true
 	}
-	for _, v := range named[1:min(len(named), mostWanted)] {
-		if named[0].Since.Sub(v.Since) >= leastLead {
+	for _, v := range named[1:min(len(named), maxWantedVersions)] {
+		if named[0].Since.Sub(v.Since) >= minAnnounceGap {
 			out = append(out, v.Version)
 		}
 	}
 	return s.Engine.Model, out, true
 }
 
-// viewOf puts the facts into the terms of an environment document in which
-// the service's model has the given edition.
-func viewOf(s Settings, f *facts.Facts, service table.Service, e *shelf.Edition, vms []fleet.VM) view.View {
+// newView describes the platform's state as an environment document in which the
+// service's model has the given edition.
+func newView(s Settings, f *facts.Facts, service table.Service, e *shelf.Edition, vms []fleet.VM) view.View {
 	d := &envdoc.Document{
 		Revision: f.Revision,
 		Stage:    envdoc.StageProduction,
@@ -116,17 +120,18 @@
 			Name: e.Model, Version: strconv.FormatUint(e.Version, 10), Manifest: e.Digest,
 		}},
 	}
-	sv := envdoc.Service{Name: service.Name, Kind: envdoc.KindEngine, Model: e.Model, Floor: floorOf(vms)}
+	svc := envdoc.Service{Name: service.Name, Kind: envdoc.KindEngine, Model: e.Model, Floor: servingFloor(vms)}
 	for zone, region := range s.Regions {
 		d.Zones = append(d.Zones, envdoc.Zone{Name: zone, Region: region})
-		sv.Replicas = append(sv.Replicas, envdoc.Placement{Zone: zone, Replicas: math.MaxInt32})
+		svc.Replicas = append(svc.Replicas, envdoc.Placement{Zone: zone, Replicas: math.MaxInt32})
 	}
-	d.Services = []envdoc.Service{sv}
+	d.Services = []envdoc.Service{svc}
 	return view.View{Document: d, VMs: vms}
 }
 
-// vmsOf lists the sides beside the targets of a service, this one included.
-func vmsOf(s Settings, f *facts.Facts, service string) []fleet.VM {
+// serviceVMs returns the VMs of the sides next to the targets of a service, this one
+// first.
+func serviceVMs(s Settings, f *facts.Facts, service string) []fleet.VM {
 	out := []fleet.VM{s.VM}
 	for _, t := range f.Targets {
 		name := t.Address.Addr().String()
@@ -145,8 +150,9 @@
 	return out
 }
 
-// floorOf is how many replicas of each zone keep serving while others load.
-func floorOf(vms []fleet.VM) int {
+// servingFloor returns how many replicas of each zone must keep serving while others
+// load, computed from the smallest zone.
+func servingFloor(vms []fleet.VM) int {
 	zones := map[string]int{}
 	for _, vm := range vms {
 		if vm.State == fleet.StateLive {
@@ -159,5 +165,5 @@
 			least = n
 		}
 	}
-	return least - max(1, least/loadingPart)
+	return least - max(1, least/loadingDivisor)
 }
--- a/io/process/hosted/rollout_test.go
+++ b/io/process/hosted/rollout_test.go
@@ -10,14 +10,14 @@
 	"hawthornferry/core/request/table"
 )
 
-// Two versions are named while the store is away, and a side hears of both at
-// once. Fetching both halves the rate at which the newest comes, and callers wait
-// for it, since neither may be begun late. The older one is fetched only when it
-// was known for some time before.
+// Two versions are announced during an outage of the store, and a side learns of both at
+// once. Fetching both would halve the download rate of the newest, for which callers wait,
+// since requests must start on neither too late. The older one is fetched only if it was
+// announced some time before the newest.
 //
-// The origin is away until the newest version's own time runs out. Both were fetched
-// on at half the rate each then, though nothing could be answered by the older one any
-// more, and every engine came back that much later.
+// The origin may also be unreachable until the time limit of the newest version is nearly
+// over. Fetching both after that, at half the rate each, delayed the recovery of every
+// engine, although no request could be answered by the older version any more.
 func TestWantedVersions(t *testing.T) {
 	start := time.Unix(1000, 0)
 	named := func(version uint64, after time.Duration) facts.Named {
@@ -27,7 +27,7 @@
 	tests := []struct {
 		name  string
 		named []facts.Named
-		// now is how long after start the question is put.
+		// now is the time of the call, relative to start.
 		now  time.Duration
 		want []uint64
 	}{
@@ -45,7 +45,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			tab := &table.Table{Services: []table.Service{{Name: "svc", Engine: &table.Engine{Model: "m"}}}}
 			tab.Index()
-			_, got, _ := wantedOf(&facts.Facts{Table: tab, Versions: tc.named}, "svc", start.Add(tc.now), 8*time.Second)
+			_, got, _ := wantedVersions(&facts.Facts{Table: tab, Versions: tc.named}, "svc", start.Add(tc.now), 8*time.Second)
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("wanted versions (-want +got):\n%s", diff)
 			}
--- a/io/process/hosted/settings.go
+++ b/io/process/hosted/settings.go
@@ -1,5 +1,8 @@
-// Package hosted runs the entry and the side on a platform that lists targets
-// and configuration in a store of its own, which the system only reads.
+// Package hosted runs the two kinds of processes, entries and sides, on a platform that
+// lists targets and configuration in a store of its own, which the system only reads.
+// An entry accepts callers' requests and forwards each to a target; a side runs next to
+// one engine, brings it new model versions and reports its load to entries. Package
+// platform reads the settings and calls Entry.Run or Side.Run.
 package hosted
 
 import (
@@ -11,62 +14,64 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// Settings is what a process is told at its start.
+// Settings are the settings of one process, read at its start. Of changes to them, only
+// Seeds takes effect while the process runs.
 type Settings struct {
-	// VM is this process for its peers. They know each other by address, so
-	// that is its name; Node is what operators call the machine.
+	// VM describes this process to its peers. They identify each other by address, so
+	// its name is the address; Node is the operators' name of the machine.
 	VM   fleet.VM
 	Node string
 	// Regions maps each zone to its region.
 	Regions map[string]string
-	// Seeds are processes to ask about the others; some may be gone.
+	// Seeds are entries that read the store and are asked for its state by the other
+	// processes. Some of them may be down.
 	Seeds []netip.AddrPort
-	// Callers, Ready and Control are an entry's addresses for callers, for
-	// the balancer's question whether it is ready, and for peers.
+	// Callers, Ready and Control are the addresses on which an entry listens for
+	// callers, for the load balancer's readiness checks, and for peers.
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
 	Control netip.AddrPort
 	Metrics netip.AddrPort
 	Store   netip.AddrPort
-	// Target is the engine beside a side.
+	// Target is the address of the engine next to a side.
 	Target netip.AddrPort
-	// SidePort is where every side takes its peers.
+	// SidePort is the port on which every side listens for peers.
 	SidePort uint16
-	// Memory is the limit of the process and Link the rate of the machine's
-	// link, in bytes and bytes a second.
+	// Memory is the memory limit of the process in bytes, and Link the bandwidth of the
+	// VM's link in bytes per second.
 	Memory int64
 	Link   int64
 	Bounds Bounds
 }
 
-// Bounds are the promises that the operator has the system keep.
+// Bounds are the guarantees that the operator requires of the system.
 type Bounds struct {
-	// Contact is how long a machine must have been undisturbed for the
-	// others to hold for it.
+	// Contact is how long a machine must have run undisturbed for the other bounds to
+	// apply to it.
 	Contact time.Duration
-	// Drain is how long after a target's leaving it may still get requests.
+	// Drain is how long a target may still get requests after it started leaving.
 	Drain time.Duration
-	// Grace is the time from the request to stop to the kill.
+	// Grace is the time between the platform's request to stop and the kill.
 	Grace time.Duration
-	// Apply is how long a configuration may take to be in force.
+	// Apply is the maximum time until a new configuration takes effect.
 	Apply time.Duration
-	// StrictKeys and Revoke bound how long a revoked key may be honoured,
-	// by every machine, also by one that is cut off.
+	// Revoke is the maximum time for which a revoked key may still be accepted by any
+	// process, also by one that is disconnected. It applies if StrictKeys is set.
 	StrictKeys bool
 	Revoke     time.Duration
-	// RetryRatio and RetrySlack bound the requests sent once more within any
-	// RetryWindow, over all entries.
+	// RetryRatio and RetrySlack limit the retries within any RetryWindow, over all
+	// entries: RetryRatio relative to the requests, RetrySlack as a fixed allowance.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// Version is how long after its naming a version may take until no
-	// request begins on an older one.
+	// Version is the maximum time after the announcement of a version during which
+	// requests may still start on an older one.
 	Version time.Duration
-	// Fencing is set where targets refuse an order with an old number.
+	// Fencing is set if targets reject an order with an outdated number.
 	Fencing bool
 }
 
-// Check reports the first setting that is missing or out of its domain.
+// Check returns an error for the first setting that is missing or invalid.
 func (s Settings) Check() error {
 	if err := s.VM.Check(); err != nil {
 		return err
@@ -81,7 +86,7 @@
 		return errors.New("the side's target or its service is missing")
 	}
 	if s.Bounds.Grace <= 0 || s.Bounds.Drain <= 0 {
-		return errors.New("bounds of draining are missing")
+		return errors.New("bound on draining or grace period is missing or not positive")
 	}
 	return nil
 }
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -26,84 +26,89 @@
 
 // Times and sizes of a side.
 const (
-	// leastPatience is how long a transfer may bring nothing at the least. A
-	// chunk takes 40 ms on a link of 9.4 Mbit/s, and a version has seconds.
-	leastPatience = 300 * time.Millisecond
-	// mostPause bounds the pauses after failures: the origin may be away for
-	// most of the time that a version has, and each pause after is lost.
-	mostPause = 500 * time.Millisecond
-	// draws, uploads and inbound are the transfers under way at a time, and blockTime
-	// is what a block of them takes. A chunk of some tens of KiB passes in tens of
-	// milliseconds, so that the wait for each next one weighs more than what many
-	// at a time cost.
-	draws     = 8
-	uploads   = 4
-	inbound   = 6
-	blockTime = 8 * time.Millisecond
-	// linkShare is the part of a machine's link that weights may take: the
-	// answers of the engine pass there too.
-	linkShare = 0.92
-	// inflowTime is how much, in time on the machine's link, may be on its way
-	// to a side, and leastInflow that bound's least, in bytes: one chunk.
-	inflowTime  = 200 * time.Millisecond
-	leastInflow = 64 << 10
-	// cacheBytes holds the chunks that several peers ask for at once.
+	// minStallTimeout is the minimum time for which a transfer may make no progress
+	// before it is given up. A chunk takes 40 ms on a link of 9.4 Mbit/s, and a version
+	// has to be loaded within seconds.
+	minStallTimeout = 300 * time.Millisecond
+	// maxRetryPause limits the pauses after failures. The origin may be unreachable for
+	// most of a version's time limit, and a pause after its return wastes what is left.
+	maxRetryPause = 500 * time.Millisecond
+	// originDownloads, peerUploads and peerDownloads are the numbers of concurrent
+	// transfers, and blockTime is the time that one block of them takes on the link. A
+	// chunk of some tens of KiB takes tens of milliseconds, so that the wait between
+	// two chunks costs more than running many transfers at once.
+	originDownloads = 8
+	peerUploads     = 4
+	peerDownloads   = 6
+	blockTime       = 8 * time.Millisecond
+	// weightLinkShare is the part of the VM's link that transfers of weights may use. The
+	// engine's answers need the rest.
+	weightLinkShare = 0.92
+	// inflightTime limits the bytes that were requested and have not arrived, as time on
+	// the VM's link. minInflight is the lower bound of that limit in bytes: one chunk.
+	inflightTime = 200 * time.Millisecond
+	minInflight  = 64 << 10
+	// cacheBytes is the size of the cache for chunks that several peers request at
+	// about the same time.
 	cacheBytes = 1 << 20
-	// loadReserve is how long before the bound on versions a side loads whatever
-	// the others do: entries send less and less to a replaced version then, since a
-	// request must have begun on it before the bound.
+	// loadReserve is how long before the time limit for versions a side loads the new
+	// version whatever the other sides do. A request must have started on a replaced
+	// version before the limit, so that entries send it less and less by then.
 	loadReserve = 600 * time.Millisecond
-	// olderReserve is how long before that bound a side turns to the version
-	// before the newest: time for two rounds of loads.
+	// olderReserve is how long before that limit a side falls back to the version before
+	// the newest: time for two rounds of loads.
 	olderReserve = 5500 * time.Millisecond
-	// pickEvery is how often the choice between versions is made anew.
-	pickEvery = 300 * time.Millisecond
+	// selectInterval is how often the choice between versions is repeated without a
+	// change of the platform's state.
+	selectInterval = 300 * time.Millisecond
 )
 
-func scaled(d time.Duration, share float64) time.Duration {
+func scaleDuration(d time.Duration, share float64) time.Duration {
 	return time.Duration(float64(d) * share)
 }
 
-// Side is the process beside one engine. Set the exported fields before Run.
+// Side is the process next to one engine: it fetches the weights of new model versions,
+// shares them with other sides, orders the engine to load them and reports the engine's
+// load to entries. Set the exported fields before Run.
 type Side struct {
 	Settings Settings
 	Platform Platform
 	Engine   shelf.Engine
-	// Origin makes the client of the origin, whose address may change.
+	// Origin creates the client of the origin server, whose address may change.
 	Origin func(address func() netip.AddrPort) shelf.Origin
 	Log    io.Writer
 
-	frame   *frame
-	shelf   *shelf.Shelf
-	library *shelf.Library
-	node    *swarm.Node
-	rollout *rollout
-	teller  *pulse.Teller
-	roster  roster
+	process       *process
+	adapter       *shelf.Shelf
+	manifests     *shelf.Library
+	node          *swarm.Node
+	rollout       *rolloutView
+	loadPublisher *pulse.Teller
+	vms           vmCache
 
-	mu    sync.Mutex
-	taken taken
+	mu     sync.Mutex
+	update update
 }
 
-// taken is what the parts of a side were last given: the facts, the version to load
-// and the versions to fetch.
-type taken struct {
+// update is the input of the components that distribute and load weights: the platform's
+// state, the version to load and the versions to fetch.
+type update struct {
 	facts    *facts.Facts
-	picked   chunk.Digest
+	selected chunk.Digest
 	editions []chunk.Digest
 }
 
-func (t *taken) equal(o *taken) bool {
-	return t.facts == o.facts && t.picked == o.picked && slices.Equal(t.editions, o.editions)
+func (u *update) equal(o *update) bool {
+	return u.facts == o.facts && u.selected == o.selected && slices.Equal(u.editions, o.editions)
 }
 
 // Run runs the side until ctx ends.
 func (s *Side) Run(ctx context.Context) error {
-	f, err := newFrame(s.Settings, s.Platform, s.Log)
+	p, err := newProcess(s.Settings, s.Platform, s.Log)
 	if err != nil {
 		return err
 	}
-	s.frame = f
+	s.process = p
 	peers, err := listen("peers", s.Settings.VM.Address)
 	if err != nil {
 		return err
@@ -113,79 +118,80 @@
 		return err
 	}
 	s.build()
-	return f.run(ctx, []net.Listener{peers}, []net.Listener{metrics})
+	return p.run(ctx, []net.Listener{peers}, []net.Listener{metrics})
 }
 
 func (s *Side) build() {
-	f := s.frame
-	s.rollout = newRollout(s.Settings)
-	s.shelf = &shelf.Shelf{Clock: f.clock, Log: f.log, Engine: s.Engine, Origin: s.Origin(s.originAddress)}
-	s.library = &shelf.Library{
-		Self: f.self, Clock: f.clock, Log: f.log, Shelf: s.shelf,
+	p := s.process
+	s.rollout = newRolloutView(s.Settings)
+	s.adapter = &shelf.Shelf{Clock: p.clock, Log: p.log, Engine: s.Engine, Origin: s.Origin(s.originAddress)}
+	s.manifests = &shelf.Library{
+		Self: p.self, Clock: p.clock, Log: p.log, Shelf: s.adapter,
 		Peers: s.sides, Read: func(*shelf.Edition) { s.refresh() },
 	}
-	rate := scaledRate(s.Settings.Link, linkShare)
+	rate := scaleRate(s.Settings.Link, weightLinkShare)
 	s.node = &swarm.Node{
-		Self: f.self, Clock: f.clock, Log: f.log, Logger: f.logger, Metrics: f.metrics,
-		Members: s.members, Staging: s.shelf, Source: s.shelf, CacheBytes: cacheBytes,
+		Self: p.self, Clock: p.clock, Log: p.log, Logger: p.logger, Metrics: p.metrics,
+		Members: s.members, Staging: s.adapter, Source: s.adapter, CacheBytes: cacheBytes,
 		Burst: burst.Config{
-			LeastPatience: leastPatience, MostPause: mostPause, Draws: draws, Uploads: uploads, Inbound: inbound,
+			LeastPatience: minStallTimeout, MostPause: maxRetryPause, Draws: originDownloads, Uploads: peerUploads, Inbound: peerDownloads,
 		},
 		BlockTime: blockTime,
-		Inflow:    &pace.Window{Clock: f.clock, Most: max(scaledRate(rate, inflowTime.Seconds()), leastInflow)},
-		Pacer:     pace.New(pace.Config{Up: rate, Down: rate}, f.clock),
+		Inflow:    &pace.Window{Clock: p.clock, Most: max(scaleRate(rate, inflightTime.Seconds()), minInflight)},
+		Pacer:     pace.New(pace.Config{Up: rate, Down: rate}, p.clock),
 	}
 	orderer := &order.Orderer{
-		Self: f.self, Clock: f.clock, Awake: awake.Now, Log: f.log, Source: s.rollout, Engine: s.shelf,
+		Self: p.self, Clock: p.clock, Awake: awake.Now, Log: p.log, Source: s.rollout, Engine: s.adapter,
 		Verified: s.verified, Draining: func() bool { return false }, Deadline: s.loadDeadline,
 	}
-	s.teller = &pulse.Teller{Clock: f.clock, Log: f.log, Engine: s.Engine, Zone: s.Settings.VM.Zone}
-	s.teller.Noticed = orderer.Notice
-	s.shelf.Loading = s.teller.Announce
-	f.served = s.served
-	f.handlers[link.PurposeWeights] = s.node.Handler()
-	f.handlers[link.PurposeOrders] = orderer.Handler()
-	f.handlers[link.PurposeLoad] = s.teller.Handler()
-	f.handlers[link.PurposeEditions] = s.library.Handler()
-	f.parts = append(
-		f.parts,
-		part{"weights", s.node.Run},
-		part{"load orders", orderer.Run},
-		part{"manifests", s.library.Run},
-		part{"load reports", s.teller.Run},
-		part{"wanted version", s.follow},
+	s.loadPublisher = &pulse.Teller{Clock: p.clock, Log: p.log, Engine: s.Engine, Zone: s.Settings.VM.Zone}
+	s.loadPublisher.Noticed = orderer.Notice
+	s.adapter.Loading = s.loadPublisher.Announce
+	p.served = s.served
+	p.handlers[link.PurposeWeights] = s.node.Handler()
+	p.handlers[link.PurposeOrders] = orderer.Handler()
+	p.handlers[link.PurposeLoad] = s.loadPublisher.Handler()
+	p.handlers[link.PurposeEditions] = s.manifests.Handler()
+	p.components = append(
+		p.components,
+		component{"weights", s.node.Run},
+		component{"load orders", orderer.Run},
+		component{"manifests", s.manifests.Run},
+		component{"load reports", s.loadPublisher.Run},
+		component{"wanted version", s.watchState},
 	)
 }
 
-func scaledRate(rate int64, share float64) int64 { return int64(float64(rate) * share) }
+func scaleRate(rate int64, share float64) int64 { return int64(float64(rate) * share) }
 
-// follow takes each new belief to the parts that bring and load weights.
-func (s *Side) follow(ctx context.Context) error {
+// watchState refreshes the wanted versions at each change of the platform's state and
+// every selectInterval, until ctx ends.
+func (s *Side) watchState(ctx context.Context) error {
 	for {
-		changed := s.frame.feed.Changed()
+		changed := s.process.feed.Changed()
 		s.refresh()
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-		case <-s.frame.clock.After(pickEvery):
+		case <-s.process.clock.After(selectInterval):
 		}
 	}
 }
 
-// refresh takes the belief and what has been read of the wanted versions to
+// refresh determines the wanted versions, and passes those whose manifests are known to
 // the distribution and to the load orders.
 func (s *Side) refresh() {
-	f := s.frame.feed.Current()
+	f := s.process.feed.Current()
 	model, versions, ok := s.wanted(f)
 	if !ok {
 		return
 	}
-	s.library.Want(model, versions)
+	s.manifests.Want(model, versions)
 	var editions []*shelf.Edition
 	var wanted []swarm.Wanted
 	for _, v := range versions {
-		if e, ok := s.shelf.Find(model, v); ok {
+		if e, ok := s.adapter.Find(model, v); ok {
 			editions = append(editions, e)
 			wanted = append(wanted, swarm.Wanted{Model: model, Version: e.Manifest.Version, Manifest: e.Digest})
 		}
@@ -193,70 +199,72 @@
 	if len(editions) == 0 {
 		return
 	}
-	s.hand(f, editions, wanted)
+	s.apply(f, editions, wanted)
 }
 
-// hand gives the parts a view unless it is the one that they have: time alone changes
-// it only now and then.
-func (s *Side) hand(f *facts.Facts, editions []*shelf.Edition, wanted []swarm.Wanted) {
-	picked := s.pick(f, editions)
-	now := taken{facts: f, picked: picked.Digest}
+// apply passes a new view to the components unless it equals the last one. Most calls are
+// caused by the passage of time, which rarely changes it.
+func (s *Side) apply(f *facts.Facts, editions []*shelf.Edition, wanted []swarm.Wanted) {
+	selected := s.selectEdition(f, editions)
+	next := update{facts: f, selected: selected.Digest}
 	for _, e := range editions {
-		now.editions = append(now.editions, e.Digest)
+		next.editions = append(next.editions, e.Digest)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now.equal(&s.taken) {
+	if next.equal(&s.update) {
 		return
 	}
-	s.taken = now
+	s.update = next
 	service, _ := f.Table.ServiceByName(s.Settings.VM.Service)
-	v := viewOf(s.Settings, f, service, picked, s.roster.of(s.Settings, f))
+	v := newView(s.Settings, f, service, selected, s.vms.get(s.Settings, f))
 	s.rollout.set(v)
 	s.node.Update(v, wanted)
 }
 
 func (s *Side) wanted(f *facts.Facts) (string, []uint64, bool) {
-	return wantedOf(f, s.Settings.VM.Service, s.frame.clock.Now(), s.Settings.Bounds.Version)
+	return wantedVersions(f, s.Settings.VM.Service, s.process.clock.Now(), s.Settings.Bounds.Version)
 }
 
-// pick is the version to load: the newest, unless its weights are not whole
-// and the time for the one before it, whose weights are, is running out.
-// Without that, nobody would be served from the end of that time until the
-// newest one can be had.
-func (s *Side) pick(f *facts.Facts, editions []*shelf.Edition) *shelf.Edition {
+// selectEdition returns the version to load: the newest, unless its weights are
+// incomplete while those of the version before it are complete and that one's time limit
+// is about to expire. Loading the older one then keeps requests served from that limit
+// until the newest version is available.
+func (s *Side) selectEdition(f *facts.Facts, editions []*shelf.Edition) *shelf.Edition {
 	newest := editions[0]
-	if _, whole := s.verified(newest.Digest); whole || len(editions) == 1 {
+	if _, complete := s.verified(newest.Digest); complete || len(editions) == 1 {
 		return newest
 	}
 	older := editions[1]
-	due, ok := f.Due(older.Model, s.frame.clock.Now().Add(olderReserve-s.Settings.Bounds.Version))
-	if _, whole := s.verified(older.Digest); whole && ok && due.Version >= older.Version {
+	due, ok := f.Due(older.Model, s.process.clock.Now().Add(olderReserve-s.Settings.Bounds.Version))
+	if _, complete := s.verified(older.Digest); complete && ok && due.Version >= older.Version {
 		return older
 	}
 	return newest
 }
 
-// members are the other sides, whatever the version.
+// members returns the other sides of the service, for every version.
 func (s *Side) members(chunk.Digest) []fleet.VM { return s.sides() }
 
-func (s *Side) originAddress() netip.AddrPort { return s.frame.feed.Current().Origin.Address }
+func (s *Side) originAddress() netip.AddrPort { return s.process.feed.Current().Origin.Address }
 
-// sides are the other sides.
+// sides returns the other sides of the service.
 func (s *Side) sides() []fleet.VM {
-	return s.roster.of(s.Settings, s.frame.feed.Current())[1:]
+	return s.vms.get(s.Settings, s.process.feed.Current())[1:]
 }
 
-// served is what the engine beside this process serves, once it has answered.
+// served returns the version that the engine next to this process serves; nil before the
+// engine's first answer.
 func (s *Side) served() []place.Served {
-	version, known := s.teller.Serving()
+	version, known := s.loadPublisher.Serving()
 	if !known {
 		return nil
 	}
 	return []place.Served{{Service: s.Settings.VM.Service, Address: s.Settings.Target, Version: version}}
 }
 
-// verified returns the manifest of a version that is staged whole.
+// verified returns the manifest of a version whose weights are completely staged and
+// verified.
 func (s *Side) verified(d chunk.Digest) (chunk.Manifest, bool) {
 	for _, p := range s.node.Progress() {
 		if p.Wanted.Manifest == d && p.Verified {
@@ -266,11 +274,13 @@
 	return chunk.Manifest{}, false
 }
 
-// loadDeadline is when entries send nothing more to what the engine serves.
+// loadDeadline returns how much time is left until the engine must start to load a newer
+// version: loadReserve before entries stop sending requests to the version that it
+// serves.
 func (s *Side) loadDeadline() roll.Deadline {
-	serving, known := s.teller.Serving()
+	serving, known := s.loadPublisher.Serving()
 	bound := s.Settings.Bounds.Version
-	f := s.frame.feed.Current()
+	f := s.process.feed.Current()
 	if !known || serving == 0 || bound <= 0 || f.Table == nil {
 		return roll.Deadline{}
 	}
@@ -282,5 +292,5 @@
 	if !replaced {
 		return roll.Deadline{}
 	}
-	return roll.Deadline{Bounded: true, Left: bound - loadReserve - s.frame.clock.Since(since)}
+	return roll.Deadline{Bounded: true, Left: bound - loadReserve - s.process.clock.Since(since)}
 }
--- a/io/process/hosted/state.go
+++ b/io/process/hosted/state.go
@@ -11,43 +11,42 @@
 	"hawthornferry/core/request/place"
 )
 
-// stateEvery is how often a process restates what it believes. Its log may be
-// kept for its last few seconds only; with a state in any two of them, a
-// request is explained by what is left.
-const stateEvery = 2 * time.Second
+// stateInterval is how often a process logs its copy of the platform's state. Possibly
+// only the last few seconds of its log are kept; with a state in any two seconds, what
+// is left is enough to explain a request.
+const stateInterval = 2 * time.Second
 
-// restate writes a line of what the process believes, again and again.
-func (f *frame) restate(ctx context.Context) error {
+// logState logs a record of the process's state every stateInterval, until ctx ends.
+func (p *process) logState(ctx context.Context) error {
 	for {
-		f.log.Decide(f.state())
+		p.log.Decide(p.stateDecision())
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.clock.After(stateEvery):
+		case <-p.clock.After(stateInterval):
 		}
 	}
 }
 
-func (f *frame) state() trail.Decision {
-	known := f.feed.Current()
-	s := &trail.State{Targets: targetCounts(known), Serving: servedCounts(f.served()), Ends: f.ends()}
+func (p *process) stateDecision() trail.Decision {
+	known := p.feed.Current()
+	s := &trail.State{Targets: targetCounts(known), Serving: servedCounts(p.served()), Ends: p.ends()}
 	if known.Table != nil {
 		s.Configuration = known.Table.Version
 	}
 	for _, v := range newestVersions(known) {
-		s.Named = append(s.Named, trail.NamedVersion{Model: v.Model, Version: v.Version, AgeMS: f.clock.Since(v.Since).Milliseconds()})
+		s.Named = append(s.Named, trail.NamedVersion{Model: v.Model, Version: v.Version, AgeMS: p.clock.Since(v.Since).Milliseconds()})
 	}
 	d := trail.Decision{
-		Area: trail.AreaConfig, Action: "state", Subject: "state", Boot: f.self.Boot, Revision: known.Revision, State: s,
+		Area: trail.AreaConfig, Action: "state", Subject: "state", Boot: p.self.Boot, Revision: known.Revision, State: s,
 	}
-	if age, known := f.feed.Age(); known {
+	if age, known := p.feed.Age(); known {
 		d.AgeMS = age.Milliseconds()
 	}
 	return d
 }
 
-// targetCounts counts the listed targets of each service, also of one without
-// any.
+// targetCounts counts the listed targets of each service, including services without any.
 func targetCounts(f *facts.Facts) []trail.TargetCount {
 	counts := map[string]*trail.TargetCount{}
 	if f.Table != nil {
@@ -75,7 +74,7 @@
 	return out
 }
 
-// newestVersions returns the newest named version of each model.
+// newestVersions returns the newest announced version of each model.
 func newestVersions(f *facts.Facts) []facts.Named {
 	return slices.DeleteFunc(slices.Clone(f.Versions), func(v facts.Named) bool {
 		newest, _ := f.Latest(v.Model)
@@ -83,7 +82,7 @@
 	})
 }
 
-// servedCounts counts the targets of each service by the version they serve.
+// servedCounts counts the targets of each service by the version that they serve.
 func servedCounts(served []place.Served) []trail.ServedCount {
 	counts := map[trail.ServedCount]int{}
 	for _, s := range served {
--- a/io/process/hosted/waits.go
+++ b/io/process/hosted/waits.go
@@ -2,43 +2,46 @@
 
 import "time"
 
-// How long one watch of the store waits, and one question to a teller.
+// Timeouts of one watch (long poll) of the store, and of one at a peer that passes on the
+// store's state.
 const (
-	// entryWait and sideWait are how long one watch of the store waits at the most. An
-	// entry must vouch for keys and confirms its belief that often; a side
-	// only has to hear of changes. entryTold and sideTold are the same for one
-	// that is told by a peer: a teller that froze costs an entry little more than
-	// half a second, of the two within which a configuration is to be in force.
-	entryWait = 800 * time.Millisecond
-	sideWait  = 4 * time.Second
-	entryTold = 500 * time.Millisecond
-	sideTold  = 2 * time.Second
-	// sideRest is how long a side leaves the store to the entries that tell it when
-	// its own calls fail too: sides are the most processes by far, and vouch for
-	// nothing to callers.
-	sideRest = 2400 * time.Millisecond
-	// toldShare is the part of its wait at the store for which an entry waits at a
-	// teller.
-	toldShare = float64(entryTold) / float64(entryWait)
-	// leastWait keeps watches from following on each other without a pause where the
-	// bounds are shorter than any wait could keep to.
-	leastWait = 100 * time.Millisecond
-	// watchSlack is what the calls themselves take, to the store and between peers.
-	watchSlack = 200 * time.Millisecond
+	// entryStoreWait and sideStoreWait are the maximum durations of one watch of the
+	// store. An entry must know that keys are still valid, and confirms its copy of the
+	// state that often; a side only needs to learn of changes. entryPeerWait and
+	// sidePeerWait are the same for a watch at a peer: if that peer freezes, an entry
+	// loses little more than half a second of the two within which a configuration must
+	// take effect.
+	entryStoreWait = 800 * time.Millisecond
+	sideStoreWait  = 4 * time.Second
+	entryPeerWait  = 500 * time.Millisecond
+	sidePeerWait   = 2 * time.Second
+	// sideStoreBackoff is how long a side leaves the store to the entries that watch it
+	// after the side's own calls have failed too. Sides are by far the most processes,
+	// and accept no callers' keys.
+	sideStoreBackoff = 2400 * time.Millisecond
+	// peerWaitShare is an entry's wait at a peer as a fraction of its wait at the store.
+	peerWaitShare = float64(entryPeerWait) / float64(entryStoreWait)
+	// minWait keeps watches from following each other without a pause if the bounds are
+	// too short for any wait.
+	minWait = 100 * time.Millisecond
+	// watchOverhead is the time taken by the calls themselves, to the store and between
+	// peers.
+	watchOverhead = 200 * time.Millisecond
 )
 
-// entryWaits returns how long an entry waits at the store and at a teller. The belief
-// of a reader is as old as two of its watches, and that of one who is told older by a
-// wait of its own. An entry that confirms its belief more seldom than the bounds let
-// it vouch for keys and routes would refuse good requests with nothing amiss.
-func entryWaits(b Bounds) (store, teller time.Duration) {
-	store = entryWait
+// entryWaits returns the duration of an entry's watches at the store and at a peer. The
+// copy of the state in an entry that reads the store is up to two of its watches old; in
+// one that watches a peer, it is older by one wait at the peer. An entry that confirms its
+// copy less often than the bounds require for keys and routes would refuse valid requests
+// without any fault in the system.
+func entryWaits(b Bounds) (store, peer time.Duration) {
+	store = entryStoreWait
 	if b.Apply > 0 {
-		store = min(store, (scaled(b.Apply, tableShare)-watchSlack)/2)
+		store = min(store, (scaleDuration(b.Apply, tableShare)-watchOverhead)/2)
 	}
 	if b.StrictKeys {
-		store = min(store, scaled(scaled(b.Revoke, keyShare)-watchSlack, 1/(2+toldShare)))
+		store = min(store, scaleDuration(scaleDuration(b.Revoke, keyShare)-watchOverhead, 1/(2+peerWaitShare)))
 	}
-	store = max(store, leastWait)
-	return store, scaled(store, toldShare)
+	store = max(store, minWait)
+	return store, scaleDuration(store, peerWaitShare)
 }
