--- a/io/process/alert/registry.go
+++ b/io/process/alert/registry.go
@@ -1,6 +1,9 @@
-// Package alert tells processes of each other's requests that crash targets. Such a
-// request comes again at any entry, also at one that has just started; an entry that
-// knew only its own part of the crashes would send it on.
+// Package alert shares among processes which requests crash targets. Such a request is
+// retried at any entry, including one that has just started, and an entry that knew only the
+// crashes that it saw itself would forward it to further targets. Every process has a
+// Registry and serves it to peers; entries also connect theirs to a few hubs, which are
+// processes that relay the records (HubClient). Package direct asks the registry before it
+// forwards a request and reports how attempts end.
 package alert
 
 import (
@@ -17,8 +20,8 @@
 	"hawthornferry/core/request/poison"
 )
 
-// Registry is what a process knows of such requests. Set the exported fields before the
-// first use.
+// Registry holds what a process knows about requests that may crash targets. Set the
+// exported fields before the first use. It is safe for concurrent use.
 type Registry struct {
 	Clock   clockwork.Clock
 	Log     trail.Log
@@ -27,44 +30,43 @@
 	mu          sync.Mutex
 	ledger      poison.Ledger
 	subscribers map[*subscription]struct{}
-	// known is the number of requests in the ledger.
-	known atomic.Int64
+	// size is the number of requests in the ledger.
+	size atomic.Int64
 }
 
-// source says where a change comes from.
+// source is where a change to the registry comes from.
 type source string
 
-// The sources of changes: this process, a peer that has connected to it, and a hub
-// that it has connected to.
+// The sources of changes: this process, a peer that connected to it, and a hub that it
+// connected to.
 const (
 	fromLocal source = "local"
 	fromPeer  source = "peer"
 	fromHub   source = "hub"
 )
 
-// subscription is what there is to tell one peer.
+// subscription holds the changes that are still to be sent to one peer.
 type subscription struct {
-	// wants reports whether changes of a source are told, and least is the number of
-	// strikes from which on a request is.
-	wants   func(s source) bool
-	least   int
-	pending map[poison.Key]struct{}
-	wake    chan struct{}
+	// includes reports whether changes from a source are sent. A request is sent once it
+	// has minFailures.
+	includes    func(s source) bool
+	minFailures int
+	pending     map[poison.Key]struct{}
+	wake        chan struct{}
 }
 
-// Any reports whether anything is known of any request. It is cheap.
-func (r *Registry) Any() bool { return r.known.Load() > 0 }
+// Any reports whether there is a record of any request. It takes no lock.
+func (r *Registry) Any() bool { return r.size.Load() > 0 }
 
-// Blocked reports whether a request is refused, and after what time its caller may
-// come back.
+// Blocked reports whether a request is refused, and after what time its caller may retry.
 func (r *Registry) Blocked(k poison.Key) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Blocked(r.Clock.Now(), k)
 }
 
-// Struck takes that an attempt broke off at a start of a target whose answer had gone
-// on for ran.
+// Struck records that an attempt of a request broke off at a target start, after its answer
+// had been going on for ran.
 func (r *Registry) Struck(k poison.Key, at poison.Start, ran time.Duration) {
 	r.change(fromLocal, "", k, func(now time.Time) bool {
 		counts := r.ledger.Strike(now, k, at, ran)
@@ -75,14 +77,13 @@
 	})
 }
 
-// Succeeded takes that a request ended well.
+// Succeeded records that a request completed successfully.
 func (r *Registry) Succeeded(k poison.Key) {
 	r.change(fromLocal, "", k, func(now time.Time) bool { return r.ledger.Succeeded(now, k) })
 }
 
-// Answered takes that a start of a target has answered a request that was sent to it
-// at began.
-func (r *Registry) Answered(began time.Time, at poison.Start) {
+// Answered records that a target start has answered a request that was sent to it at sentAt.
+func (r *Registry) Answered(sentAt time.Time, at poison.Start) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -90,13 +91,13 @@
 	for _, k := range r.ledger.Struck(now, at) {
 		before[k] = r.ledger.State(now, k)
 	}
-	for _, k := range r.ledger.Answered(now, began, at) {
+	for _, k := range r.ledger.Answered(now, sentAt, at) {
 		r.publish(now, fromLocal, "", k, before[k])
 	}
 }
 
-// listed takes which starts of targets are listed.
-func (r *Registry) listed(starts map[poison.Start]bool) {
+// applyListing records which target starts are currently listed.
+func (r *Registry) applyListing(starts map[poison.Start]bool) {
 	r.mu.Lock()
 	keys := r.ledger.Keys(r.Clock.Now())
 	r.mu.Unlock()
@@ -105,15 +106,15 @@
 	}
 }
 
-// merge takes what a peer tells.
+// merge adds the notes of a peer.
 func (r *Registry) merge(s source, peer string, notes []poison.Note) {
 	for _, n := range notes {
 		r.change(s, peer, n.Key, func(now time.Time) bool { return r.ledger.Merge(now, n) })
 	}
 }
 
-// change makes a change to what is known of a request, which reports whether it is
-// one, and tells of it.
+// change applies edit to the record of a request and, if edit reports a change, publishes
+// it.
 func (r *Registry) change(s source, peer string, k poison.Key, edit func(now time.Time) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,15 +123,15 @@
 	if edit(now) {
 		r.publish(now, s, peer, k, before)
 	}
-	r.known.Store(int64(r.ledger.Len()))
+	r.size.Store(int64(r.ledger.Len()))
 }
 
-// publish passes a change on and writes down what a request is taken for from now on. It
-// is called with the registry locked.
+// publish queues a changed request for the subscribers, and logs its new state if that has
+// changed. r.mu must be held.
 func (r *Registry) publish(now time.Time, s source, peer string, k poison.Key, before poison.State) {
-	for p := range r.subscribers {
-		if p.wants(s) {
-			p.add(k)
+	for sub := range r.subscribers {
+		if sub.includes(s) {
+			sub.add(k)
 		}
 	}
 	state := r.ledger.State(now, k)
@@ -138,15 +139,15 @@
 		return
 	}
 	r.count("requests_total", string(state))
-	r.Log.Decide(r.line(now, peer, k, state))
+	r.Log.Decide(r.decision(now, peer, k, state))
 }
 
-// actions are the actions of the lines by the state that they tell.
+// actions maps the state of a request to the action of its log record.
 var actions = map[poison.State]string{
 	poison.StateClear: "requestCleared", poison.StateSuspected: "requestSuspected", poison.StateBlocked: "requestBlocked",
 }
 
-func (r *Registry) line(now time.Time, peer string, k poison.Key, state poison.State) trail.Decision {
+func (r *Registry) decision(now time.Time, peer string, k poison.Key, state poison.State) trail.Decision {
 	d := trail.Decision{Area: trail.AreaRouting, Action: actions[state], Fingerprint: k.String()}
 	var parts []string
 	if peer != "" {
@@ -175,11 +176,11 @@
 	scope.Counter(name).Inc(1)
 }
 
-// subscribe returns a subscription by which all that is known is to be told.
-func (r *Registry) subscribe(least int, wants ...source) *subscription {
-	p := &subscription{least: least, pending: map[poison.Key]struct{}{}, wake: make(chan struct{}, 1)}
-	p.wants = func(s source) bool {
-		for _, w := range wants {
+// subscribe returns a subscription in which all known requests are pending.
+func (r *Registry) subscribe(minFailures int, sources ...source) *subscription {
+	sub := &subscription{minFailures: minFailures, pending: map[poison.Key]struct{}{}, wake: make(chan struct{}, 1)}
+	sub.includes = func(s source) bool {
+		for _, w := range sources {
 			if w == s {
 				return true
 			}
@@ -189,40 +190,41 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, k := range r.ledger.Keys(r.Clock.Now()) {
-		p.add(k)
+		sub.add(k)
 	}
 	if r.subscribers == nil {
 		r.subscribers = map[*subscription]struct{}{}
 	}
-	r.subscribers[p] = struct{}{}
-	return p
+	r.subscribers[sub] = struct{}{}
+	return sub
 }
 
-func (r *Registry) unsubscribe(p *subscription) {
+func (r *Registry) unsubscribe(sub *subscription) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.subscribers, p)
+	delete(r.subscribers, sub)
 }
 
-func (p *subscription) add(k poison.Key) {
-	p.pending[k] = struct{}{}
+func (sub *subscription) add(k poison.Key) {
+	sub.pending[k] = struct{}{}
 	select {
-	case p.wake <- struct{}{}:
+	case sub.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drain returns some of what there is to tell a subscriber, and whether there is more.
-func (r *Registry) drain(p *subscription) (notes []poison.Note, more bool) {
+// takeNotes removes up to maxNotes pending requests from a subscription and returns their
+// notes, and whether more are pending.
+func (r *Registry) takeNotes(sub *subscription) (notes []poison.Note, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
-	for k := range p.pending {
+	for k := range sub.pending {
 		if len(notes) == maxNotes {
 			return notes, true
 		}
-		delete(p.pending, k)
-		if n, ok := r.ledger.Note(now, k, p.least); ok {
+		delete(sub.pending, k)
+		if n, ok := r.ledger.Note(now, k, sub.minFailures); ok {
 			notes = append(notes, n)
 		}
 	}
--- a/io/process/hosted/entry.go
+++ b/io/process/hosted/entry.go
@@ -61,8 +61,8 @@
 		server.Rules.KeyAge = scaleDuration(bounds.Revoke, keyShare)
 	}
 	server.Suspects = p.alerts
-	alerts := &alert.Caller{Self: p.self, Clock: p.clock, Log: p.log, Registry: p.alerts}
-	listing := &alert.Listing{Clock: p.clock, Registry: p.alerts, Source: p.feed}
+	hubClient := &alert.HubClient{Self: p.self, Clock: p.clock, Log: p.log, Registry: p.alerts}
+	listChecker := &alert.ListChecker{Clock: p.clock, Registry: p.alerts, Source: p.feed}
 	loadListener := &pulse.Listener{Self: p.self, Clock: p.clock, Log: p.log}
 	reports := &loadReports{entry: e.Settings.VM, sidePort: e.Settings.SidePort, setSides: loadListener.Want, report: server.Report}
 	loadListener.Heard = reports.receive
@@ -70,9 +70,9 @@
 		p.components,
 		component{"callers", server.Run},
 		component{"load reports", loadListener.Run},
-		component{"alerts", alerts.Run},
-		component{"target list", listing.Run},
-		component{"alert hubs", func(ctx context.Context) error { return p.updateHubs(ctx, alerts.Want) }},
+		component{"alerts", hubClient.Run},
+		component{"target list", listChecker.Run},
+		component{"alert hubs", func(ctx context.Context) error { return p.updateHubs(ctx, hubClient.Want) }},
 		component{"sides to listen to", func(ctx context.Context) error { return reports.watchTargets(ctx, p.feed) }},
 	)
 	p.ready, p.drain, p.served, p.ends = server.Ready, server.Drain, server.Served, server.Ends
