--- a/io/process/hosted/entry.go
+++ b/io/process/hosted/entry.go
@@ -65,7 +65,7 @@
 	listChecker := &alert.ListChecker{Clock: p.clock, Registry: p.alerts, Source: p.feed}
 	loadListener := &pulse.Listener{Self: p.self, Clock: p.clock, Log: p.log}
 	reports := &loadReports{entry: e.Settings.VM, sidePort: e.Settings.SidePort, setSides: loadListener.Want, report: server.Report}
-	loadListener.Heard = reports.receive
+	loadListener.OnLoad = reports.receive
 	p.components = append(
 		p.components,
 		component{"callers", server.Run},
--- a/io/process/hosted/reports.go
+++ b/io/process/hosted/reports.go
@@ -105,14 +105,14 @@
 	r.mu.Lock()
 	vm, known := r.vms[side.Addr()]
 	if known {
-		r.census.Note(side.Addr(), l.Near, l.Far, vm.zoneTargets, vm.zones)
+		r.census.Note(side.Addr(), l.OwnZone, l.OtherZones, vm.zoneTargets, vm.zones)
 	}
 	entries := r.census.Entries()
 	r.mu.Unlock()
 	for _, id := range vm.targets {
 		r.report(id, place.Report{
 			Alive: l.Alive, Active: l.Active, Queued: l.Queued, Pace: l.Pace, Serving: l.Serving, Busy: l.Loading,
-			Entries: l.Near + l.Far, Fleet: entries, Born: l.Born,
+			Entries: l.OwnZone + l.OtherZones, Fleet: entries, Born: l.Born,
 		})
 	}
 }
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -83,7 +83,7 @@
 	manifests     *shelf.Library
 	node          *swarm.Node
 	rollout       *rolloutView
-	loadPublisher *pulse.Teller
+	loadPublisher *pulse.Publisher
 	vms           vmCache
 
 	mu     sync.Mutex
@@ -144,8 +144,8 @@
 		Self: p.self, Clock: p.clock, Awake: awake.Now, Log: p.log, Source: s.rollout, Engine: s.adapter,
 		Verified: s.verified, Draining: func() bool { return false }, Deadline: s.loadDeadline,
 	}
-	s.loadPublisher = &pulse.Teller{Clock: p.clock, Log: p.log, Engine: s.Engine, Zone: s.Settings.VM.Zone}
-	s.loadPublisher.Noticed = orderer.Notice
+	s.loadPublisher = &pulse.Publisher{Clock: p.clock, Log: p.log, Engine: s.Engine, Zone: s.Settings.VM.Zone}
+	s.loadPublisher.OnUrgentChange = orderer.Notice
 	s.adapter.Loading = s.loadPublisher.Announce
 	p.served = s.served
 	p.handlers[link.PurposeWeights] = s.node.Handler()
--- a/io/process/pulse/listen.go
+++ b/io/process/pulse/listen.go
@@ -11,61 +11,62 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Times of a listener.
+// Timeouts of a listener.
 const (
 	dialTimeout = 500 * time.Millisecond
-	redialAfter = 300 * time.Millisecond
-	// silence is after how long without a word a connection is opened anew:
-	// one that went silent for good shows by nothing else.
-	silence = 3 * repeatEvery
+	redialDelay = 300 * time.Millisecond
+	// receiveTimeout is the time without a report after which a connection is closed
+	// and dialled again; a dead connection can't be detected otherwise.
+	receiveTimeout = 3 * heartbeatInterval
 )
 
-// Listener hears the sides of engines. Set the exported fields before Run.
+// Listener connects an entry to the sides of engines and receives their load reports. Set
+// the exported fields before Run.
 type Listener struct {
 	Self  *link.Self
 	Clock clockwork.Clock
 	Log   trail.Log
-	// Heard is told what the side at addr says. It must not block.
-	Heard func(addr netip.AddrPort, l Load)
+	// OnLoad is called with each report of the side at addr. It must not block.
+	OnLoad func(addr netip.AddrPort, l Load)
 
 	sides link.Keeper
 }
 
-// Run keeps the connections until ctx ends.
+// Run maintains the connections until ctx ends.
 func (l *Listener) Run(ctx context.Context) error {
-	l.sides.Keep = l.hear
+	l.sides.Keep = l.maintain
 	return l.sides.Run(ctx)
 }
 
-// Want takes the sides to hear from now on.
+// Want sets the sides to be connected to from now on.
 func (l *Listener) Want(addrs []netip.AddrPort) { l.sides.Want(addrs) }
 
-// hear keeps one connection, and writes down when its side is heard and when it
-// is not any more.
-func (l *Listener) hear(ctx context.Context, addr netip.AddrPort) {
+// maintain keeps a connection to one side, and logs when its first report arrives and when
+// the connection is lost.
+func (l *Listener) maintain(ctx context.Context, addr netip.AddrPort) {
 	var last state
 	for ctx.Err() == nil {
-		err := l.hearOnce(ctx, addr, func() { l.note(&last, stateHeard, addr, nil) })
+		err := l.receive(ctx, addr, func() { l.logState(&last, stateReceiving, addr, nil) })
 		if ctx.Err() == nil {
-			l.note(&last, stateLost, addr, err)
+			l.logState(&last, stateLost, addr, err)
 		}
 		select {
 		case <-ctx.Done():
-		case <-l.Clock.After(redialAfter):
+		case <-l.Clock.After(redialDelay):
 		}
 	}
 }
 
-// state is whether a side is heard.
+// state is whether reports of a side arrive. Its value is the action of the log record.
 type state string
 
-// The states of a side, which are the actions of their lines.
+// The states of a side.
 const (
-	stateHeard state = "sideHeard"
-	stateLost  state = "sideLost"
+	stateReceiving state = "sideHeard"
+	stateLost      state = "sideLost"
 )
 
-func (l *Listener) note(last *state, now state, addr netip.AddrPort, err error) {
+func (l *Listener) logState(last *state, now state, addr netip.AddrPort, err error) {
 	if *last == now {
 		return
 	}
@@ -77,21 +78,21 @@
 	l.Log.Decide(d)
 }
 
-// hearOnce takes what one connection brings, and returns why it ended.
-func (l *Listener) hearOnce(ctx context.Context, addr netip.AddrPort, heard func()) error {
+// receive dials a side and passes on its reports. It returns why the connection ended.
+func (l *Listener) receive(ctx context.Context, addr netip.AddrPort, received func()) error {
 	dialCtx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	c, err := link.Dial(dialCtx, l.Self, addr, link.PurposeLoad, kinds())
 	if err != nil {
-		// The side may not have started, or be gone; without its reports the
-		// entry goes by its own requests.
+		// The side may not have started yet, or be gone. Without its reports the entry
+		// counts only its own requests.
 		return err
 	}
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
 	for {
-		if err := c.SetReadDeadline(time.Now().Add(silence)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(receiveTimeout)); err != nil {
 			return err
 		}
 		m, err := c.Receive()
@@ -99,8 +100,8 @@
 			return err
 		}
 		if load, ok := m.(*Load); ok {
-			heard()
-			l.Heard(addr, *load)
+			received()
+			l.OnLoad(addr, *load)
 		}
 	}
 }
--- a/io/process/pulse/listen_test.go
+++ b/io/process/pulse/listen_test.go
@@ -16,22 +16,22 @@
 	"hawthornferry/io/conn/link"
 )
 
-// noted keeps decisions.
-type noted struct {
+// logRecorder records the actions of decisions.
+type logRecorder struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (n *noted) Decide(d trail.Decision) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.all = append(n.all, d.Action)
+func (r *logRecorder) Decide(d trail.Decision) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.all = append(r.all, d.Action)
 }
 
-func (n *noted) actions() []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return append([]string(nil), n.all...)
+func (r *logRecorder) actions() []string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]string(nil), r.all...)
 }
 
 func testSelf(role fleet.Role) *link.Self {
@@ -43,17 +43,17 @@
 	return s
 }
 
-// serveLoads serves a side at addr until the returned function is called.
+// serveLoads serves load reports at addr until the returned function is called.
 func serveLoads(t *testing.T, addr string) (netip.AddrPort, func()) {
 	t.Helper()
 	nl, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	teller := &Teller{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, told: true}
+	publisher := &Publisher{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, published: true}
 	l := &link.Listener{
 		Self: testSelf(fleet.RoleSide), Net: nl,
-		Handlers: map[link.Purpose]link.Handler{link.PurposeLoad: teller.Handler()},
+		Handlers: map[link.Purpose]link.Handler{link.PurposeLoad: publisher.Handler()},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -66,12 +66,12 @@
 	}
 }
 
-// Callers wait longer at one engine, since its side is gone and the entry no
-// longer knows its load. The log says when the side was lost and when it was
-// heard again, once each, however often it is dialled in between.
-func TestLostSideIsWrittenDownOnce(t *testing.T) {
-	log := &noted{}
-	l := &Listener{Self: testSelf(fleet.RoleEntry), Clock: clockwork.NewRealClock(), Log: log, Heard: func(netip.AddrPort, Load) {}}
+// When a side is lost, the entry no longer knows the engine's load and callers may wait
+// longer. The log must say once when the side was lost and once when its reports resumed,
+// however many dials fail in between.
+func TestLostSideIsLoggedOnce(t *testing.T) {
+	log := &logRecorder{}
+	l := &Listener{Self: testSelf(fleet.RoleEntry), Clock: clockwork.NewRealClock(), Log: log, OnLoad: func(netip.AddrPort, Load) {}}
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- l.Run(ctx) }()
@@ -91,7 +91,7 @@
 	stop()
 	await("sideHeard", "sideLost")
 	// Several dials fail meanwhile.
-	time.Sleep(3 * redialAfter)
+	time.Sleep(3 * redialDelay)
 	_, stop = serveLoads(t, addr.String())
 	await("sideHeard", "sideLost", "sideHeard")
 	cancel()
@@ -101,18 +101,18 @@
 	stop()
 }
 
-// tellTo counts what each of many entries is told in a time in which the load
-// changes all the while.
-func tellTo(t *testing.T, entries int, span time.Duration, urgent bool) int {
+// countReports returns how many reports the given number of entries receive in total within
+// span while the load changes at every poll, with urgent changes or others.
+func countReports(t *testing.T, entries int, span time.Duration, urgent bool) int {
 	t.Helper()
-	teller := &Teller{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, told: true, Zone: "z"}
+	publisher := &Publisher{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, published: true, Zone: "z"}
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := &link.Listener{
 		Self: testSelf(fleet.RoleSide), Net: nl,
-		Handlers: map[link.Purpose]link.Handler{link.PurposeLoad: teller.Handler()},
+		Handlers: map[link.Purpose]link.Handler{link.PurposeLoad: publisher.Handler()},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -120,58 +120,59 @@
 	defer cancel()
 	wg.Go(func() { _ = l.Run(ctx) })
 	var mu sync.Mutex
-	heard := 0
+	received := 0
 	for range entries {
-		in := &Listener{
+		listener := &Listener{
 			Self: testSelf(fleet.RoleEntry), Clock: clockwork.NewRealClock(), Log: trail.Discard{},
-			Heard: func(netip.AddrPort, Load) {
+			OnLoad: func(netip.AddrPort, Load) {
 				mu.Lock()
 				defer mu.Unlock()
-				heard++
+				received++
 			},
 		}
-		wg.Go(func() { _ = in.Run(ctx) })
+		wg.Go(func() { _ = listener.Run(ctx) })
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				in.Want([]netip.AddrPort{netip.MustParseAddrPort(nl.Addr().String())})
+				listener.Want([]netip.AddrPort{netip.MustParseAddrPort(nl.Addr().String())})
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
 	}
 	for end := time.Now().Add(span); time.Now().Before(end); {
-		teller.mu.Lock()
-		next := teller.load
+		publisher.mu.Lock()
+		next := publisher.load
 		next.Active++
 		if urgent {
 			next.Serving++
 		}
-		teller.tell(next)
-		teller.mu.Unlock()
-		time.Sleep(readEvery)
+		publisher.publish(next)
+		publisher.mu.Unlock()
+		time.Sleep(pollInterval)
 	}
 	mu.Lock()
 	defer mu.Unlock()
-	return heard
+	return received
 }
 
-// Guards against sides whose reports take the links and processors of a large fleet:
-// each told each entry twenty times a second, however many entries there were.
-func TestReportsDoNotGrowWithTheEntries(t *testing.T) {
+// Guards against sides whose reports overload the links and processors of a large fleet:
+// each side used to report to each entry twenty times a second, however many entries
+// there were.
+func TestReportRateDoesNotGrowWithEntries(t *testing.T) {
 	const span = 2 * time.Second
-	most := int(span/perEntry) * 5 / 4
+	most := int(span/delayPerEntry) * 5 / 4
 	for _, entries := range []int{20, 60} {
-		if got := tellTo(t, entries, span, false); got > most {
+		if got := countReports(t, entries, span, false); got > most {
 			t.Errorf("%d entries: told %d times in %s, want %d at most", entries, got, span, most)
 		}
 	}
 }
 
-// Guards against an entry that sends to an engine which is about to load: what
-// decides whether an engine can be used at all is told at once.
-func TestWhatDecidesIsToldAtOnce(t *testing.T) {
+// Guards against an entry that sends requests to an engine which is about to load: changes
+// that decide whether an engine is usable at all must be reported at once.
+func TestUrgentChangesAreReportedAtOnce(t *testing.T) {
 	const entries, span = 40, 2 * time.Second
-	least := entries * int(span/readEvery) / 2
-	if got := tellTo(t, entries, span, true); got < least {
+	least := entries * int(span/pollInterval) / 2
+	if got := countReports(t, entries, span, true); got < least {
 		t.Errorf("told %d times in %s, want %d at least", got, span, least)
 	}
 }
--- a/io/process/pulse/pulse.go
+++ b/io/process/pulse/pulse.go
@@ -1,6 +1,8 @@
-// Package pulse tells entries, as it changes, of the load of the engine
-// beside a side. An entry sees only its own requests; without the others' it
-// would fill engines that are full already.
+// Package pulse reports the load of engines to entries. The side next to an engine polls it
+// and publishes its load to the entries that are connected (Publisher); an entry listens to
+// the sides of the engines that it uses (Listener). An entry sees only its own requests;
+// without these reports it would send more to engines that other entries have filled.
+// Package hosted runs both.
 package pulse
 
 import (
@@ -17,29 +19,33 @@
 	"hawthornferry/io/version/shelf"
 )
 
-// Times of the exchange.
+// Intervals and timeouts of a publisher.
 const (
-	// readEvery is how often the engine is read. A pass takes about 50 ms; a
-	// report within a pass tells nothing new.
-	readEvery = 50 * time.Millisecond
-	// mostReadEvery is the same where reports are told less often, and restEvery
-	// while the engine has no requests.
-	mostReadEvery = 100 * time.Millisecond
-	restEvery     = 200 * time.Millisecond
-	// repeatEvery is how often an unchanged load is told, so that an entry
-	// can tell a quiet engine from a lost side.
-	repeatEvery = 300 * time.Millisecond
-	// silentAfter is how many reads in a row must fail for an engine to
-	// count as dead: one may be lost by a busy machine.
-	silentAfter = 2
-	readTimeout = 150 * time.Millisecond
-	sendTimeout = time.Second
-	// perEntry is how much later a changed load is told for each entry that hears
-	// it: a side tells two hundred times a second, however many entries there are.
-	perEntry = 5 * time.Millisecond
+	// pollInterval is how often the engine is polled. A pass of the engine takes about
+	// 50 ms; a second report within a pass tells nothing new.
+	pollInterval = 50 * time.Millisecond
+	// maxPollInterval is the longest interval when many entries make reports less
+	// frequent, and idlePollInterval the interval while the engine has no requests.
+	maxPollInterval  = 100 * time.Millisecond
+	idlePollInterval = 200 * time.Millisecond
+	// heartbeatInterval is how often an unchanged load is reported, so that an entry can
+	// tell an idle engine from a lost side.
+	heartbeatInterval = 300 * time.Millisecond
+	// maxFailedPolls is how many polls in a row must fail for an engine to count as
+	// dead: a busy machine may lose one.
+	maxFailedPolls = 2
+	pollTimeout    = 150 * time.Millisecond
+	sendTimeout    = time.Second
+	// delayPerEntry is the delay between two reports to an entry for each connected entry.
+	// It limits a side to two hundred reports a second, however many entries are
+	// connected, except for heartbeats: with more than 60 entries they are more.
+	delayPerEntry = 5 * time.Millisecond
 )
 
-// Load is what entries are told.
+// Load is the report of an engine's load. Active and Queued count the requests of all
+// entries, Pace is how many times longer than declared the engine's steps take, Serving is
+// the version that it serves, 0 for none, and Loading is set while it loads a version or is
+// about to.
 type Load struct {
 	Alive   bool    `msgpack:"alive"`
 	Active  int     `msgpack:"active"`
@@ -47,27 +53,28 @@
 	Pace    float64 `msgpack:"pace"`
 	Serving uint64  `msgpack:"serving"`
 	Loading bool    `msgpack:"loading"`
-	// Born is when the engine started, zero when it does not tell.
+	// Born is when the engine started, zero if it does not report that.
 	Born time.Time `msgpack:"born"`
-	// Near and Far are how many entries are told, of the side's own zone and of
-	// others.
-	Near int `msgpack:"near"`
-	Far  int `msgpack:"far"`
+	// OwnZone and OtherZones are the numbers of entries that are connected to the side, from
+	// the side's own zone and from others.
+	OwnZone    int `msgpack:"near"`
+	OtherZones int `msgpack:"far"`
 }
 
-// Kind names the message.
+// Kind returns the message's name in the protocol.
 func (*Load) Kind() frame.Kind { return "load" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error if a number is negative.
 func (l *Load) Check() error {
-	if l.Active < 0 || l.Queued < 0 || l.Pace < 0 || l.Near < 0 || l.Far < 0 {
-		return errors.Newf("load: %d active, %d queued, pace %g, %d and %d entries: want none below 0", l.Active, l.Queued, l.Pace, l.Near, l.Far)
+	if l.Active < 0 || l.Queued < 0 || l.Pace < 0 || l.OwnZone < 0 || l.OtherZones < 0 {
+		return errors.Newf("load: %d active, %d queued, pace %g, %d and %d entries: want none below 0", l.Active, l.Queued, l.Pace, l.OwnZone, l.OtherZones)
 	}
 	return nil
 }
 
-// urgent reports whether a change from l must be told at once: by all other fields
-// an entry only weighs targets against each other.
+// urgent reports whether a change from l to next must be reported at once, because it
+// decides whether the engine is usable. The other fields only affect how an entry weighs
+// targets against each other.
 func (l *Load) urgent(next *Load) bool {
 	return l.Alive != next.Alive || l.Serving != next.Serving || l.Loading != next.Loading || !l.Born.Equal(next.Born)
 }
@@ -78,119 +85,119 @@
 	return k
 }
 
-// Teller reads the engine and tells the entries that are connected. Set the
-// exported fields before Run.
-type Teller struct {
+// Publisher polls the engine and reports its load to the entries that are connected. Set
+// the exported fields before Run.
+type Publisher struct {
 	Clock  clockwork.Clock
 	Log    trail.Log
 	Engine shelf.Engine
-	// Zone is the side's own.
+	// Zone is the side's zone.
 	Zone string
-	// Noticed, when set, is called when the engine was seen to change in what decides
-	// whether it can be used. It must not block.
-	Noticed func()
+	// OnUrgentChange, when set, is called when a poll finds a change that decides whether
+	// the engine is usable. It must not block.
+	OnUrgentChange func()
 
-	mu      sync.Mutex
-	load    Load
-	told    bool
-	fails   int
-	order   bool
-	near    int
-	far     int
-	changed chan struct{}
+	mu          sync.Mutex
+	load        Load
+	published   bool
+	failures    int
+	aboutToLoad bool
+	ownZone     int
+	otherZones  int
+	changed     chan struct{}
 }
 
-// Announce tells the entries that the engine is about to load, or that its
-// order has been given. What they send meanwhile would wait until the load has
-// ended.
-func (t *Teller) Announce(loading bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.order = loading
-	if next := t.load; loading && !next.Loading {
+// Announce reports that the engine is about to load, or, with false, that the order to load
+// has been given and polls tell the rest. Requests sent in between would wait until the load
+// has ended.
+func (p *Publisher) Announce(loading bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.aboutToLoad = loading
+	if next := p.load; loading && !next.Loading {
 		next.Loading = true
-		t.tell(next)
+		p.publish(next)
 	}
 }
 
-// Serving is the version that the engine serves; false before it has been read.
-func (t *Teller) Serving() (uint64, bool) {
-	l, told, _ := t.current()
-	return l.Serving, told
+// Serving returns the version that the engine serves, or false before the first report.
+func (p *Publisher) Serving() (uint64, bool) {
+	l, published, _ := p.current()
+	return l.Serving, published
 }
 
-// Handler serves the entries that connect.
-func (t *Teller) Handler() link.Handler {
-	return link.Handler{Kinds: kinds(), Serve: t.serve}
+// Handler returns the handler for connections of entries.
+func (p *Publisher) Handler() link.Handler {
+	return link.Handler{Kinds: kinds(), Serve: p.serve}
 }
 
-// Run reads the engine until ctx ends.
-func (t *Teller) Run(ctx context.Context) error {
+// Run polls the engine until ctx ends.
+func (p *Publisher) Run(ctx context.Context) error {
 	for {
-		t.read(ctx)
+		p.poll(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-t.Clock.After(t.pause()):
+		case <-p.Clock.After(p.pollDelay()):
 		}
 	}
 }
 
-func (t *Teller) pause() time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.load.Active+t.load.Queued == 0 && t.load.Alive && !t.load.Loading {
-		return restEvery
+func (p *Publisher) pollDelay() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.load.Active+p.load.Queued == 0 && p.load.Alive && !p.load.Loading {
+		return idlePollInterval
 	}
-	// What is not told need not be read.
-	return min(max(readEvery, t.interval()), mostReadEvery)
+	// There is no need to poll more often than reports are sent.
+	return min(max(pollInterval, p.reportInterval()), maxPollInterval)
 }
 
-// interval is how far apart two reports to the same entry are at the least; it is
-// called with the teller locked.
-func (t *Teller) interval() time.Duration {
-	return min(perEntry*time.Duration(t.near+t.far), repeatEvery)
+// reportInterval returns the minimum time between two reports to the same entry. p.mu must
+// be held.
+func (p *Publisher) reportInterval() time.Duration {
+	return min(delayPerEntry*time.Duration(p.ownZone+p.otherZones), heartbeatInterval)
 }
 
-func (t *Teller) read(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+func (p *Publisher) poll(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	r, err := t.Engine.Report(ctx)
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	r, err := p.Engine.Report(ctx)
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	next := Load{Alive: true, Active: r.Active, Queued: r.Queued, Pace: r.Pace, Serving: r.Serving, Loading: r.Loading, Born: r.Born}
 	if err != nil {
-		t.fails++
-		if t.fails < silentAfter {
+		p.failures++
+		if p.failures < maxFailedPolls {
 			return
 		}
 		next = Load{}
 	} else {
-		t.fails = 0
+		p.failures = 0
 	}
-	next.Loading = next.Loading || t.order
-	if next == t.load && t.told {
+	next.Loading = next.Loading || p.aboutToLoad
+	if next == p.load && p.published {
 		return
 	}
-	if next.Alive != t.load.Alive || next.Serving != t.load.Serving || !t.told {
-		t.note(next, err)
+	if next.Alive != p.load.Alive || next.Serving != p.load.Serving || !p.published {
+		p.logState(next, err)
 	}
-	if t.Noticed != nil && t.load.urgent(&next) {
-		t.Noticed()
+	if p.OnUrgentChange != nil && p.load.urgent(&next) {
+		p.OnUrgentChange()
 	}
-	t.tell(next)
+	p.publish(next)
 }
 
-// tell wakes those that serve entries; it is called with the teller locked.
-func (t *Teller) tell(next Load) {
-	t.load, t.told = next, true
-	if t.changed != nil {
-		close(t.changed)
+// publish sets the load and wakes the connections of entries. p.mu must be held.
+func (p *Publisher) publish(next Load) {
+	p.load, p.published = next, true
+	if p.changed != nil {
+		close(p.changed)
 	}
-	t.changed = make(chan struct{})
+	p.changed = make(chan struct{})
 }
 
-func (t *Teller) note(l Load, err error) {
+func (p *Publisher) logState(l Load, err error) {
 	d := trail.Decision{Area: trail.AreaMember, Action: "engineAlive", Load: l.Active, Version: l.Serving}
 	if !l.Alive {
 		d.Action = "engineSilent"
@@ -198,44 +205,44 @@
 	if err != nil {
 		d.Reason = err.Error()
 	}
-	t.Log.Decide(d)
+	p.Log.Decide(d)
 }
 
-func (t *Teller) current() (Load, bool, <-chan struct{}) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.changed == nil {
-		t.changed = make(chan struct{})
+func (p *Publisher) current() (Load, bool, <-chan struct{}) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.changed == nil {
+		p.changed = make(chan struct{})
 	}
-	l := t.load
-	l.Near, l.Far = t.near, t.far
-	return l, t.told, t.changed
+	l := p.load
+	l.OwnZone, l.OtherZones = p.ownZone, p.otherZones
+	return l, p.published, p.changed
 }
 
-func (t *Teller) count(zone string, n int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if zone == t.Zone {
-		t.near += n
+func (p *Publisher) countEntries(zone string, n int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if zone == p.Zone {
+		p.ownZone += n
 		return
 	}
-	t.far += n
+	p.otherZones += n
 }
 
-// serve tells one entry until its connection ends.
-func (t *Teller) serve(ctx context.Context, c *link.Conn) {
-	t.count(c.Peer.VM.Zone, 1)
-	defer t.count(c.Peer.VM.Zone, -1)
+// serve sends reports to one entry until its connection ends.
+func (p *Publisher) serve(ctx context.Context, c *link.Conn) {
+	p.countEntries(c.Peer.VM.Zone, 1)
+	defer p.countEntries(c.Peer.VM.Zone, -1)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		// An entry sends nothing; this returns when the connection ends.
+		// An entry sends nothing; Receive returns when the connection ends.
 		_, _ = c.Receive()
 		cancel()
 	}()
 	for ctx.Err() == nil {
-		l, told, changed := t.current()
-		if told {
+		l, published, changed := p.current()
+		if published {
 			if err := c.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
 				return
 			}
@@ -243,31 +250,32 @@
 				return
 			}
 		}
-		t.awaitNews(ctx, &l, changed)
+		p.awaitReport(ctx, &l, changed)
 	}
 }
 
-// awaitNews returns once there is something to tell an entry that was told l just
-// now.
-func (t *Teller) awaitNews(ctx context.Context, l *Load, changed <-chan struct{}) {
-	repeat := t.Clock.After(repeatEvery)
-	t.mu.Lock()
-	interval := t.interval()
-	t.mu.Unlock()
-	rest := t.Clock.After(interval)
-	rested, news := false, false
-	for !rested || !news {
+// awaitReport returns once the next report to an entry is due, after l was sent to it: at
+// once for an urgent change, after reportInterval for another one, and after
+// heartbeatInterval without a change.
+func (p *Publisher) awaitReport(ctx context.Context, l *Load, changed <-chan struct{}) {
+	heartbeat := p.Clock.After(heartbeatInterval)
+	p.mu.Lock()
+	reportInterval := p.reportInterval()
+	p.mu.Unlock()
+	intervalOver := p.Clock.After(reportInterval)
+	mayReport, changedSince := false, false
+	for !mayReport || !changedSince {
 		select {
 		case <-ctx.Done():
 			return
-		case <-repeat:
+		case <-heartbeat:
 			return
-		case <-rest:
-			rested = true
+		case <-intervalOver:
+			mayReport = true
 		case <-changed:
 			var next Load
-			next, _, changed = t.current()
-			news = true
+			next, _, changed = p.current()
+			changedSince = true
 			if l.urgent(&next) {
 				return
 			}
