--- a/io/process/awake/awake.go
+++ b/io/process/awake/awake.go
@@ -1,5 +1,7 @@
-// Package awake tells the time that passes for a machine, suspension included,
-// and whether this process ran all the while.
+// Package awake provides a clock that also counts the time in which the machine is
+// suspended (Now), and detects when this process stalled (StallDetector). Ages of information
+// are measured with them: package hosted passes both to package feed, and packages order and
+// shelf use Now.
 package awake
 
 import (
@@ -14,14 +16,14 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Now is the time since the machine's start, suspension included. The steady
-// clock of the runtime stands still while a machine is suspended; what others
-// count from an event goes on.
+// Now returns the time since the machine's boot, including time in suspension. Go's monotonic
+// clock stops while a machine is suspended, but what other machines measure from the same
+// event does not.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The call fails on no system that has the clock at all; the steady
-		// clock is the nearest there is.
+		// This does not fail on any system that has the clock; Go's monotonic clock is the
+		// best substitute.
 		return time.Since(processStart)
 	}
 	return time.Duration(ts.Nano())
@@ -30,35 +32,34 @@
 var processStart = time.Now()
 
 const (
-	// beatEvery is how often the watch looks at the time.
-	beatEvery = 50 * time.Millisecond
-	// leastStandstill is how far two looks may lie apart before the process
-	// counts as having stood still: a machine that shares out its processors in
-	// slices of a tenth of a second holds one up for less.
-	leastStandstill = 200 * time.Millisecond
+	// checkInterval is how often the detector checks the time.
+	checkInterval = 50 * time.Millisecond
+	// Two checks that are more than minStall apart show a stall. A machine that schedules
+	// its processors in slices of a tenth of a second delays a process for less.
+	minStall = 200 * time.Millisecond
 )
 
-// Watch notices when the process stands still: frozen, suspended with its
-// machine, or without a processor. Set the exported fields before Run.
-type Watch struct {
+// StallDetector detects when the process stalled: it was frozen, suspended with its machine,
+// or got no processor time. Set the exported fields before Run.
+type StallDetector struct {
 	Clock   clockwork.Clock
 	Now     func() time.Duration
 	Log     trail.Log
 	Metrics tally.Scope
 
 	mu sync.Mutex
-	// last is the latest look, and ended when the latest standstill ended; both
-	// on Now, zero before the first.
-	last  time.Duration
-	ended time.Duration
+	// lastCheck is the time of the latest check, and stallEnd the end of the latest
+	// stall; both as told by Now, zero before the first.
+	lastCheck time.Duration
+	stallEnd  time.Duration
 }
 
-// Run looks at the time until ctx ends.
-func (w *Watch) Run(ctx context.Context) error {
-	tick := w.Clock.NewTicker(beatEvery)
+// Run checks the time until ctx ends.
+func (d *StallDetector) Run(ctx context.Context) error {
+	tick := d.Clock.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
-		w.look()
+		d.check()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -67,29 +68,29 @@
 	}
 }
 
-// RanSince reports whether the process ran without a standstill from the given
-// moment until now, as far as the watch covers it. Two threads may wake in any
-// order, so that it looks for itself.
-func (w *Watch) RanSince(at time.Duration) bool {
-	w.look()
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.ended <= at
+// RanSince reports whether the process ran without a stall from the given time until now, as
+// far as it has been checked. It checks the time itself, since after a stall the caller may
+// be scheduled before Run.
+func (d *StallDetector) RanSince(at time.Duration) bool {
+	d.check()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.stallEnd <= at
 }
 
-func (w *Watch) look() {
-	w.mu.Lock()
-	now := w.Now()
-	gap := now - w.last
-	stood := w.last > 0 && gap > leastStandstill
-	w.last = now
-	if stood {
-		w.ended = now
+func (d *StallDetector) check() {
+	d.mu.Lock()
+	now := d.Now()
+	gap := now - d.lastCheck
+	stalled := d.lastCheck > 0 && gap > minStall
+	d.lastCheck = now
+	if stalled {
+		d.stallEnd = now
 	}
-	w.mu.Unlock()
-	if !stood {
+	d.mu.Unlock()
+	if !stalled {
 		return
 	}
-	w.Metrics.Counter("standstills_total").Inc(1)
-	w.Log.Decide(trail.Decision{Area: trail.AreaMember, Action: "stoodStill", TookMS: gap.Milliseconds()})
+	d.Metrics.Counter("standstills_total").Inc(1)
+	d.Log.Decide(trail.Decision{Area: trail.AreaMember, Action: "stoodStill", TookMS: gap.Milliseconds()})
 }
--- a/io/process/awake/awake_test.go
+++ b/io/process/awake/awake_test.go
@@ -11,38 +11,37 @@
 	"hawthornferry/core/process/trail"
 )
 
-// lines collects decisions.
-type lines []trail.Decision
+// decisions records the decisions that are logged.
+type decisions []trail.Decision
 
-// Decide keeps d.
-func (l *lines) Decide(d trail.Decision) { *l = append(*l, d) }
+// Decide records d.
+func (l *decisions) Decide(d trail.Decision) { *l = append(*l, d) }
 
-// A process is frozen for four seconds and takes up its work in the middle of
-// an answer, before the watch has had its turn. What it concludes then from
-// "this just came" is wrong, so it has to know at once, and operators have to
-// find the standstill in the log.
-func TestStandstillShowsBeforeTheNextLook(t *testing.T) {
+// A process is frozen for four seconds and resumes in the middle of an answer, before the
+// detector's next check. It must know of the stall at once, since it would otherwise take old
+// data for data that has just arrived, and operators must find the stall in the log.
+func TestStallIsDetectedBeforeTheNextCheck(t *testing.T) {
 	now := time.Hour
-	log := &lines{}
-	w := &Watch{Clock: clockwork.NewFakeClock(), Now: func() time.Duration { return now }, Log: log, Metrics: tally.NoopScope}
-	asked := now
+	log := &decisions{}
+	d := &StallDetector{Clock: clockwork.NewFakeClock(), Now: func() time.Duration { return now }, Log: log, Metrics: tally.NoopScope}
+	since := now
 	for range 10 {
-		w.look()
-		now += 2 * beatEvery
+		d.check()
+		now += 2 * checkInterval
 	}
-	if !w.RanSince(asked) {
-		t.Error("a process that ran all the while is said to have stood still")
+	if !d.RanSince(since) {
+		t.Error("reports a stall of a process that ran all the time")
 	}
 	now += 4 * time.Second
-	if w.RanSince(asked) {
-		t.Error("a process that stood still is said to have run")
+	if d.RanSince(since) {
+		t.Error("reports no stall of a process that stalled")
 	}
-	asked = now
-	now += beatEvery
-	if !w.RanSince(asked) {
-		t.Error("the standstill counts for what began after it")
+	since = now
+	now += checkInterval
+	if !d.RanSince(since) {
+		t.Error("reports a stall for a time after its end")
 	}
-	want := &lines{{Area: trail.AreaMember, Action: "stoodStill", TookMS: 4000}}
+	want := &decisions{{Area: trail.AreaMember, Action: "stoodStill", TookMS: 4000}}
 	if diff := cmp.Diff(want, log); diff != "" {
 		t.Errorf("log (-want +got):\n%s", diff)
 	}
--- a/io/process/hosted/process.go
+++ b/io/process/hosted/process.go
@@ -70,15 +70,15 @@
 // state, logs, metrics, alerts and the servers for peers and administration. Entry
 // and Side add their own components and callbacks before run.
 type process struct {
-	settings Settings
-	self     *link.Self
-	clock    clockwork.Clock
-	logger   *logrus.Logger
-	log      trail.Log
-	metrics  tally.Scope
-	feed     *feed.Feed
-	watch    *awake.Watch
-	alerts   *alert.Registry
+	settings      Settings
+	self          *link.Self
+	clock         clockwork.Clock
+	logger        *logrus.Logger
+	log           trail.Log
+	metrics       tally.Scope
+	feed          *feed.Feed
+	stallDetector *awake.StallDetector
+	alerts        *alert.Registry
 
 	sink           *trace.Sink
 	metricsCloser  io.Closer
@@ -118,14 +118,14 @@
 	}
 	p.logger = logger
 	p.log = &trace.Log{Process: s.Node, Clock: p.clock, Logger: logger, Routine: direct.Routine, Budget: &trace.Budget{PerSecond: logLinesPerSecond, RoutinePerSecond: routineLinesPerSecond, Metrics: p.metrics}}
-	p.watch = &awake.Watch{Clock: p.clock, Now: awake.Now, Log: p.log, Metrics: p.metrics}
+	p.stallDetector = &awake.StallDetector{Clock: p.clock, Now: awake.Now, Log: p.log, Metrics: p.metrics}
 	wait, peerWait := entryWaits(s.Bounds)
 	if s.VM.Role == fleet.RoleSide {
 		wait, peerWait = sideStoreWait, sidePeerWait
 	}
 	p.feed = &feed.Feed{
 		Self: p.self, Clock: p.clock, Log: p.log, Metrics: p.metrics,
-		Store: platform.Store, Reader: platform.Reader, Awake: awake.Now, RanSince: p.watch.RanSince, Wait: wait,
+		Store: platform.Store, Reader: platform.Reader, Awake: awake.Now, RanSince: p.stallDetector.RanSince, Wait: wait,
 		Drain: s.Bounds.Drain, Peers: p.peers, Readers: p.seeds,
 	}
 	if !p.readsStore() {
@@ -234,7 +234,7 @@
 	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	g, runCtx := errgroup.WithContext(runCtx)
-	components := append([]component{{"store feed", p.feed.Run}, {"settings", p.watchSettings}, {"gauges", p.runGauges}, {"state log", p.logState}, {"standstills", p.watch.Run}}, p.components...)
+	components := append([]component{{"store feed", p.feed.Run}, {"settings", p.watchSettings}, {"gauges", p.runGauges}, {"state log", p.logState}, {"standstills", p.stallDetector.Run}}, p.components...)
 	for _, nl := range peers {
 		l := &link.Listener{Self: p.self, Net: nl, Handlers: p.handlers, Rejected: p.rejected}
 		components = append(components, component{"peers", l.Run})
