--- a/io/process/conf/conf.go
+++ b/io/process/conf/conf.go
@@ -1,5 +1,6 @@
-// Package conf reads the settings of a process: one INI file, over which
-// flags of the form --section-key go. doc/settings.md lists every key.
+// Package conf reads and checks the settings of an entry or a side from an INI file and from
+// flags of the form --section-key, which override the file. The commands in package cmds call
+// it; package host builds a process from the result. doc/settings.md lists every key.
 package conf
 
 import (
@@ -10,8 +11,8 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// Settings are the checked settings of one process, an entry or a side.
-// Rates are in bytes a second and sizes in bytes.
+// Settings are the checked settings of one process, an entry or a side. Rates are in bytes
+// per second and sizes in bytes.
 type Settings struct {
 	Process  Process
 	Listen   Listen
@@ -23,7 +24,7 @@
 	Log      Log
 }
 
-// Process says who the process is and where it runs.
+// Process identifies the process and its location.
 type Process struct {
 	Name   string     `key:"name" unit:"name" need:"true" help:"name of the VM, as in the VM list"`
 	Role   fleet.Role `key:"role" need:"true" oneof:"entry,side" help:"what the process does"`
@@ -38,9 +39,9 @@
 	Admin   netip.AddrPort `key:"admin" need:"true" help:"where the administration API answers"`
 }
 
-// Platform says where the platform answers. A missing Config or VMList
-// leaves the process to its peers; a missing Store or Origin leaves the
-// drawing of new weights to the other sides.
+// Platform holds the addresses of the platform's services. Without Config or VMList, the
+// process learns the configuration or the VMs from its peers only; without Store or Origin,
+// it leaves the download of new weights to the other sides and gets them from those.
 type Platform struct {
 	Environment string         `key:"environment" unit:"name" need:"true" help:"name of the environment whose document is in force"`
 	Config      netip.AddrPort `key:"config" help:"configuration service"`
@@ -49,26 +50,27 @@
 	Origin      netip.AddrPort `key:"origin" help:"origin of the weights"`
 }
 
-// Peers names processes that are asked before the VM list is known.
+// Peers lists processes that are contacted before the VM list is known.
 type Peers struct {
 	Seeds []netip.AddrPort `key:"seeds" help:"peer addresses, parted by commas, that are asked at the start"`
 }
 
-// Target is what stands beside a side.
+// Target describes the target next to a side.
 type Target struct {
 	Address netip.AddrPort `key:"address" need:"true" role:"side" help:"where the target answers"`
 	Service string         `key:"service" unit:"name" need:"true" role:"side" help:"service whose replica the target is"`
 	Kind    envdoc.Kind    `key:"kind" need:"true" oneof:"engine,plain" role:"side" help:"whether the target is a model engine or a plain service"`
 }
 
-// Links are the rates of the VM's link and its region's share.
+// Links holds the bandwidth of the VM's link and of its region's link.
 type Links struct {
 	Up     int64 `key:"up" unit:"rate" default:"50Mbit" min:"64kbit" max:"400Gbit" help:"rate of the VM's link upwards, a second"`
 	Down   int64 `key:"down" unit:"rate" default:"50Mbit" min:"64kbit" max:"400Gbit" help:"rate of the VM's link downwards, a second"`
 	Region int64 `key:"region" unit:"rate" default:"25Mbit" min:"64kbit" max:"400Gbit" help:"rate of the region's link each way, a second; the document goes before it"`
 }
 
-// Limits bound what callers and peers can make the process hold.
+// Limits bounds the resources that callers and peers can make the process use, and the time
+// and memory that the process itself takes.
 type Limits struct {
 	MaxBody     int64         `key:"maxBody" default:"4MiB" min:"1KiB" max:"64MiB" role:"entry" help:"most bytes of a caller's request body"`
 	MaxHeader   int64         `key:"maxHeader" default:"64KiB" min:"4KiB" max:"1MiB" role:"entry" help:"most bytes of a caller's request headers"`
--- a/io/process/conf/conf_test.go
+++ b/io/process/conf/conf_test.go
@@ -24,7 +24,7 @@
 	return string(b)
 }
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	entry, err := Parse("entry.ini", []byte(readExample(t, "entry.ini")), fleet.RoleEntry, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestFlagsGoOverFile(t *testing.T) {
+func TestFlagsOverrideFile(t *testing.T) {
 	flags := []Flag{{Section: "limits", Key: "grace", Value: "1m"}, {Section: "peers", Key: "seeds", Value: "127.0.0.1:1"}}
 	s, err := Parse("entry.ini", []byte(readExample(t, "entry.ini")), fleet.RoleEntry, flags)
 	if err != nil {
@@ -98,8 +98,8 @@
 	}
 }
 
-// The page for operators must not fall behind the settings: each key that a
-// process reads is named there in its section with its default and bounds.
+// The documentation for operators must be up to date: it has a row for each key that a process
+// reads, with its section, default and bounds.
 func TestPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "doc", "settings.md"))
 	if err != nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// pageRow is the line of a setting in the table of doc/settings.md.
+// pageRow returns the row of a setting in the table of doc/settings.md.
 func pageRow(o Option) string {
 	unit := o.Unit
 	if o.OneOf != "" {
@@ -124,13 +124,13 @@
 	if o.Min != "" || o.Max != "" {
 		bounds = o.Min + " to " + o.Max
 	}
-	standard := o.Default
+	defaultText := o.Default
 	if o.Need {
-		standard = "required"
+		defaultText = "required"
 	}
-	read := o.Role
-	if read == "" {
-		read = "both"
+	roles := o.Role
+	if roles == "" {
+		roles = "both"
 	}
-	return fmt.Sprintf("| `[%s] %s` | %s | %s | %s | %s | %s |", o.Section, o.Key, unit, standard, bounds, read, o.Help)
+	return fmt.Sprintf("| `[%s] %s` | %s | %s | %s | %s | %s |", o.Section, o.Key, unit, defaultText, bounds, roles, o.Help)
 }
--- a/io/process/conf/load.go
+++ b/io/process/conf/load.go
@@ -10,14 +10,14 @@
 	"hawthornferry/core/process/opt"
 )
 
-// Flag is one setting that was given on the command line.
+// Flag is one setting given on the command line.
 type Flag struct {
 	Section string
 	Key     string
 	Value   string
 }
 
-// section is a section's name and where its settings are kept.
+// section is the name of a section and the struct that holds its settings.
 type section struct {
 	name string
 	ptr  any
@@ -36,9 +36,9 @@
 	}
 }
 
-// Load reads the settings of a process of the given role from the file at
-// path. The flags go over the file's values. An error that is inidoc.Flaws
-// lists all faults.
+// Load reads the settings of a process of the given role from the file at path. The flags
+// override the file's values. An error of type inidoc.Flaws lists everything that is wrong
+// with the settings.
 func Load(path string, role fleet.Role, flags []Flag) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -47,14 +47,14 @@
 	return Parse(path, b, role, flags)
 }
 
-// Parse is Load for a text; name stands for the file in errors.
+// Parse is like Load, but reads the text b. Errors give name as the file.
 func Parse(name string, b []byte, role fleet.Role, flags []Flag) (Settings, error) {
 	var s Settings
 	r := reader{file: inidoc.Parse(name, b), role: role, flags: flags}
 	for _, sec := range s.sections() {
 		r.section(sec)
 	}
-	r.unknown(s.sections())
+	r.rejectUnknownSections(s.sections())
 	if s.Process.Role != "" && s.Process.Role != role {
 		r.reject("process", "role", string(s.Process.Role), "the command is "+string(role))
 	}
@@ -114,7 +114,7 @@
 	return "", false
 }
 
-func (r *reader) unknown(known []section) {
+func (r *reader) rejectUnknownSections(known []section) {
 	for _, in := range r.file.Sections {
 		if !hasSection(known, in.Name) {
 			in.Reject("", "", "unknown section, want one of "+sectionNames(known))
@@ -144,13 +144,13 @@
 	return strings.Join(names, ", ")
 }
 
-// Option is the description of one setting, for help and documentation.
+// Option describes one setting, for help and documentation.
 type Option struct {
 	Section string
 	opt.Field
 }
 
-// Options lists the settings that a process of the given role reads.
+// Options returns the settings that a process of the given role reads.
 func Options(role fleet.Role) []Option {
 	var s Settings
 	var out []Option
@@ -164,7 +164,7 @@
 	return out
 }
 
-// VM returns the process's own entry, as its peers are told of it.
+// VM returns the description of the process's VM as it is reported to peers.
 func (s *Settings) VM() fleet.VM {
 	return fleet.VM{
 		Name:    s.Process.Name,
