--- a/io/process/gauge/gauge.go
+++ b/io/process/gauge/gauge.go
@@ -1,5 +1,6 @@
-// Package gauge keeps the measures by which a process is seen to decline
-// slowly, and shows them as metrics and in the status.
+// Package gauge records measures that show a slow decline of a process (latencies, counts and
+// table sizes), and publishes them as metrics and in the status. Package host creates one
+// Gauge for each process; packages front and gate record their measures in it.
 package gauge
 
 import (
@@ -17,24 +18,23 @@
 	"hawthornferry/io/process/admin"
 )
 
-// publishEvery is how often sizes are read and metrics are set.
-const publishEvery = time.Minute
+// publishInterval is how often table sizes are read and metrics are updated.
+const publishInterval = time.Minute
 
-// maxMetrics bounds the metrics that are ever made: a scope never forgets
-// one, and services come and go for as long as the process lives.
+// maxMetrics limits the metric scopes that are ever created: tally never removes one, and
+// services come and go for as long as the process lives.
 const maxMetrics = 512
 
-// Table is a table whose size is watched. Bound is 0 when the document in
-// force sets it.
+// Table is a table whose size is recorded. Bound is its maximum size, or 0 if that is set by
+// the document in force.
 type Table struct {
 	Name  string
 	Bound int
 	Len   func() int
 }
 
-// Gauge is a process's measures. Set the exported fields before the first
-// use. A nil Gauge takes samples and drops them. It is safe for concurrent
-// use.
+// Gauge holds the measures of a process. Set the exported fields before the first use. It is
+// safe for concurrent use. A nil Gauge ignores samples.
 type Gauge struct {
 	Clock   clockwork.Clock
 	Metrics tally.Scope
@@ -45,7 +45,7 @@
 	scopes  map[string]tally.Scope
 }
 
-// Latency adds a duration to the measure called name.
+// Latency adds a duration to the latency measure called name.
 func (g *Gauge) Latency(name string, d time.Duration) {
 	if g == nil {
 		return
@@ -55,7 +55,7 @@
 	g.tracker.Latency(g.Clock.Now(), name, d)
 }
 
-// Count adds n to the count called name.
+// Count adds n to the counter called name.
 func (g *Gauge) Count(name string, n int) {
 	if g == nil {
 		return
@@ -65,8 +65,7 @@
 	g.tracker.Count(g.Clock.Now(), name, n)
 }
 
-// Watch adds a table whose size is read every publishEvery. Len must not use
-// the gauge.
+// Watch adds a table whose size is read every publishInterval. Its Len must not use the gauge.
 func (g *Gauge) Watch(t Table) {
 	if g == nil {
 		return
@@ -76,9 +75,9 @@
 	g.tables = append(g.tables, t)
 }
 
-// Run reads sizes and sets metrics until ctx ends.
+// Run reads sizes and updates metrics until ctx ends.
 func (g *Gauge) Run(ctx context.Context) error {
-	tick := g.Clock.NewTicker(publishEvery)
+	tick := g.Clock.NewTicker(publishInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -126,7 +125,7 @@
 	return g.scopes[key]
 }
 
-// Tables returns the watched tables with their sizes now.
+// Tables returns the watched tables with their current sizes.
 func (g *Gauge) Tables() []admin.Table {
 	g.mu.Lock()
 	tables := slices.Clone(g.tables)
@@ -139,7 +138,7 @@
 	return out
 }
 
-// Drift returns a row for each measure and scale that can be compared.
+// Drift returns a row for each measure and time scale with enough windows to compare.
 func (g *Gauge) Drift() []admin.Drift {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/io/process/gauge/gauge_test.go
+++ b/io/process/gauge/gauge_test.go
@@ -11,9 +11,9 @@
 	"hawthornferry/io/process/admin"
 )
 
-// An operator reads the status of an entry whose first bytes came later in
-// the last window: the row says so, and the same figures are metrics.
-func TestDeclineIsInStatusAndMetrics(t *testing.T) {
+// The latency of an entry's first bytes rises in the last window. The status must report the
+// decline, and the same figures must be published as metrics.
+func TestDeclineIsReportedInStatusAndMetrics(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	scope := tally.NewTestScope("", nil)
 	g := &Gauge{Clock: clock, Metrics: scope}
