--- a/io/process/entry/entry.go
+++ b/io/process/entry/entry.go
@@ -1,5 +1,7 @@
-// Package entry is the process that callers reach: it admits their requests,
-// chooses a target for each and tells the outcome.
+// Package entry runs an entry: the process that accepts callers' requests, chooses a target for
+// each, forwards it to the side next to that target and returns the outcome. The entry
+// command in package cmds calls it. It combines package host, which every process needs, with
+// package front, which serves callers.
 package entry
 
 import (
@@ -12,8 +14,7 @@
 	"hawthornferry/io/request/front"
 )
 
-// Entry is one entry process. Host is opened and Callers is listening before
-// Run.
+// Entry is one entry process. Before Run, Host must be opened and Callers must be listening.
 type Entry struct {
 	Host    *host.Host
 	Callers net.Listener
@@ -42,9 +43,9 @@
 			Subset:        limits.Subset,
 		},
 	}
-	h.Parts = append(h.Parts, host.Part{Name: "callers", Run: e.front.Run})
+	h.Components = append(h.Components, host.Component{Name: "callers", Run: e.front.Run})
 	h.Ready = e.ready
-	h.Fill = e.fill
+	h.AddStatus = e.addStatus
 	h.Drain = e.front.Drain
 	return h.Run(ctx)
 }
--- a/io/process/entry/status.go
+++ b/io/process/entry/status.go
@@ -7,8 +7,8 @@
 	"hawthornferry/io/request/front"
 )
 
-// fill adds targets, outcomes and rollouts to a status.
-func (e *Entry) fill(st *admin.Status) {
+// addStatus adds targets, outcomes and rollouts to a status.
+func (e *Entry) addStatus(st *admin.Status) {
 	targets := e.front.Targets()
 	st.Targets = targetRows(targets)
 	st.Outcomes = outcomeRows(e.front.Outcomes())
@@ -37,17 +37,17 @@
 	service  string
 }
 
-// outcomeRows turns one count for each outcome into one row for each
-// customer and service.
+// outcomeRows converts the counts, one for each outcome, into one row for each customer and
+// service.
 func outcomeRows(counts []front.OutcomeCount) []admin.Outcome {
-	place := map[outcomeKey]int{}
+	index := map[outcomeKey]int{}
 	var out []admin.Outcome
 	for _, c := range counts {
 		k := outcomeKey{c.Customer, c.Service}
-		i, ok := place[k]
+		i, ok := index[k]
 		if !ok {
 			i = len(out)
-			place[k] = i
+			index[k] = i
 			out = append(out, admin.Outcome{Customer: c.Customer, Service: c.Service})
 		}
 		out[i].Repeated += uint64(c.Repeated)
@@ -64,8 +64,8 @@
 	return out
 }
 
-// rollouts counts, among the targets that this entry has sessions with, those
-// that serve the version which the document names.
+// rollouts counts the targets that serve the version named in the document, among those that
+// this entry has sessions with.
 func rollouts(d *envdoc.Document, targets []front.TargetStatus) []admin.Rollout {
 	var out []admin.Rollout
 	for _, s := range d.Services {
--- a/io/process/host/host.go
+++ b/io/process/host/host.go
@@ -1,6 +1,6 @@
-// Package host runs what every process of the system has: its logs, metrics,
-// configuration, peer listener and administration API, around the parts that
-// make it an entry or a side.
+// Package host runs what entries and sides have in common: logs, metrics, configuration, the
+// listener for peers and the administration API. The commands in package cmds open a Host;
+// packages entry and side add their own components to it and call Run.
 package host
 
 import (
@@ -29,15 +29,15 @@
 	"hawthornferry/io/process/watch"
 )
 
-// Part is one component of a process. It runs until its context ends.
-type Part struct {
+// Component is a part of a process that runs until its context ends.
+type Component struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Host is the common frame of a process. Settings, Peers and Admin are set
-// first; Open then makes the exported components that parts are built from;
-// the rest is set before Run.
+// Host is the common part of a process. Settings, Version, Peers and Admin are set before
+// Open, which creates the fields from Self to Watcher. Those from Components to Drain are set
+// before Run.
 type Host struct {
 	Settings conf.Settings
 	Version  string
@@ -52,13 +52,13 @@
 	Gauge   *gauge.Gauge
 	Watcher *watch.Watcher
 
-	Parts    []Part
-	Handlers map[link.Purpose]link.Handler
-	// Ready returns why the process takes no callers, nil when it does.
+	Components []Component
+	Handlers   map[link.Purpose]link.Handler
+	// Ready returns why the process does not accept callers, or nil if it does.
 	Ready func() error
-	// Fill adds to a status what only the entry or the side knows.
-	Fill func(s *admin.Status)
-	// Drain stops new work and returns when what is in flight has finished.
+	// AddStatus adds to a status what only the entry or the side knows.
+	AddStatus func(s *admin.Status)
+	// Drain stops new work and returns when work in flight has finished.
 	Drain func(ctx context.Context) error
 
 	started  time.Time
@@ -68,13 +68,13 @@
 	draining chan struct{}
 }
 
-// Open makes the components from the settings.
+// Open creates the common components from the settings.
 func (h *Host) Open() error {
 	h.Clock = clockwork.NewRealClock()
 	h.started = h.Clock.Now()
 	h.draining = make(chan struct{})
-	// A soft limit makes the collector work harder near the bound that the
-	// VM's slot allows, where the process would be ended for its size.
+	// With a soft limit, the garbage collector works harder before the process reaches
+	// the memory limit of the VM's slot, at which it would be killed.
 	debug.SetMemoryLimit(h.Settings.Limits.Memory)
 	h.openSelf()
 	var closer io.Closer
@@ -144,9 +144,8 @@
 	}
 }
 
-// Run runs the process until ctx ends, then drains it within the grace
-// period. It returns an error when a part failed or the grace period ended
-// with work in flight.
+// Run runs the process until ctx ends, then drains it within the grace period. It returns an
+// error if a component failed or work was still in flight when the grace period ended.
 func (h *Host) Run(ctx context.Context) error {
 	sinkCtx, stopSinks := context.WithCancel(context.Background())
 	var sinks errgroup.Group
@@ -154,29 +153,30 @@
 		sinks.Go(func() error { return s.Run(sinkCtx) })
 	}
 	h.Logger.WithField("vm", h.Self.VM.Name).WithField("boot", h.Self.Boot).Info("started")
-	err := h.runParts(ctx)
+	err := h.runComponents(ctx)
 	h.Logger.WithField("vm", h.Self.VM.Name).WithError(err).Info("stopped")
 	stopSinks()
 	return errors.CombineErrors(err, errors.CombineErrors(sinks.Wait(), h.close()))
 }
 
-// runParts keeps the parts running while they drain: calls in flight still
-// need sessions, configuration and the administration API.
-func (h *Host) runParts(ctx context.Context) error {
-	partCtx, stopParts := context.WithCancel(context.Background())
-	defer stopParts()
-	g, partCtx := errgroup.WithContext(partCtx)
-	for _, p := range h.allParts() {
-		g.Go(func() error { return fault.At("run "+p.Name, "", p.Run(partCtx)) })
+// runComponents runs the components until ctx ends or one fails. They keep running while the
+// process drains: calls in flight still need sessions, configuration and the administration
+// API.
+func (h *Host) runComponents(ctx context.Context) error {
+	runCtx, stop := context.WithCancel(context.Background())
+	defer stop()
+	g, runCtx := errgroup.WithContext(runCtx)
+	for _, c := range h.allComponents() {
+		g.Go(func() error { return fault.At("run "+c.Name, "", c.Run(runCtx)) })
 	}
 	select {
-	case <-partCtx.Done():
+	case <-runCtx.Done():
 		return g.Wait()
 	case <-ctx.Done():
 	}
 	close(h.draining)
 	err := h.drain()
-	stopParts()
+	stop()
 	return errors.CombineErrors(err, g.Wait())
 }
 
@@ -189,20 +189,20 @@
 	return fault.At("drain within the grace period", "", h.Drain(ctx))
 }
 
-func (h *Host) allParts() []Part {
+func (h *Host) allComponents() []Component {
 	handlers := map[link.Purpose]link.Handler{link.PurposeConfig: h.Watcher.Handler()}
 	for p, handler := range h.Handlers {
 		handlers[p] = handler
 	}
 	peers := &link.Listener{Self: h.Self, Net: h.Peers, Handlers: handlers, Rejected: h.rejected}
 	api := &admin.Server{Listener: h.Admin, Status: h.status, Ready: h.ready, Metrics: h.metrics}
-	parts := []Part{
+	components := []Component{
 		{Name: "peer listener", Run: peers.Run},
 		{Name: "administration API", Run: api.Run},
 		{Name: "configuration", Run: h.Watcher.Run},
 		{Name: "measures", Run: h.Gauge.Run},
 	}
-	return append(parts, h.Parts...)
+	return append(components, h.Components...)
 }
 
 func (h *Host) rejected(err error) {
@@ -237,8 +237,8 @@
 	s := admin.Status{Process: h.processStatus(), Config: h.configStatus(), Traffic: h.traffic()}
 	s.Drift = h.Gauge.Drift()
 	s.Tables = h.Gauge.Tables()
-	if h.Fill != nil {
-		h.Fill(&s)
+	if h.AddStatus != nil {
+		h.AddStatus(&s)
 	}
 	return s
 }
--- a/io/process/side/meter.go
+++ b/io/process/side/meter.go
@@ -7,18 +7,18 @@
 	"hawthornferry/io/conn/link"
 )
 
-// meterEvery is how often the pacer is told of live traffic. It is short
-// against the time in which the pacer measures a rate, so that transfers give
-// way within a fraction of a second.
-const meterEvery = 20 * time.Millisecond
+// meterInterval is how often call traffic is reported to the pacer. It is short compared
+// with the time over which the pacer measures a rate, so that transfers slow down within
+// a fraction of a second.
+const meterInterval = 20 * time.Millisecond
 
-// meterCalls tells the pacer how many bytes of calls have crossed this VM's
-// link, and the region link, until ctx ends. Without it transfers would take
-// the whole link and live answers would queue behind blocks.
+// meterCalls reports to the pacer how many bytes of calls crossed this VM's link and the
+// region's link, until ctx ends. Without it, transfers of weights would take the whole link
+// and answers to calls would queue behind them.
 func (s *Side) meterCalls(ctx context.Context) error {
-	all := flow{of: s.Host.Self.Totals.Of(link.PurposeCalls)}
-	abroad := flow{of: s.Host.Self.Totals.Abroad()}
-	tick := s.Host.Clock.NewTicker(meterEvery)
+	calls := trafficCounter{traffic: s.Host.Self.Totals.Of(link.PurposeCalls)}
+	crossRegion := trafficCounter{traffic: s.Host.Self.Totals.Abroad()}
+	tick := s.Host.Clock.NewTicker(meterInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -26,24 +26,24 @@
 			return nil
 		case <-tick.Chan():
 		}
-		received, sent := all.step()
+		received, sent := calls.delta()
 		s.pacer.Down.Live(received)
 		s.pacer.Up.Live(sent)
-		in, out := abroad.step()
+		in, out := crossRegion.delta()
 		s.pacer.Cross.Live(max(in, out))
 	}
 }
 
-// flow is what a count of traffic has grown by since it was last looked at.
-type flow struct {
-	of       *link.Traffic
+// trafficCounter tells by how much a traffic count has grown since it was last read.
+type trafficCounter struct {
+	traffic  *link.Traffic
 	received uint64
 	sent     uint64
 }
 
-func (f *flow) step() (received, sent int) {
-	r, w := f.of.Received(), f.of.Sent()
-	received, sent = int(r-f.received), int(w-f.sent)
-	f.received, f.sent = r, w
+func (c *trafficCounter) delta() (received, sent int) {
+	r, w := c.traffic.Received(), c.traffic.Sent()
+	received, sent = int(r-c.received), int(w-c.sent)
+	c.received, c.sent = r, w
 	return received, sent
 }
--- a/io/process/side/side.go
+++ b/io/process/side/side.go
@@ -1,5 +1,6 @@
-// Package side is the process beside one target: it brings weights to the
-// target, orders it to load them and carries every call to it.
+// Package side runs a side: the process next to one target, which forwards every call to the
+// target and, if that is an engine, fetches the weights of its model and orders it to load
+// them. The side command in package cmds calls it.
 package side
 
 import (
@@ -23,7 +24,7 @@
 	"hawthornferry/io/version/swarm"
 )
 
-// Side is one side process. Host is opened before Run; nothing else is set.
+// Side is one side process. Host must be opened before Run; nothing else is set.
 type Side struct {
 	Host *host.Host
 
@@ -39,10 +40,10 @@
 	h.Handlers = map[link.Purpose]link.Handler{}
 	s.buildGate()
 	if h.Settings.Target.Kind == envdoc.KindEngine {
-		s.buildNode()
+		s.buildDistribution()
 		s.buildOrderer()
 	}
-	h.Fill = s.fill
+	h.AddStatus = s.addStatus
 	h.Drain = s.gate.Drain
 	return h.Run(ctx)
 }
@@ -65,13 +66,13 @@
 		MaxInFlight: h.Settings.Limits.MaxInFlight,
 	}
 	h.Handlers[link.PurposeCalls] = s.gate.Handler()
-	h.Parts = append(h.Parts, host.Part{Name: "gate", Run: s.gate.Run})
+	h.Components = append(h.Components, host.Component{Name: "gate", Run: s.gate.Run})
 }
 
-// cacheShare is the part of the memory limit that the cache of chunks may use.
-const cacheShare = 4
+// The cache of chunks may use the memory limit divided by cacheDivisor.
+const cacheDivisor = 4
 
-func (s *Side) buildNode() {
+func (s *Side) buildDistribution() {
 	h := s.Host
 	links := h.Settings.Links
 	s.pacer = pace.New(pace.Config{Up: links.Up, Down: links.Down, Region: links.Region}, h.Clock)
@@ -86,16 +87,16 @@
 		Store:   h.Settings.Platform.Store,
 		Burst:   burst.Config{Uploads: h.Settings.Limits.UploadSlots},
 		Pacer:   s.pacer,
-		// The engine's staging area holds every chunk; the cache only spares
-		// reading back what several peers ask for at once. With most of the
-		// memory limit in it the collector never rests.
-		CacheBytes: h.Settings.Limits.Memory / cacheShare,
+		// The engine's staging area holds every chunk; the cache only saves reading
+		// chunks again that several peers request at about the same time. If it took
+		// most of the memory limit, the garbage collector would run all the time.
+		CacheBytes: h.Settings.Limits.Memory / cacheDivisor,
 	}
 	h.Handlers[link.PurposeWeights] = s.node.Handler()
-	h.Parts = append(h.Parts,
-		host.Part{Name: "weights", Run: s.node.Run},
-		host.Part{Name: "wanted versions", Run: s.follow},
-		host.Part{Name: "live traffic", Run: s.meterCalls},
+	h.Components = append(h.Components,
+		host.Component{Name: "weights", Run: s.node.Run},
+		host.Component{Name: "wanted versions", Run: s.watchView},
+		host.Component{Name: "live traffic", Run: s.meterCalls},
 	)
 }
 
@@ -112,31 +113,30 @@
 		Draining: h.Draining,
 	}
 	h.Handlers[link.PurposeOrders] = s.orderer.Handler()
-	h.Parts = append(h.Parts, host.Part{Name: "load orders", Run: s.orderer.Run})
+	h.Components = append(h.Components, host.Component{Name: "load orders", Run: s.orderer.Run})
 }
 
-// listWait is how long a side that has just started waits for a VM list
-// before it takes itself for the only side. Without it every side of a fleet
-// that starts ranks first for every chunk and draws a copy of its own from
-// the origin.
-const listWait = 10 * time.Second
+// listTimeout is how long a side that has just started waits for a VM list before it
+// assumes that it is the only side. Otherwise, when a whole fleet starts, every side would
+// rank first for every chunk and download a copy of its own from the origin.
+const listTimeout = 10 * time.Second
 
-// follow tells the swarm of each new view.
-func (s *Side) follow(ctx context.Context) error {
-	alone := s.Host.Clock.After(listWait)
-	waited := false
+// watchView passes each new view to the distribution of weights.
+func (s *Side) watchView(ctx context.Context) error {
+	timeout := s.Host.Clock.After(listTimeout)
+	timedOut := false
 	for {
 		changed := s.Host.Watcher.Changed()
 		v := s.Host.Watcher.Current()
-		if waited || len(v.VMs) > 0 {
+		if timedOut || len(v.VMs) > 0 {
 			s.update(v)
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-		case <-alone:
-			waited = true
+		case <-timeout:
+			timedOut = true
 		}
 	}
 }
@@ -153,7 +153,8 @@
 	s.node.Update(v, wanted)
 }
 
-// verified returns the manifest of a version that is staged whole.
+// verified returns the manifest of a version whose weights are completely staged and
+// verified.
 func (s *Side) verified(d chunk.Digest) (chunk.Manifest, bool) {
 	for _, p := range s.node.Progress() {
 		if p.Wanted.Manifest == d && p.Verified {
--- a/io/process/side/status.go
+++ b/io/process/side/status.go
@@ -5,8 +5,8 @@
 	"hawthornferry/io/process/admin"
 )
 
-// fill adds the rollout and the target of this side to a status.
-func (s *Side) fill(st *admin.Status) {
+// addStatus adds the rollout and the target of this side to a status.
+func (s *Side) addStatus(st *admin.Status) {
 	st.Targets = []admin.Target{s.target()}
 	if s.node != nil {
 		st.Rollouts = s.rollouts()
