--- a/io/process/alert/alert_test.go
+++ b/io/process/alert/alert_test.go
@@ -171,7 +171,7 @@
 	// Longer than a hub takes to send its news.
 	time.Sleep(4 * batchInterval)
 	if diff := cmp.Diff(int64(0), two.size.Load()); diff != "" {
-		t.Errorf("requests that the other entry was told of (-want +got):\n%s", diff)
+		t.Errorf("requests that the other entry learned of (-want +got):\n%s", diff)
 	}
 }
 
--- a/io/process/hosted/rollout.go
+++ b/io/process/hosted/rollout.go
@@ -92,16 +92,16 @@
 	}
 	// Skips replaced versions that only peers know of: such a version was replaced
 	// before this process started, or would have to be fetched from scratch.
-	named := slices.DeleteFunc(f.Named(s.Engine.Model), func(v facts.Named) bool { return !v.Read })
-	if len(named) == 0 {
+	announced := slices.DeleteFunc(f.Named(s.Engine.Model), func(v facts.Named) bool { return !v.Read })
+	if len(announced) == 0 {
 		return s.Engine.Model, []uint64{firstVersion}, true
 	}
-	out := []uint64{named[0].Version}
-	if bound > 0 && now.Sub(named[0].Since) >= bound-olderCutoff {
+	out := []uint64{announced[0].Version}
+	if bound > 0 && now.Sub(announced[0].Since) >= bound-olderCutoff {
 		return s.Engine.Model, out, true
 	}
-	for _, v := range named[1:min(len(named), maxWantedVersions)] {
-		if named[0].Since.Sub(v.Since) >= minAnnounceGap {
+	for _, v := range announced[1:min(len(announced), maxWantedVersions)] {
+		if announced[0].Since.Sub(v.Since) >= minAnnounceGap {
 			out = append(out, v.Version)
 		}
 	}
@@ -159,11 +159,11 @@
 			zones[vm.Zone]++
 		}
 	}
-	least := 0
+	smallest := 0
 	for _, n := range zones {
-		if least == 0 || n < least {
-			least = n
+		if smallest == 0 || n < smallest {
+			smallest = n
 		}
 	}
-	return least - max(1, least/loadingDivisor)
+	return smallest - max(1, smallest/loadingDivisor)
 }
--- a/io/process/hosted/rollout_test.go
+++ b/io/process/hosted/rollout_test.go
@@ -20,32 +20,32 @@
 // engine, although no request could be answered by the older version any more.
 func TestWantedVersions(t *testing.T) {
 	start := time.Unix(1000, 0)
-	named := func(version uint64, after time.Duration) facts.Named {
+	announced := func(version uint64, after time.Duration) facts.Named {
 		return facts.Named{Model: "m", Version: version, Since: start.Add(after), Read: true}
 	}
 	unseen := facts.Named{Model: "m", Version: 2, Since: start}
 	tests := []struct {
-		name  string
-		named []facts.Named
+		name      string
+		announced []facts.Named
 		// now is the time of the call, relative to start.
 		now  time.Duration
 		want []uint64
 	}{
-		{"none named", nil, 0, []uint64{firstVersion}},
-		{"one named", []facts.Named{named(2, 0)}, 0, []uint64{2}},
-		{"two at once", []facts.Named{named(2, 0), named(3, 100*time.Millisecond)}, time.Second, []uint64{3}},
-		{"two in turn", []facts.Named{named(2, 0), named(3, 2*time.Second)}, 3 * time.Second, []uint64{3, 2}},
-		{"the newest has time for a load", []facts.Named{named(2, 0), named(3, 2*time.Second)}, 6 * time.Second, []uint64{3, 2}},
-		{"the newest runs out", []facts.Named{named(2, 0), named(3, 2*time.Second)}, 7 * time.Second, []uint64{3}},
-		{"all too old", []facts.Named{named(2, 0), named(3, 2*time.Second)}, time.Hour, []uint64{3}},
-		{"one that only peers know of", []facts.Named{unseen, named(3, 2*time.Second)}, 3 * time.Second, []uint64{3}},
-		{"three in turn", []facts.Named{named(2, 0), named(3, 2*time.Second), named(4, 4*time.Second)}, 5 * time.Second, []uint64{4, 3}},
+		{"none announced", nil, 0, []uint64{firstVersion}},
+		{"one announced", []facts.Named{announced(2, 0)}, 0, []uint64{2}},
+		{"two at once", []facts.Named{announced(2, 0), announced(3, 100*time.Millisecond)}, time.Second, []uint64{3}},
+		{"two in turn", []facts.Named{announced(2, 0), announced(3, 2*time.Second)}, 3 * time.Second, []uint64{3, 2}},
+		{"the newest has time for a load", []facts.Named{announced(2, 0), announced(3, 2*time.Second)}, 6 * time.Second, []uint64{3, 2}},
+		{"the time limit of the newest is near", []facts.Named{announced(2, 0), announced(3, 2*time.Second)}, 7 * time.Second, []uint64{3}},
+		{"all too old", []facts.Named{announced(2, 0), announced(3, 2*time.Second)}, time.Hour, []uint64{3}},
+		{"one known only from peers", []facts.Named{unseen, announced(3, 2*time.Second)}, 3 * time.Second, []uint64{3}},
+		{"three in turn", []facts.Named{announced(2, 0), announced(3, 2*time.Second), announced(4, 4*time.Second)}, 5 * time.Second, []uint64{4, 3}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			tab := &table.Table{Services: []table.Service{{Name: "svc", Engine: &table.Engine{Model: "m"}}}}
 			tab.Index()
-			_, got, _ := wantedVersions(&facts.Facts{Table: tab, Versions: tc.named}, "svc", start.Add(tc.now), 8*time.Second)
+			_, got, _ := wantedVersions(&facts.Facts{Table: tab, Versions: tc.announced}, "svc", start.Add(tc.now), 8*time.Second)
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("wanted versions (-want +got):\n%s", diff)
 			}
--- a/io/process/hosted/waits.go
+++ b/io/process/hosted/waits.go
@@ -16,8 +16,8 @@
 	entryPeerWait  = 500 * time.Millisecond
 	sidePeerWait   = 2 * time.Second
 	// sideStoreBackoff is how long a side leaves the store to the entries that watch it
-	// after the side's own calls have failed too. Sides are by far the most processes,
-	// and accept no callers' keys.
+	// after the side's own calls have failed too. By far most processes are sides,
+	// and they accept no keys from callers.
 	sideStoreBackoff = 2400 * time.Millisecond
 	// peerWaitShare is an entry's wait at a peer as a fraction of its wait at the store.
 	peerWaitShare = float64(entryPeerWait) / float64(entryStoreWait)
--- a/io/process/hosted/waits_test.go
+++ b/io/process/hosted/waits_test.go
@@ -18,10 +18,10 @@
 		store, peer time.Duration
 	}{
 		{"long", Bounds{StrictKeys: true, Revoke: 5 * time.Second, Apply: 2 * time.Second}, entryStoreWait, entryPeerWait},
-		{"keys soon", Bounds{StrictKeys: true, Revoke: 1562500 * time.Microsecond, Apply: 2 * time.Second}, 400 * time.Millisecond, 250 * time.Millisecond},
-		{"keys soon, not strict", Bounds{Revoke: 1500 * time.Millisecond, Apply: 2 * time.Second}, entryStoreWait, entryPeerWait},
-		{"routes soon", Bounds{StrictKeys: true, Revoke: 5 * time.Second, Apply: time.Second}, 350 * time.Millisecond, 218750 * time.Microsecond},
-		{"too soon for any", Bounds{StrictKeys: true, Revoke: 100 * time.Millisecond}, minWait, 62500 * time.Microsecond},
+		{"short bound on keys", Bounds{StrictKeys: true, Revoke: 1562500 * time.Microsecond, Apply: 2 * time.Second}, 400 * time.Millisecond, 250 * time.Millisecond},
+		{"short bound on keys, not strict", Bounds{Revoke: 1500 * time.Millisecond, Apply: 2 * time.Second}, entryStoreWait, entryPeerWait},
+		{"short bound on routes", Bounds{StrictKeys: true, Revoke: 5 * time.Second, Apply: time.Second}, 350 * time.Millisecond, 218750 * time.Microsecond},
+		{"bound below any wait", Bounds{StrictKeys: true, Revoke: 100 * time.Millisecond}, minWait, 62500 * time.Microsecond},
 		{"no bounds", Bounds{}, entryStoreWait, entryPeerWait},
 	}
 	for _, tc := range tests {
--- a/io/process/pulse/listen_test.go
+++ b/io/process/pulse/listen_test.go
@@ -162,7 +162,7 @@
 	most := int(span/delayPerEntry) * 5 / 4
 	for _, entries := range []int{20, 60} {
 		if got := countReports(t, entries, span, false); got > most {
-			t.Errorf("%d entries: told %d times in %s, want %d at most", entries, got, span, most)
+			t.Errorf("%d entries: %d reports in %s, want at most %d", entries, got, span, most)
 		}
 	}
 }
@@ -173,6 +173,6 @@
 	const entries, span = 40, 2 * time.Second
 	least := entries * int(span/pollInterval) / 2
 	if got := countReports(t, entries, span, true); got < least {
-		t.Errorf("told %d times in %s, want %d at least", got, span, least)
+		t.Errorf("%d reports in %s, want at least %d", got, span, least)
 	}
 }
--- a/io/process/pulse/pulse.go
+++ b/io/process/pulse/pulse.go
@@ -108,8 +108,8 @@
 }
 
 // Announce reports that the engine is about to load, or, with false, that the order to load
-// has been given and polls tell the rest. Requests sent in between would wait until the load
-// has ended.
+// has been given, after which polls show the engine's state. Requests sent in between would
+// wait until the load has ended.
 func (p *Publisher) Announce(loading bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
