--- a/io/request/front/choose.go
+++ b/io/request/front/choose.go
@@ -7,22 +7,23 @@
 	"hawthornferry/core/request/route"
 )
 
-// errNoTarget is returned when no candidate may get a call.
+// errNoTarget is returned when no candidate may receive the call.
 var errNoTarget = errors.New("no target may get the call")
 
-// choose picks a target for k, counts the call at it and logs the decision.
-func (f *Front) choose(k *work) (*member, error) {
+// choose picks a target for rq, counts the call as in flight at that target and logs
+// the decision. The caller must release the returned member.
+func (f *Front) choose(rq *request) (*member, error) {
 	f.chooseMu.Lock()
-	candidates := f.pool.candidates(k.req.Service)
-	choice, err := f.Chooser.Choose(f.Clock.Now(), k.req, candidates)
+	candidates := f.pool.candidates(rq.routing.Service)
+	choice, err := f.Chooser.Choose(f.Clock.Now(), rq.routing, candidates)
 	var m *member
 	if err == nil {
-		m = f.pool.take(choice.VM.Name)
+		m = f.pool.acquire(choice.VM.Name)
 	}
 	f.chooseMu.Unlock()
 	d := trail.Decision{
-		Area: trail.AreaRouting, Action: "choose", Request: k.req.ID, Customer: k.req.Customer,
-		Service: k.req.Service, Choice: choice.VM.Name, Reason: string(choice.Reason),
+		Area: trail.AreaRouting, Action: "choose", Request: rq.routing.ID, Customer: rq.routing.Customer,
+		Service: rq.routing.Service, Choice: choice.VM.Name, Reason: string(choice.Reason),
 		Left: choice.Left, Revision: f.Self.Revision.Load(),
 	}
 	if err != nil {
@@ -35,7 +36,7 @@
 	return m, err
 }
 
-// leftOf returns why each candidate was left out when none could be chosen.
+// leftOf returns the rejected candidates and the reasons from a *route.NoTarget error.
 func leftOf(err error) []trail.Left {
 	var none *route.NoTarget
 	if errors.As(err, &none) {
--- /dev/null
+++ b/io/request/front/drain_test.go
@@ -0,0 +1,162 @@
+package front
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/jonboulle/clockwork"
+
+	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/request/calls"
+	"hawthornferry/core/request/route"
+	"hawthornferry/io/conn/link"
+	"hawthornferry/io/conn/sessn"
+)
+
+// waitStanding waits until the entry reports the wanted standing for the target.
+func (fl *testFleet) waitStanding(e *entry, name string, want route.Standing) {
+	for {
+		for _, t := range e.front.Targets() {
+			if t.VM.Name == name && t.Standing == want {
+				return
+			}
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// A side drains while a payment is in flight. Its heartbeat informs the entry at once,
+// and new payments go to another side. The drain must end only after the payment has
+// been answered completely, as the process exits right after it.
+func TestDrainingSideCompletesCalls(t *testing.T) {
+	for range 20 {
+		checkSideDrain(t)
+	}
+}
+
+func checkSideDrain(t *testing.T) {
+	fl := newTestFleet(t)
+	p, other := newPayments(), newPayments()
+	s := fl.addSide("b1", "booking", p)
+	e := fl.addEntry("e1", "b1")
+	fl.waitReady(e, "booking", 1)
+	got := fl.callAsync(e, "hold", nil)
+	<-p.started
+	drained := make(chan error, 1)
+	go func() { drained <- s.gate.Drain(context.Background()) }()
+	fl.waitStanding(e, "b1", route.StandingLeaving)
+	fl.addSide("b2", "booking", other)
+	fl.waitReady(e, "booking", 1)
+	check(t, "new call", "paid new", (<-fl.callAsync(e, "new", nil)).Body)
+	check(t, "runs at the other", 1, other.ran("new"))
+	select {
+	case <-drained:
+		t.Fatal("drain ended with a call in flight")
+	default:
+	}
+	close(p.release)
+	check(t, "drain", nil, <-drained)
+	s.kill()
+	check(t, "call in flight", "paid hold", (<-got).Body)
+}
+
+// An entry drains while a payment is in flight. It reports not ready, accepts no new
+// callers once DrainNotice has passed, and completes the payment before the drain ends.
+func TestDrainingEntryCompletesCalls(t *testing.T) {
+	fl := newTestFleet(t)
+	p := newPayments()
+	fl.addSide("b1", "booking", p)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	got := fl.callAsync(e, "hold", nil)
+	<-p.started
+	drained := make(chan error, 1)
+	go func() { drained <- e.front.Drain(context.Background()) }()
+	for e.front.Ready() {
+		time.Sleep(time.Millisecond)
+	}
+	for !fl.call(e, http.MethodGet, "/v1/services/booking/x", "", nil).connectionRefused() {
+		time.Sleep(time.Millisecond)
+	}
+	close(p.release)
+	check(t, "call in flight", "paid hold", (<-got).Body)
+	check(t, "drain", nil, <-drained)
+}
+
+func (r reply) connectionRefused() bool { return r.Truncated && r.Status == 0 }
+
+// The VM list marks the VM as leaving before its side knows. The entry sends it no new
+// calls, and the side refuses calls from an entry that has not seen the list yet.
+func TestLeavingInVMListStopsNewWork(t *testing.T) {
+	fl := newTestFleet(t)
+	p := newPayments()
+	s := fl.addSide("b1", "booking", p)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	s.vm.State = fleet.StateLeaving
+	fl.setVM(s.vm)
+	fl.waitStanding(e, "b1", route.StandingLeaving)
+	check(t, "caller result", "notRun", (<-fl.callAsync(e, "fee", nil)).Header.Get(headerOutcome))
+	for !s.gate.Beat().Leaving {
+		time.Sleep(time.Millisecond)
+	}
+	r := fl.callDirectly(s, func(m *sessn.Start, _ *sessn.Client) {})
+	check(t, "side", calls.ReasonLeaving, r.Reason)
+	check(t, "runs", 0, p.ran("fee"))
+}
+
+// A paused entry resumes and sends a call with the clock reading from before the pause.
+// Its caller has long been told to try elsewhere, so the side must refuse the call. It
+// judges the reading's age by its own clock.
+func TestCallWithStaleReadingIsRefused(t *testing.T) {
+	fl := newTestFleet(t)
+	fl.limits = calls.DefaultLimits()
+	fl.limits.MaxAge = 100 * time.Millisecond
+	p := newPayments()
+	s := fl.addSide("b1", "booking", p)
+	r := fl.callDirectly(s, func(m *sessn.Start, c *sessn.Client) {
+		for {
+			now, _ := c.Reading()
+			if now.At-m.Echo.At > fl.limits.MaxAge {
+				return
+			}
+			time.Sleep(time.Millisecond)
+		}
+	})
+	check(t, "reason", calls.ReasonStale, r.Reason)
+	check(t, "outcome", calls.NotRun, r.Outcome)
+	check(t, "runs", 0, p.ran("fee"))
+}
+
+// callDirectly sends a once-call to the side over a new session and returns the side's
+// refusal. beforeSend runs after the clock reading is taken and before the call is
+// sent.
+func (fl *testFleet) callDirectly(s *side, beforeSend func(*sessn.Start, *sessn.Client)) *sessn.Refusal {
+	fl.t.Helper()
+	vm := s.vm
+	vm.Role, vm.Name = fleet.RoleEntry, "direct"
+	c := &sessn.Client{Self: &link.Self{VM: vm, Boot: "direct"}, Clock: clockwork.NewRealClock(), VM: s.vm, Timing: fastTiming}
+	go func() { _ = c.Run(fl.ctx) }()
+	for !c.Status().Connected {
+		time.Sleep(time.Millisecond)
+	}
+	echo, _ := c.Reading()
+	m := &sessn.Start{
+		Request: "r", Method: http.MethodPost, Path: "/payments", Timeout: time.Minute, Echo: echo,
+		Ticket: &calls.Ticket{Call: "c", Bind: calls.BindFree, Service: "booking", Side: s.vm.Name, Issued: echo},
+	}
+	beforeSend(m, c)
+	call, err := c.Start(m, []byte("fee"))
+	if err != nil {
+		fl.t.Fatal(err)
+	}
+	msg, err := call.Next(fl.ctx)
+	r, ok := msg.(*sessn.Refusal)
+	if !ok {
+		fl.t.Fatal(errors.Newf("got %v %v, want a refusal", msg, err))
+	}
+	return r
+}
--- a/io/request/front/front.go
+++ b/io/request/front/front.go
@@ -1,6 +1,11 @@
-// Package front is the entry's side towards callers: it takes their HTTP
-// requests, chooses a target for each, carries the call over a session to the
-// target's side process, and tells the caller the outcome.
+// Package front is the HTTP server of an entry process. It accepts callers' requests,
+// applies admission control, chooses a target for each call, sends the call over a
+// session to the side process next to the target (see package gate), and reports the
+// outcome to the caller.
+//
+// Calls that may be repeated are retried on other targets (repeat.go, relay.go,
+// stream.go). Once-calls run at most once (once.go, onceattempt.go, ticket.go). Package
+// entry (io/process/entry) builds and runs a Front.
 package front
 
 import (
@@ -26,25 +31,27 @@
 	"hawthornferry/io/process/gauge"
 )
 
-// Chooser picks the target of a call among the candidates.
+// Chooser picks the target of a call from the candidates.
 type Chooser interface {
 	Choose(now time.Time, r route.Request, candidates []route.Candidate) (route.Choice, error)
 }
 
-// Front serves callers. Set the exported fields before Run; zero limits take
+// Front serves callers. Set the exported fields before Run; limits that are zero get
 // their defaults.
 type Front struct {
 	Self    *link.Self
 	Clock   clockwork.Clock
 	Log     trail.Log
 	Metrics tally.Scope
-	// Gauge takes the measures of slow decline; it may be nil.
+	// Gauge records latencies, counts and table sizes to detect slow degradation. It
+	// may be nil.
 	Gauge  *gauge.Gauge
 	Source view.Source
-	// Listen is where callers connect. Net, when set, is used in its place.
-	Listen netip.AddrPort
-	Net    net.Listener
-	// Chooser picks targets; nil takes the project's own.
+	// ListenAddr is the address on which to accept callers. If Net is set, it is used
+	// instead.
+	ListenAddr netip.AddrPort
+	Net        net.Listener
+	// Chooser picks targets. If it is nil, a route.Chooser is used.
 	Chooser Chooser
 	Timing  sessn.Timing
 	Limits  Limits
@@ -52,40 +59,41 @@
 	setup    sync.Once
 	server   *http.Server
 	pool     *pool
-	outcomes *outcomes
-	// places bounds the calls in flight, bodies the bytes of their requests.
-	places   chan struct{}
-	bodies   *semaphore.Weighted
-	draining atomic.Bool
-	running  atomic.Bool
-	chooseMu sync.Mutex
-	policy   *policy
+	outcomes *outcomeTable
+	// callSlots limits the calls in flight, bodyBudget the bytes of their request
+	// bodies.
+	callSlots  chan struct{}
+	bodyBudget *semaphore.Weighted
+	draining   atomic.Bool
+	running    atomic.Bool
+	chooseMu   sync.Mutex
+	policy     *policy
 }
 
-func (f *Front) init() { f.setup.Do(f.prepare) }
+func (f *Front) init() { f.setup.Do(f.initialize) }
 
-func (f *Front) prepare() {
-	f.Limits = f.Limits.orDefault()
+func (f *Front) initialize() {
+	f.Limits = f.Limits.withDefaults()
 	f.policy = newPolicy(f.Clock, f.Self.VM)
 	if f.Chooser == nil {
 		f.Chooser = f.policy
 	}
-	f.outcomes = newOutcomes(f.Metrics)
-	f.places = make(chan struct{}, f.Limits.MaxInFlight)
-	f.bodies = semaphore.NewWeighted(int64(f.Limits.MaxBodies))
+	f.outcomes = newOutcomeTable(f.Metrics)
+	f.callSlots = make(chan struct{}, f.Limits.MaxInFlight)
+	f.bodyBudget = semaphore.NewWeighted(int64(f.Limits.MaxBodyBytesTotal))
 	f.pool = newPool(f)
 	f.watchTables()
 	f.server = &http.Server{
-		Handler:           f.router(),
-		ConnState:         track,
+		Handler:           f.newRouter(),
+		ConnState:         trackConnState,
 		ReadHeaderTimeout: f.Limits.HeaderTimeout,
 		IdleTimeout:       f.Limits.IdleTimeout,
 		MaxHeaderBytes:    f.Limits.MaxHeader,
 	}
 }
 
-// Run serves callers until ctx ends. To stop without cutting requests, call
-// Drain before ctx ends.
+// Run serves callers until ctx ends, and then closes their connections. Call Drain
+// first to let the requests in flight finish.
 func (f *Front) Run(ctx context.Context) error {
 	f.init()
 	nl, err := f.listener()
@@ -106,7 +114,7 @@
 	if !errors.Is(err, http.ErrServerClosed) {
 		return fault.At("serve callers", nl.Addr().String(), err)
 	}
-	// After Drain the calls in flight still need their sessions.
+	// After Drain, the calls in flight still need their sessions.
 	<-ctx.Done()
 	return nil
 }
@@ -115,20 +123,21 @@
 	if f.Net != nil {
 		return f.Net, nil
 	}
-	nl, err := net.Listen("tcp", f.Listen.String())
-	return nl, fault.At("listen for callers", f.Listen.String(), err)
+	nl, err := net.Listen("tcp", f.ListenAddr.String())
+	return nl, fault.At("listen for callers", f.ListenAddr.String(), err)
 }
 
-// Drain makes the entry not ready, stops taking callers once the balancer has
-// had notice, and returns when the calls in flight have finished or ctx ends.
+// Drain makes the entry report not ready, keeps serving for Limits.DrainNotice so that
+// the load balancer stops sending callers, and then stops accepting connections. It
+// returns when the calls in flight have finished or ctx ends.
 //
-// Closing at once would cut the callers whose request is just arriving on an
-// idle connection: they would see it break without an answer. During the
-// notice they are served, and told to close their connections.
+// Shutting down at once would close idle connections on which a request is just
+// arriving, and its caller would get no response. During the notice such requests are
+// served with a Connection: close header.
 func (f *Front) Drain(ctx context.Context) error {
 	f.init()
 	f.draining.Store(true)
-	notice := f.Clock.NewTimer(f.Limits.Notice)
+	notice := f.Clock.NewTimer(f.Limits.DrainNotice)
 	defer notice.Stop()
 	select {
 	case <-notice.Chan():
@@ -137,19 +146,19 @@
 	return fault.At("drain", "", f.server.Shutdown(ctx))
 }
 
-// Ready reports whether the balancer may send callers: the entry serves, has
-// a document, and is not draining.
+// Ready reports whether the load balancer may send callers here: the entry is serving,
+// has a document and is not draining.
 func (f *Front) Ready() bool {
 	return f.running.Load() && !f.draining.Load() && f.Source.Current().Document != nil
 }
 
-// Targets lists the targets that the entry has sessions with, by name.
+// Targets returns the targets that the entry has sessions with, sorted by name.
 func (f *Front) Targets() []TargetStatus {
 	f.init()
 	return f.pool.targets()
 }
 
-// Outcomes lists how many calls of each customer and service ended how.
+// Outcomes returns the number of calls for each customer, service and outcome.
 func (f *Front) Outcomes() []OutcomeCount {
 	f.init()
 	return f.outcomes.list()
--- a/io/request/front/front_test.go
+++ b/io/request/front/front_test.go
@@ -23,8 +23,8 @@
 
 const manifestA = "sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 
-// engineStub answers as an engine that serves manifest, with chat as its chat
-// completions.
+// engineStub acts as an engine that serves manifest and handles chat completions with
+// chat.
 func engineStub(manifest string, chat http.HandlerFunc) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/state", func(w http.ResponseWriter, _ *http.Request) {
@@ -43,12 +43,12 @@
 
 const streamBody = `{"model":"helper","stream":true,"messages":[]}`
 
-// Callers get the target's own answer by each of the three ways: a plain call
-// that may be repeated, a once-call with its mark, and a stream.
+// Callers receive the target's response for each kind of call: a repeatable call, a
+// once-call, which also carries an outcome header, and a stream.
 func TestCallsReachTheirTarget(t *testing.T) {
-	w := newWorld(t)
-	w.addSide("b1", "booking", http.HandlerFunc(echo))
-	w.addSide("h1", "helper", engineStub(manifestA, func(w http.ResponseWriter, _ *http.Request) {
+	fl := newTestFleet(t)
+	fl.addSide("b1", "booking", http.HandlerFunc(echo))
+	fl.addSide("h1", "helper", engineStub(manifestA, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for _, s := range []string{"a", "b"} {
 			io.WriteString(w, token(s))
@@ -56,9 +56,9 @@
 		}
 		io.WriteString(w, "data: [DONE]\n\n")
 	}))
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
-	w.ready(e, "helper", 1)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	fl.waitReady(e, "helper", 1)
 	big := strings.Repeat("x", 200<<10)
 	tests := []struct {
 		name, method, path, body, want string
@@ -73,7 +73,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			got := w.call(e, tc.method, tc.path, tc.body, nil)
+			got := fl.call(e, tc.method, tc.path, tc.body, nil)
 			if diff := cmp.Diff(tc.want, got.Body); diff != "" {
 				t.Errorf("body (-want +got):\n%s", diff)
 			}
@@ -83,8 +83,8 @@
 		})
 	}
 	want := []OutcomeCount{
-		{Customer: anonymous, Service: "booking", Outcome: calls.Done, Count: 5},
-		{Customer: anonymous, Service: "helper", Outcome: calls.Done, Count: 1},
+		{Customer: anonymousCustomer, Service: "booking", Outcome: calls.Done, Count: 5},
+		{Customer: anonymousCustomer, Service: "helper", Outcome: calls.Done, Count: 1},
 	}
 	if diff := cmp.Diff(want, e.front.Outcomes()); diff != "" {
 		t.Errorf("outcomes (-want +got):\n%s", diff)
--- a/io/request/front/limits.go
+++ b/io/request/front/limits.go
@@ -6,69 +6,70 @@
 	"hawthornferry/core/request/route"
 )
 
-// Limits bound what callers may use. Sizes are in bytes.
+// Limits limits the resources that callers may use. Sizes are in bytes.
 type Limits struct {
-	// MaxBody and MaxHeader bound one request.
+	// MaxBody and MaxHeader limit a single request.
 	MaxBody   int
 	MaxHeader int
-	// MaxBodies bounds the bodies of all requests in flight together.
-	MaxBodies int
-	// HeaderTimeout and BodyTimeout bound the time in which a caller sends
-	// its request; WriteTimeout bounds each write of an answer to it.
+	// MaxBodyBytesTotal limits the total size of the bodies of all requests in flight.
+	MaxBodyBytesTotal int
+	// HeaderTimeout and BodyTimeout limit how long a caller may take to send its
+	// request header and body. WriteTimeout limits each write of a response to it.
 	HeaderTimeout time.Duration
 	BodyTimeout   time.Duration
 	WriteTimeout  time.Duration
 	IdleTimeout   time.Duration
-	// Notice is how long a draining entry that is not ready any more still
-	// serves callers, until the balancer has taken it out.
-	Notice time.Duration
-	// MaxInFlight bounds the calls of the entry.
+	// DrainNotice is how long a draining entry, which already reports not ready, keeps
+	// serving callers until the load balancer has removed it.
+	DrainNotice time.Duration
+	// MaxInFlight limits the number of calls in flight at the entry.
 	MaxInFlight int
-	// Subset is the most targets of one service to keep sessions with.
+	// Subset is the maximum number of targets of a service to keep sessions with.
 	Subset int
-	// Attempts is the most targets tried for one call.
-	Attempts int
-	// AskFor bounds the time in which a side is asked for the outcome of a
-	// call whose connection failed.
-	AskFor time.Duration
+	// MaxAttempts is the maximum number of targets tried for a call.
+	MaxAttempts int
+	// QueryTimeout limits how long the entry tries to query a side for the outcome of a
+	// call whose connection failed. It also limits the wait for a session with the only
+	// side that may run a bound call, and a caller's query about a ticket.
+	QueryTimeout time.Duration
 }
 
-// DefaultLimits returns the limits in force where none are set.
+// DefaultLimits returns the limits that apply where none are configured.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxBody:       1 << 20,
-		MaxHeader:     32 << 10,
-		MaxBodies:     16 << 20,
-		HeaderTimeout: 10 * time.Second,
-		BodyTimeout:   10 * time.Second,
-		WriteTimeout:  30 * time.Second,
-		IdleTimeout:   2 * time.Minute,
-		Notice:        time.Second,
-		MaxInFlight:   2048,
-		Subset:        route.DefaultSubset,
-		Attempts:      3,
-		AskFor:        3 * time.Second,
+		MaxBody:           1 << 20,
+		MaxHeader:         32 << 10,
+		MaxBodyBytesTotal: 16 << 20,
+		HeaderTimeout:     10 * time.Second,
+		BodyTimeout:       10 * time.Second,
+		WriteTimeout:      30 * time.Second,
+		IdleTimeout:       2 * time.Minute,
+		DrainNotice:       time.Second,
+		MaxInFlight:       2048,
+		Subset:            route.DefaultSubset,
+		MaxAttempts:       3,
+		QueryTimeout:      3 * time.Second,
 	}
 }
 
-func (l Limits) orDefault() Limits {
+func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	l.MaxBody = or(l.MaxBody, d.MaxBody)
-	l.MaxHeader = or(l.MaxHeader, d.MaxHeader)
-	l.MaxBodies = max(or(l.MaxBodies, d.MaxBodies), l.MaxBody)
-	l.HeaderTimeout = or(l.HeaderTimeout, d.HeaderTimeout)
-	l.BodyTimeout = or(l.BodyTimeout, d.BodyTimeout)
-	l.WriteTimeout = or(l.WriteTimeout, d.WriteTimeout)
-	l.IdleTimeout = or(l.IdleTimeout, d.IdleTimeout)
-	l.Notice = or(l.Notice, d.Notice)
-	l.MaxInFlight = or(l.MaxInFlight, d.MaxInFlight)
-	l.Subset = or(l.Subset, d.Subset)
-	l.Attempts = or(l.Attempts, d.Attempts)
-	l.AskFor = or(l.AskFor, d.AskFor)
+	l.MaxBody = valueOr(l.MaxBody, d.MaxBody)
+	l.MaxHeader = valueOr(l.MaxHeader, d.MaxHeader)
+	l.MaxBodyBytesTotal = max(valueOr(l.MaxBodyBytesTotal, d.MaxBodyBytesTotal), l.MaxBody)
+	l.HeaderTimeout = valueOr(l.HeaderTimeout, d.HeaderTimeout)
+	l.BodyTimeout = valueOr(l.BodyTimeout, d.BodyTimeout)
+	l.WriteTimeout = valueOr(l.WriteTimeout, d.WriteTimeout)
+	l.IdleTimeout = valueOr(l.IdleTimeout, d.IdleTimeout)
+	l.DrainNotice = valueOr(l.DrainNotice, d.DrainNotice)
+	l.MaxInFlight = valueOr(l.MaxInFlight, d.MaxInFlight)
+	l.Subset = valueOr(l.Subset, d.Subset)
+	l.MaxAttempts = valueOr(l.MaxAttempts, d.MaxAttempts)
+	l.QueryTimeout = valueOr(l.QueryTimeout, d.QueryTimeout)
 	return l
 }
 
-func or[T comparable](v, def T) T {
+func valueOr[T comparable](v, def T) T {
 	var zero T
 	if v == zero {
 		return def
--- a/io/request/front/bounds_test.go
+++ b/io/request/front/limits_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Oversized and slow callers get 413, 431 and 408; a caller of ordinary size
-// is served meanwhile.
-func TestCallersHaveBounds(t *testing.T) {
-	w := newWorld(t)
-	w.addSide("b1", "booking", http.HandlerFunc(echo))
-	w.entryLimits = Limits{
+// Callers whose requests are too large or too slow get 413, 431 or 408, and an ordinary
+// caller is served meanwhile.
+func TestLimitsOnCallers(t *testing.T) {
+	fl := newTestFleet(t)
+	fl.addSide("b1", "booking", http.HandlerFunc(echo))
+	fl.entryLimits = Limits{
 		MaxBody: 1 << 10, MaxHeader: 4 << 10,
 		HeaderTimeout: 100 * time.Millisecond, BodyTimeout: 100 * time.Millisecond,
 	}
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
 	line := "POST " + payPath + " HTTP/1.1\r\nHost: x\r\n"
 	tests := []struct {
 		name, send string
@@ -40,7 +40,7 @@
 			}
 			defer c.Close()
 			fmt.Fprint(c, tc.send)
-			check(t, "ordinary caller meanwhile", "GET /x ", w.call(e, http.MethodGet, "/v1/services/booking/x", "", nil).Body)
+			check(t, "ordinary caller meanwhile", "GET /x ", fl.call(e, http.MethodGet, "/v1/services/booking/x", "", nil).Body)
 			res, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
 				t.Fatal(err)
--- a/io/request/front/once.go
+++ b/io/request/front/once.go
@@ -9,105 +9,106 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// once carries a call that may run at most once.
-func (f *Front) once(ctx context.Context, w http.ResponseWriter, k *work) {
+// runOnce runs a call that may run at most once.
+func (f *Front) runOnce(ctx context.Context, w http.ResponseWriter, rq *request) {
 	switch {
-	case k.ticket != nil:
-		f.bound(ctx, w, k, k.ticket.Side)
-	case k.key != "":
-		f.keyed(ctx, w, k)
+	case rq.ticket != nil:
+		f.runBound(ctx, w, rq, rq.ticket.Side)
+	case rq.idempotencyKey != "":
+		f.runKeyed(ctx, w, rq)
 	default:
-		f.free(ctx, w, k)
+		f.runFree(ctx, w, rq)
 	}
 }
 
-// free carries a once-call that is tied to no side. When it certainly did
-// not run it goes to another target under a new ID.
-func (f *Front) free(ctx context.Context, w http.ResponseWriter, k *work) {
-	k.bind = calls.BindFree
-	last := ending{outcome: calls.NotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
+// runFree runs a once-call that has no ticket or key, so that any target may run it. If
+// an attempt certainly did not run, the call goes to another target under a new ID.
+func (f *Front) runFree(ctx context.Context, w http.ResponseWriter, rq *request) {
+	rq.binding = calls.BindFree
+	last := result{outcome: calls.NotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
-		m, err := f.choose(k)
+		m, err := f.choose(rq)
 		if err != nil {
-			last.reason = or(last.reason, err.Error())
+			last.reason = valueOr(last.reason, err.Error())
 			break
 		}
-		o := f.tryOnce(ctx, m, k)
+		o := f.attemptOnce(ctx, m, rq)
 		f.pool.release(m)
 		if o.answer != nil {
-			f.deliver(w, k, o)
+			f.writeAnswer(w, rq, o)
 			return
 		}
-		last = o.ending
-		if o.outcome != calls.NotRun || n >= f.Limits.Attempts || ctx.Err() != nil {
+		last = o.result
+		if o.outcome != calls.NotRun || n >= f.Limits.MaxAttempts || ctx.Err() != nil {
 			break
 		}
-		if !f.policy.retry(k.req.Service) {
+		if !f.policy.allowRetry(rq.routing.Service) {
 			break
 		}
-		k.req.Avoid = append(k.req.Avoid, m.client.VM.Name)
+		rq.routing.Avoid = append(rq.routing.Avoid, m.client.VM.Name)
 	}
-	f.fail(w, k, last)
+	f.writeFailure(w, rq, last)
 }
 
-// keyed carries a call that its caller named by an idempotency key to the
-// key's owner.
-func (f *Front) keyed(ctx context.Context, w http.ResponseWriter, k *work) {
-	k.bind = calls.BindKey
-	k.keyID = calls.KeyID(k.req.Customer, k.req.Service, k.key)
-	vm, members, err := calls.Owner(f.Source.Current(), k.req.Service, k.keyID)
+// runKeyed sends a call with an idempotency key to the side that owns the key.
+func (f *Front) runKeyed(ctx context.Context, w http.ResponseWriter, rq *request) {
+	rq.binding = calls.BindKey
+	rq.keyCallID = calls.KeyID(rq.routing.Customer, rq.routing.Service, rq.idempotencyKey)
+	vm, keyMembers, err := calls.Owner(f.Source.Current(), rq.routing.Service, rq.keyCallID)
 	if err != nil {
-		f.fail(w, k, ending{outcome: calls.Unknown, status: http.StatusServiceUnavailable, reason: err.Error()})
+		f.writeFailure(w, rq, result{outcome: calls.Unknown, status: http.StatusServiceUnavailable, reason: err.Error()})
 		return
 	}
-	k.members = members
-	f.bound(ctx, w, k, vm.Name)
+	rq.keyMembers = keyMembers
+	f.runBound(ctx, w, rq, vm.Name)
 }
 
-// bound carries a call that one side alone may run.
-func (f *Front) bound(ctx context.Context, w http.ResponseWriter, k *work, side string) {
-	m := f.pool.take(side)
+// runBound sends a call to the only side that may run it.
+func (f *Front) runBound(ctx context.Context, w http.ResponseWriter, rq *request, side string) {
+	m := f.pool.acquire(side)
 	if m == nil {
-		e := ending{outcome: calls.Unknown, status: http.StatusBadGateway, reason: "the side is gone"}
-		f.fail(w, k, e)
+		res := result{outcome: calls.Unknown, status: http.StatusBadGateway, reason: "the side is gone"}
+		f.writeFailure(w, rq, res)
 		return
 	}
 	defer f.pool.release(m)
 	f.Log.Decide(trail.Decision{
-		Area: trail.AreaRouting, Action: "choose", Request: k.req.ID, Customer: k.req.Customer,
-		Service: k.req.Service, Choice: side, Reason: string(k.bind), Revision: f.Self.Revision.Load(),
+		Area: trail.AreaRouting, Action: "choose", Request: rq.routing.ID, Customer: rq.routing.Customer,
+		Service: rq.routing.Service, Choice: side, Reason: string(rq.binding), Revision: f.Self.Revision.Load(),
 	})
-	o := f.tryOnce(ctx, m, k)
+	o := f.attemptOnce(ctx, m, rq)
 	if o.answer != nil {
-		f.deliver(w, k, o)
+		f.writeAnswer(w, rq, o)
 		return
 	}
-	f.fail(w, k, o.ending)
+	f.writeFailure(w, rq, o.result)
 }
 
-// onceAnswer is what became of one attempt.
-type onceAnswer struct {
-	ending
-	answer *onceRelay
+// onceResult is the result of one attempt. answer is set if the caller gets the
+// target's answer.
+type onceResult struct {
+	result
+	answer *answerBuffer
 }
 
-// onceRelay collects the answer of a once-call. It is passed on when it is
-// whole, so that a connection that fails in its middle cuts nothing.
-type onceRelay struct {
+// answerBuffer collects the answer of a once-call. It is sent to the caller only when
+// it is complete, so that a connection to the side that fails halfway truncates
+// nothing.
+type answerBuffer struct {
 	head *sessn.Head
 	body []byte
 }
 
-// deliver passes a whole answer on to the caller.
-func (f *Front) deliver(w http.ResponseWriter, k *work, o onceAnswer) {
+// writeAnswer sends a complete answer to the caller.
+func (f *Front) writeAnswer(w http.ResponseWriter, rq *request, o onceResult) {
 	out := newCallerWriter(w, f.Limits.WriteTimeout)
 	copyHeader(w.Header(), o.answer.head.Header)
 	w.Header().Set(headerOutcome, string(calls.Done))
-	setLength(w.Header(), o.answer.head.Status, len(o.answer.body))
+	setContentLength(w.Header(), o.answer.head.Status, len(o.answer.body))
 	if o.ticket != "" {
 		w.Header().Set(headerTicket, o.ticket)
 	}
-	f.finish(k, ending{outcome: calls.Done, repeated: o.answer.head.Again})
+	f.recordResult(rq, result{outcome: calls.Done, repeated: o.answer.head.Again})
 	w.WriteHeader(o.answer.head.Status)
 	_ = out.send(o.answer.body)
 }
--- a/io/request/front/once_test.go
+++ b/io/request/front/once_test.go
@@ -16,17 +16,17 @@
 	"hawthornferry/core/request/calls"
 )
 
-// payments is a target that counts what it runs. A body that starts with
-// "hold" waits until it is released.
+// payments is a target that counts its runs by request body. A body that starts with
+// "hold" blocks until release is closed.
 type payments struct {
 	mu      sync.Mutex
 	runs    map[string]int
-	began   chan string
+	started chan string
 	release chan struct{}
 }
 
 func newPayments() *payments {
-	return &payments{runs: map[string]int{}, began: make(chan string, 16), release: make(chan struct{})}
+	return &payments{runs: map[string]int{}, started: make(chan string, 16), release: make(chan struct{})}
 }
 
 func (p *payments) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -34,7 +34,7 @@
 	p.mu.Lock()
 	p.runs[string(b)]++
 	p.mu.Unlock()
-	p.began <- string(b)
+	p.started <- string(b)
 	if len(b) >= 4 && string(b[:4]) == "hold" {
 		<-p.release
 	}
@@ -49,38 +49,38 @@
 
 const payPath = "/v1/services/booking/payments"
 
-// told is the part of a reply that the tests of once-calls compare.
-type told struct {
+// callerResult is the part of a reply that the tests of once-calls compare.
+type callerResult struct {
 	Outcome string
 	Body    string
 }
 
-func toldOf(r reply) told {
-	t := told{Outcome: r.Header.Get(headerOutcome)}
+func callerResultOf(r reply) callerResult {
+	t := callerResult{Outcome: r.Header.Get(headerOutcome)}
 	if r.Problem.Outcome == "" {
 		t.Body = r.Body
 	}
 	return t
 }
 
-func (w *world) goCall(e *entry, body string, h http.Header) chan reply {
+func (fl *testFleet) callAsync(e *entry, body string, h http.Header) chan reply {
 	c := make(chan reply, 1)
-	go func() { c <- w.call(e, http.MethodPost, payPath, body, h) }()
+	go func() { c <- fl.call(e, http.MethodPost, payPath, body, h) }()
 	return c
 }
 
-func (w *world) ticket(e *entry) (string, http.Header) {
-	w.t.Helper()
-	r := w.call(e, http.MethodPost, "/v1/tickets", `{"service":"booking"}`, nil)
+func (fl *testFleet) ticket(e *entry) (string, http.Header) {
+	fl.t.Helper()
+	r := fl.call(e, http.MethodPost, "/v1/tickets", `{"service":"booking"}`, nil)
 	text := ticketOf(r)
 	if text == "" {
-		w.t.Fatalf("no ticket: %d %s", r.Status, r.Body)
+		fl.t.Fatalf("no ticket: %d %s", r.Status, r.Body)
 	}
 	return text, http.Header{headerTicket: {text}}
 }
 
 func ticketOf(r reply) string {
-	var a TicketAnswer
+	var a TicketResponse
 	if json.Unmarshal([]byte(r.Body), &a) != nil {
 		return ""
 	}
@@ -94,198 +94,200 @@
 	}
 }
 
-// The caller pays, the side is killed while the target works, and nothing
-// listens at its address any more. The caller hears unknown, at once and not
-// at its deadline; no other replica gets the call, since this one ran it.
+// The side is killed while its target runs a payment, and nothing listens at its
+// address any more. The caller must be told unknown at once rather than at its
+// deadline, and no other replica may get the call, as it has already run.
 func TestKilledSideMeansUnknown(t *testing.T) {
-	w := newWorld(t)
+	fl := newTestFleet(t)
 	p := newPayments()
-	s := w.addSide("b1", "booking", p)
+	s := fl.addSide("b1", "booking", p)
 	other := newPayments()
 	close(other.release)
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
-	got := w.goCall(e, "hold", nil)
-	<-p.began
-	w.addSide("b2", "booking", other)
-	w.ready(e, "booking", 2)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	got := fl.callAsync(e, "hold", nil)
+	<-p.started
+	fl.addSide("b2", "booking", other)
+	fl.waitReady(e, "booking", 2)
 	s.kill()
 	r := <-got
 	close(p.release)
-	check(t, "told", told{Outcome: "unknown"}, toldOf(r))
+	check(t, "caller result", callerResult{Outcome: "unknown"}, callerResultOf(r))
 	check(t, "retry after", "", r.Header.Get("Retry-After"))
 	check(t, "runs", 1, p.ran("hold")+other.ran("hold"))
 }
 
-// The connection goes silent while the target works; the target finishes.
-// The entry finds the silence, asks the side over a new connection, and the
-// caller gets the whole answer of the one run.
-func TestSilentConnectionIsAskedOverAnother(t *testing.T) {
-	w := newWorld(t)
+// The connection freezes while the target runs a payment, which then completes. The
+// entry detects the silence, queries the side over a new connection, and the caller
+// gets the complete answer of the single run.
+func TestSilentConnectionIsQueriedOverAnother(t *testing.T) {
+	fl := newTestFleet(t)
 	p := newPayments()
-	s := w.addSide("b1", "booking", p)
+	s := fl.addSide("b1", "booking", p)
 	px := newProxy(t, s.vm.Address)
 	s.vm.Address = px.addr()
-	w.setVM(s.vm)
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
-	got := w.goCall(e, "hold", nil)
-	<-p.began
-	px.silence()
+	fl.setVM(s.vm)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	got := fl.callAsync(e, "hold", nil)
+	<-p.started
+	px.freeze()
 	close(p.release)
-	check(t, "told", told{Outcome: "done", Body: "paid hold"}, toldOf(<-got))
+	check(t, "caller result", callerResult{Outcome: "done", Body: "paid hold"}, callerResultOf(<-got))
 	check(t, "runs", 1, p.ran("hold"))
 }
 
-// The call itself is stuck in the silent connection. The side, asked over a
-// new one, marks that it never will run it, and another replica gets it.
-// Then the stuck call arrives after all: it must not run.
+// The call itself is held up in a frozen connection. The side, queried over a new one,
+// marks the call as never to run, and the entry sends it to another replica. When the
+// connection resumes and the held-up call arrives, it must not run.
 func TestCallStuckInSilentConnectionNeverRuns(t *testing.T) {
-	w := newWorld(t)
+	fl := newTestFleet(t)
 	log := make(decisions, 64)
-	w.log, w.sideSilent = log, time.Minute
+	fl.log, fl.sideSilence = log, time.Minute
 	first, second := newPayments(), newPayments()
-	s := w.addSide("b1", "booking", first)
+	s := fl.addSide("b1", "booking", first)
 	px := newProxy(t, s.vm.Address)
 	s.vm.Address = px.addr()
-	w.setVM(s.vm)
-	e := w.addEntry("e1", "b1")
-	w.ready(e, "booking", 1)
-	letGo := px.silence()
-	got := w.goCall(e, "fee", nil)
-	w.log = nil
-	w.addSide("b2", "booking", second)
-	check(t, "told", told{Outcome: "done", Body: "paid fee"}, toldOf(<-got))
-	letGo()
+	fl.setVM(s.vm)
+	e := fl.addEntry("e1", "b1")
+	fl.waitReady(e, "booking", 1)
+	resume := px.freeze()
+	got := fl.callAsync(e, "fee", nil)
+	fl.log = nil
+	fl.addSide("b2", "booking", second)
+	check(t, "caller result", callerResult{Outcome: "done", Body: "paid fee"}, callerResultOf(<-got))
+	resume()
 	check(t, "stuck call", string(calls.ReasonNever), log.await("run", "refuse").Reason)
 	check(t, "runs", 1, first.ran("fee")+second.ran("fee"))
 }
 
-// A caller that got no answer sends its ticket again through another entry
-// while the first is still under way, and once more when it is done. Each
-// time it gets the answer of the one run.
+// A caller repeats its call with the same ticket through another entry, once while the
+// first attempt is in flight and once after it has completed. All three must get the
+// answer of the single run.
 func TestTicketThroughAnotherEntryRunsOnce(t *testing.T) {
-	w := newWorld(t)
+	fl := newTestFleet(t)
 	p := newPayments()
-	w.addSide("b1", "booking", p)
-	e1, e2 := w.addEntry("e1"), w.addEntry("e2")
-	w.ready(e1, "booking", 1)
-	w.ready(e2, "booking", 1)
-	text, h := w.ticket(e1)
-	first := w.goCall(e1, "hold", h)
-	<-p.began
-	second := w.goCall(e2, "hold", h)
-	running := w.call(e2, http.MethodGet, "/v1/tickets/"+text, "", nil)
+	fl.addSide("b1", "booking", p)
+	e1, e2 := fl.addEntry("e1"), fl.addEntry("e2")
+	fl.waitReady(e1, "booking", 1)
+	fl.waitReady(e2, "booking", 1)
+	text, h := fl.ticket(e1)
+	first := fl.callAsync(e1, "hold", h)
+	<-p.started
+	second := fl.callAsync(e2, "hold", h)
+	running := fl.call(e2, http.MethodGet, "/v1/tickets/"+text, "", nil)
 	check(t, "status", `{"state":"running"}`+"\n", running.Body)
 	close(p.release)
-	want := told{Outcome: "done", Body: "paid hold"}
-	check(t, "first", want, toldOf(<-first))
-	check(t, "second", want, toldOf(<-second))
-	check(t, "third", want, toldOf(<-w.goCall(e2, "hold", h)))
-	check(t, "other request", "notRun", toldOf(<-w.goCall(e2, "other", h)).Outcome)
+	want := callerResult{Outcome: "done", Body: "paid hold"}
+	check(t, "first", want, callerResultOf(<-first))
+	check(t, "second", want, callerResultOf(<-second))
+	check(t, "third", want, callerResultOf(<-fl.callAsync(e2, "hold", h)))
+	check(t, "other request", "notRun", callerResultOf(<-fl.callAsync(e2, "other", h)).Outcome)
 	check(t, "runs", 1, p.ran("hold")+p.ran("other"))
 	counts := e2.front.Outcomes()
 	check(t, "repeated", int64(2), counts[0].Repeated)
 }
 
-// The side is replaced: another boot listens at the same address and knows
-// nothing of the ticket. The call may have run before, so it must not run
-// now; the caller hears unknown.
-func TestTicketOfGoneBootIsUnknown(t *testing.T) {
-	w := newWorld(t)
+// The side is replaced: a new boot listens at the same address and has no record of the
+// ticket. The call may have run on the earlier boot, so it must not run now, and the
+// caller is told unknown.
+func TestTicketOfEarlierBootIsUnknown(t *testing.T) {
+	fl := newTestFleet(t)
 	p := newPayments()
-	s := w.addSide("b1", "booking", p)
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
-	text, h := w.ticket(e)
-	s = w.replace(s)
+	s := fl.addSide("b1", "booking", p)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	text, h := fl.ticket(e)
+	s = fl.replace(s)
 	issued, err := calls.DecodeTicket(text)
 	check(t, "ticket", nil, err)
 	for s.gate.Beat().Reading.At <= issued.Issued.At {
-		// Until then the ticket is from the future and refused for that alone.
+		// Until the new boot's clock passes the ticket's reading, the ticket is refused
+		// for being from the future, which is not what this test checks.
 		time.Sleep(time.Millisecond)
 	}
-	w.ready(e, "booking", 1)
-	check(t, "told", told{Outcome: "unknown"}, toldOf(<-w.goCall(e, "fee", h)))
-	status := w.call(e, http.MethodGet, "/v1/tickets/"+text, "", nil)
+	fl.waitReady(e, "booking", 1)
+	check(t, "caller result", callerResult{Outcome: "unknown"}, callerResultOf(<-fl.callAsync(e, "fee", h)))
+	status := fl.call(e, http.MethodGet, "/v1/tickets/"+text, "", nil)
 	check(t, "status", `{"state":"gone","outcome":"unknown"}`+"\n", status.Body)
 	check(t, "runs", 0, p.ran("fee"))
 }
 
-// Two entries get the same idempotency key at once. Both send it to the owner
-// that the document fixes, which runs it once and answers both.
+// Two entries receive the same idempotency key at the same time. Both send the call to
+// the key's owner according to the document. The owner runs it once and answers both.
 func TestKeyRunsOnceThroughTwoEntries(t *testing.T) {
-	w := newWorld(t)
-	w.limits = calls.DefaultLimits()
-	w.limits.KeyWindow = time.Nanosecond
-	w.place("booking", 2)
+	fl := newTestFleet(t)
+	fl.limits = calls.DefaultLimits()
+	fl.limits.KeyWindow = time.Nanosecond
+	fl.setReplicas("booking", 2)
 	p1, p2 := newPayments(), newPayments()
-	w.addSide("b1", "booking", p1)
-	w.addSide("b2", "booking", p2)
-	e1, e2 := w.addEntry("e1"), w.addEntry("e2")
-	w.ready(e1, "booking", 2)
-	w.ready(e2, "booking", 2)
-	h := http.Header{headerKey: {"order-7"}}
-	first := w.goCall(e1, "hold", h)
+	fl.addSide("b1", "booking", p1)
+	fl.addSide("b2", "booking", p2)
+	e1, e2 := fl.addEntry("e1"), fl.addEntry("e2")
+	fl.waitReady(e1, "booking", 2)
+	fl.waitReady(e2, "booking", 2)
+	h := http.Header{headerIdempotencyKey: {"order-7"}}
+	first := fl.callAsync(e1, "hold", h)
 	select {
-	case <-p1.began:
-	case <-p2.began:
+	case <-p1.started:
+	case <-p2.started:
 	}
-	second := w.goCall(e2, "hold", h)
+	second := fl.callAsync(e2, "hold", h)
 	close(p1.release)
 	close(p2.release)
-	want := told{Outcome: "done", Body: "paid hold"}
-	check(t, "first", want, toldOf(<-first))
-	check(t, "second", want, toldOf(<-second))
+	want := callerResult{Outcome: "done", Body: "paid hold"}
+	check(t, "first", want, callerResultOf(<-first))
+	check(t, "second", want, callerResultOf(<-second))
 	check(t, "runs", 1, p1.ran("hold")+p2.ran("hold"))
 }
 
-// A side that has just booted cannot know whether an earlier boot, or an
-// earlier owner, ran the key. Until the key window has passed it runs none.
-func TestYoungOwnerRunsNoKey(t *testing.T) {
-	w := newWorld(t)
-	w.place("booking", 1)
+// A side that has just booted can't know whether an earlier boot or an earlier owner
+// ran the call of a key. It must run no calls with keys until the key window has
+// passed.
+func TestOwnerRunsNoKeyWithinWindowAfterBoot(t *testing.T) {
+	fl := newTestFleet(t)
+	fl.setReplicas("booking", 1)
 	p := newPayments()
-	w.addSide("b1", "booking", p)
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
-	h := http.Header{headerKey: {"order-7"}}
-	check(t, "told", told{Outcome: "unknown"}, toldOf(<-w.goCall(e, "fee", h)))
+	fl.addSide("b1", "booking", p)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	h := http.Header{headerIdempotencyKey: {"order-7"}}
+	check(t, "caller result", callerResult{Outcome: "unknown"}, callerResultOf(<-fl.callAsync(e, "fee", h)))
 	check(t, "runs", 0, p.ran("fee"))
 }
 
-// Nothing listens at the target. The failed dial proves that the call did not
-// run there, so another replica gets it.
-func TestUnreachableTargetPassesTheCallOn(t *testing.T) {
-	w := newWorld(t)
+// Nothing listens at the target's address. The failed dial proves that the call did not
+// run there, so it goes to another replica.
+func TestUnreachableTargetFailsOver(t *testing.T) {
+	fl := newTestFleet(t)
 	p := newPayments()
-	w.runSide("b1", "booking", netip.MustParseAddrPort("127.0.0.1:1"), nil)
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
-	r := <-w.goCall(e, "fee", nil)
-	check(t, "alone", told{Outcome: "notRun"}, toldOf(r))
+	fl.runSide("b1", "booking", netip.MustParseAddrPort("127.0.0.1:1"), nil)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
+	r := <-fl.callAsync(e, "fee", nil)
+	check(t, "alone", callerResult{Outcome: "notRun"}, callerResultOf(r))
 	check(t, "retry after", "1", r.Header.Get("Retry-After"))
-	w.addSide("b2", "booking", p)
-	w.ready(e, "booking", 2)
-	check(t, "with another", told{Outcome: "done", Body: "paid fee"}, toldOf(<-w.goCall(e, "fee", nil)))
+	fl.addSide("b2", "booking", p)
+	fl.waitReady(e, "booking", 2)
+	check(t, "with another", callerResult{Outcome: "done", Body: "paid fee"}, callerResultOf(<-fl.callAsync(e, "fee", nil)))
 	check(t, "runs", 1, p.ran("fee"))
 }
 
-// The deadline passes while the target works. A call that may be repeated is
-// told when to ask again; a once-call is told unknown, with the ticket to ask
-// by and no invitation to send it again.
-func TestDeadlineTellsWhatIsSafe(t *testing.T) {
-	w := newWorld(t)
+// The deadline passes while the target runs the call. For a repeatable call the caller
+// is told when to retry. For a once-call it is told unknown, with a ticket to query and
+// no Retry-After, as sending the call again could run it twice.
+func TestRetryAfterDeadlineOnlyIfRepeatable(t *testing.T) {
+	fl := newTestFleet(t)
 	clock := clockwork.NewFakeClock()
-	w.entryClock = clock
+	fl.entryClock = clock
 	p := newPayments()
-	w.addSide("b1", "booking", p)
-	e := w.addEntry("e1")
-	w.ready(e, "booking", 1)
+	fl.addSide("b1", "booking", p)
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "booking", 1)
 	late := func(path string) reply {
 		c := make(chan reply, 1)
-		go func() { c <- w.call(e, http.MethodPost, path, "hold", http.Header{headerDeadline: {"100"}}) }()
-		<-p.began
+		go func() { c <- fl.call(e, http.MethodPost, path, "hold", http.Header{headerDeadlineMs: {"100"}}) }()
+		<-p.started
 		clock.Advance(100 * time.Millisecond)
 		return <-c
 	}
--- a/io/request/front/outcome.go
+++ b/io/request/front/outcome.go
@@ -10,9 +10,9 @@
 	"hawthornferry/core/request/calls"
 )
 
-// OutcomeCount is how many calls of a customer to a service had an outcome.
-// Among them, Repeated were a call that had come before and did not run again,
-// and Refused were refused at the door.
+// OutcomeCount is the number of a customer's calls to a service that had one outcome.
+// Repeated counts those among them that had been received before and did not run again,
+// Refused those that admission refused.
 type OutcomeCount struct {
 	Customer string        `json:"customer"`
 	Service  string        `json:"service"`
@@ -22,11 +22,11 @@
 	Refused  int64         `json:"refused"`
 }
 
-// maxCounted bounds the table of outcomes; what comes beyond it is counted
-// under otherName.
+// maxOutcomeKeys limits the size of the outcome table. Once it is reached, calls of
+// further customers and services are counted under otherName.
 const (
-	maxCounted = 4096
-	otherName  = "other"
+	maxOutcomeKeys = 4096
+	otherName      = "other"
 )
 
 type outcomeKey struct {
@@ -35,22 +35,22 @@
 	outcome  calls.Outcome
 }
 
-type outcomes struct {
+type outcomeTable struct {
 	metrics tally.Scope
 
 	mu     sync.Mutex
 	counts map[outcomeKey]*OutcomeCount
 }
 
-func newOutcomes(m tally.Scope) *outcomes {
-	return &outcomes{metrics: m, counts: map[outcomeKey]*OutcomeCount{}}
+func newOutcomeTable(m tally.Scope) *outcomeTable {
+	return &outcomeTable{metrics: m, counts: map[outcomeKey]*OutcomeCount{}}
 }
 
-func (o *outcomes) add(k outcomeKey, e ending) {
+func (o *outcomeTable) add(k outcomeKey, res result) {
 	o.metrics.Counter("calls." + string(k.outcome)).Inc(1)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.counts[k] == nil && len(o.counts) >= maxCounted {
+	if o.counts[k] == nil && len(o.counts) >= maxOutcomeKeys {
 		k.customer, k.service = otherName, otherName
 	}
 	c := o.counts[k]
@@ -59,15 +59,15 @@
 		o.counts[k] = c
 	}
 	c.Count++
-	if e.repeated {
+	if res.repeated {
 		c.Repeated++
 	}
-	if e.refused {
+	if res.refusedAtAdmission {
 		c.Refused++
 	}
 }
 
-func (o *outcomes) list() []OutcomeCount {
+func (o *outcomeTable) list() []OutcomeCount {
 	o.mu.Lock()
 	out := make([]OutcomeCount, 0, len(o.counts))
 	for _, c := range o.counts {
--- a/io/request/front/policy.go
+++ b/io/request/front/policy.go
@@ -14,27 +14,28 @@
 	"hawthornferry/io/request/await"
 )
 
-// chooserTick is how often the chooser drops what is too old.
-const chooserTick = time.Minute
+// chooserTickInterval is the time between two removals of expired entries from the
+// chooser's tables.
+const chooserTickInterval = time.Minute
 
-// policy joins the entry's choice of target and its admission, which are plain
-// values, with the calls that wait for a verdict.
+// policy guards the chooser and the admitter, which aren't safe for concurrent use, and
+// delivers admission verdicts to the calls that wait for them.
 type policy struct {
-	clock    clockwork.Clock
-	chooser  *route.Chooser
-	admitter *admit.Admitter
-	ticked   time.Time
+	clock           clockwork.Clock
+	chooser         *route.Chooser
+	admitter        *admit.Admitter
+	lastChooserTick time.Time
 	await.Desk[admit.Verdict]
 }
 
 func newPolicy(clock clockwork.Clock, self fleet.VM) *policy {
-	seed := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	p := &policy{clock: clock, chooser: &route.Chooser{Entry: self, Rand: seed}, admitter: &admit.Admitter{}}
+	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
+	p := &policy{clock: clock, chooser: &route.Chooser{Entry: self, Rand: rng}, admitter: &admit.Admitter{}}
 	p.ID = func(v admit.Verdict) string { return v.ID }
 	return p
 }
 
-// run ticks until ctx ends.
+// run ticks the admitter and the chooser until ctx ends.
 func (p *policy) run(ctx context.Context) {
 	tick := p.clock.NewTicker(admit.TickEvery)
 	defer tick.Stop()
@@ -50,15 +51,15 @@
 
 func (p *policy) tick(now time.Time) {
 	p.Do(func() []admit.Verdict {
-		if now.Sub(p.ticked) >= chooserTick {
-			p.ticked = now
+		if now.Sub(p.lastChooserTick) >= chooserTickInterval {
+			p.lastChooserTick = now
 			p.chooser.Tick(now)
 		}
 		return p.admitter.Tick(now)
 	})
 }
 
-// admit waits until the call may go on. It returns false when ctx ends first.
+// admit waits for the admission verdict on a call. It returns false if ctx ends first.
 func (p *policy) admit(ctx context.Context, r route.Request) (admit.Verdict, bool) {
 	o := admit.Offer{
 		ID: r.ID, Customer: r.Customer, Service: r.Service,
@@ -66,41 +67,43 @@
 	}
 	offer := func() []admit.Verdict { return p.admitter.Offer(p.clock.Now(), o) }
 	return p.Await(ctx, r.ID, offer, func(*admit.Verdict) []admit.Verdict {
-		// Whether it waits or was just admitted.
+		// Withdraw serves both cases: the call still waits, or it was admitted just
+		// now.
 		return p.admitter.Withdraw(p.clock.Now(), r.ID)
 	})
 }
 
-// done tells that an admitted call has ended.
-func (p *policy) done(id string, firstByte time.Duration) {
+// callEnded records that an admitted call has ended.
+func (p *policy) callEnded(id string, firstByte time.Duration) {
 	p.Do(func() []admit.Verdict {
 		return p.admitter.Done(p.clock.Now(), admit.Done{ID: id, FirstByte: firstByte})
 	})
 }
 
-// use runs f, which takes no verdicts, while it alone uses the policy.
-func (p *policy) use(f func()) {
+// locked runs f with exclusive access to the policy. f must not cause verdicts.
+func (p *policy) locked(f func()) {
 	p.Do(func() []admit.Verdict {
 		f()
 		return nil
 	})
 }
 
-// retry reports whether a call of the service may be sent once more.
-func (p *policy) retry(service string) bool {
+// allowRetry reports whether the retry budget allows another attempt at a call of the
+// service, and takes it from the budget.
+func (p *policy) allowRetry(service string) bool {
 	ok := false
-	p.use(func() { ok = p.admitter.Retry(p.clock.Now(), service) })
+	p.locked(func() { ok = p.admitter.Retry(p.clock.Now(), service) })
 	return ok
 }
 
-// report takes a target's load report.
-func (p *policy) report(service, target string, r route.Report) {
-	p.use(func() { p.admitter.Report(p.clock.Now(), service, target, r) })
+// reportLoad passes a target's load report to the admitter.
+func (p *policy) reportLoad(service, target string, r route.Report) {
+	p.locked(func() { p.admitter.Report(p.clock.Now(), service, target, r) })
 }
 
-// event takes an engine's cache event.
-func (p *policy) event(target string, prefix uint64, stored bool) {
-	p.use(func() {
+// reportCacheEvent passes an engine's cache event to the chooser.
+func (p *policy) reportCacheEvent(target string, prefix uint64, stored bool) {
+	p.locked(func() {
 		if stored {
 			p.chooser.Stored(p.clock.Now(), target, prefix)
 			return
@@ -109,15 +112,15 @@
 	})
 }
 
-// shares takes the customers' shares of the document in force.
-func (p *policy) shares(customers []envdoc.Customer) {
-	p.use(func() { p.admitter.SetShares(customers) })
+// setShares passes the customers' shares in the current document to the admitter.
+func (p *policy) setShares(customers []envdoc.Customer) {
+	p.locked(func() { p.admitter.SetShares(customers) })
 }
 
-// Choose picks a target by the chooser.
+// Choose implements Chooser.
 func (p *policy) Choose(now time.Time, r route.Request, candidates []route.Candidate) (route.Choice, error) {
 	var c route.Choice
 	var err error
-	p.use(func() { c, err = p.chooser.Choose(now, r, candidates) })
+	p.locked(func() { c, err = p.chooser.Choose(now, r, candidates) })
 	return c, err
 }
--- a/io/request/front/pool.go
+++ b/io/request/front/pool.go
@@ -15,13 +15,14 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// sweepEvery is the time between two looks for sessions to end.
-const sweepEvery = time.Second
+// sweepInterval is the time between two checks for sessions that can be closed, if the
+// view doesn't change.
+const sweepInterval = time.Second
 
-// extraIdle is how long a session outside the subset is kept without a call.
-const extraIdle = time.Minute
+// extraSessionIdle is how long a session outside the subset stays open without calls.
+const extraSessionIdle = time.Minute
 
-// TargetStatus is how a target stands as the entry sees it.
+// TargetStatus is the state of a target as seen by the entry.
 type TargetStatus struct {
 	VM       fleet.VM       `json:"vm"`
 	Standing route.Standing `json:"standing"`
@@ -30,28 +31,30 @@
 	Boot     string         `json:"boot,omitempty"`
 }
 
-// memberID names one target process: a VM replaced under the same name has
-// another address.
+// memberID identifies a target process. A VM that replaces another of the same name has
+// a different address.
 type memberID struct {
 	name    string
 	address netip.AddrPort
 }
 
-// member is one session and what the entry has at the target.
+// member is a target in the pool with the session to its side.
 type member struct {
 	client *sessn.Client
 	cancel context.CancelFunc
 
-	// Guarded by the pool.
+	// The fields below are guarded by pool.mu. inSubset: the target belongs to the
+	// entry's subset of its service. listed: the VM list contains the VM. inFlight: the
+	// number of this entry's calls at the target. lastUsed: when the latest call ended.
 	vm       fleet.VM
-	chosen   bool
+	inSubset bool
 	listed   bool
 	inFlight int
-	used     time.Time
+	lastUsed time.Time
 }
 
-// pool keeps the entry's sessions: a bounded subset of each service's
-// targets, and those that tickets and keys need.
+// pool keeps the entry's sessions. These are to a subset of each service's targets, of
+// limited size, and to sides outside it that the calls of tickets and keys need.
 type pool struct {
 	front *Front
 
@@ -65,50 +68,51 @@
 	return &pool{front: f, members: map[memberID]*member{}}
 }
 
-// run follows the view until ctx ends.
+// run updates the sessions whenever the view changes, and every sweepInterval, until
+// ctx ends.
 func (p *pool) run(ctx context.Context) {
 	p.mu.Lock()
 	p.ctx = ctx
 	p.mu.Unlock()
-	tick := p.front.Clock.NewTicker(sweepEvery)
+	tick := p.front.Clock.NewTicker(sweepInterval)
 	defer tick.Stop()
 	defer p.wg.Wait()
 	for {
-		moved := p.front.Source.Changed()
-		p.follow(p.front.Source.Current())
+		viewChanged := p.front.Source.Changed()
+		p.updateSessions(p.front.Source.Current())
 		select {
 		case <-ctx.Done():
 			return
-		case <-moved:
+		case <-viewChanged:
 		case <-tick.Chan():
 		}
 	}
 }
 
-// follow opens the sessions of the subset and ends those no longer needed. A
-// session with calls in flight stays until they have ended.
-func (p *pool) follow(v view.View) {
-	wanted := map[memberID]bool{}
+// updateSessions opens the sessions of the subset and closes those no longer needed. A
+// session with calls in flight stays open until they have ended.
+func (p *pool) updateSessions(v view.View) {
+	subset := map[memberID]bool{}
 	if v.Document != nil {
-		p.front.policy.shares(v.Document.Customers)
+		p.front.policy.setShares(v.Document.Customers)
 	}
-	for _, vm := range p.subsets(v) {
-		wanted[idOf(vm)] = true
+	for _, vm := range p.subsetVMs(v) {
+		subset[idOf(vm)] = true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, m := range p.members {
-		m.chosen, m.listed = false, false
+		m.inSubset, m.listed = false, false
 	}
 	for _, vm := range v.VMs {
 		if vm.Role != fleet.RoleSide {
 			continue
 		}
-		if wanted[idOf(vm)] {
-			p.ensureLocked(vm)
+		if subset[idOf(vm)] {
+			p.openLocked(vm)
 		}
 		if m := p.members[idOf(vm)]; m != nil {
-			m.vm, m.listed, m.chosen = vm, true, wanted[idOf(vm)]
+			m.vm, m.listed, m.inSubset = vm, true, subset[idOf(vm)]
 		}
 	}
 	p.sweepLocked()
@@ -117,10 +121,10 @@
 func (p *pool) sweepLocked() {
 	now := p.front.Clock.Now()
 	for id, m := range p.members {
-		if m.chosen || m.inFlight > 0 {
+		if m.inSubset || m.inFlight > 0 {
 			continue
 		}
-		if m.listed && now.Sub(m.used) < extraIdle {
+		if m.listed && now.Sub(m.lastUsed) < extraSessionIdle {
 			continue
 		}
 		m.cancel()
@@ -128,9 +132,10 @@
 	}
 }
 
-// subsets returns the targets to keep sessions with. Leaving targets are not
-// counted, so their successors have sessions before they are gone.
-func (p *pool) subsets(v view.View) []fleet.VM {
+// subsetVMs returns the targets to keep sessions with. Leaving targets don't count
+// towards the limit, so that there are sessions with their successors before they are
+// gone.
+func (p *pool) subsetVMs(v view.View) []fleet.VM {
 	var live []fleet.VM
 	services := map[string]bool{}
 	for _, vm := range v.VMs {
@@ -151,7 +156,7 @@
 
 func idOf(vm fleet.VM) memberID { return memberID{name: vm.Name, address: vm.Address} }
 
-func (p *pool) ensureLocked(vm fleet.VM) *member {
+func (p *pool) openLocked(vm fleet.VM) *member {
 	if m, ok := p.members[idOf(vm)]; ok {
 		return m
 	}
@@ -160,43 +165,43 @@
 	}
 	f := p.front
 	ctx, cancel := context.WithCancel(p.ctx)
-	m := &member{vm: vm, cancel: cancel, listed: true, used: f.Clock.Now()}
+	m := &member{vm: vm, cancel: cancel, listed: true, lastUsed: f.Clock.Now()}
 	m.client = &sessn.Client{Self: f.Self, Clock: f.Clock, VM: vm, Timing: f.Timing}
-	m.client.Changed = func() { p.report(m.client, vm) }
-	m.client.Events = func(events []sessn.PrefixEvent) { p.events(vm, events) }
+	m.client.Changed = func() { p.reportLoad(m.client, vm) }
+	m.client.Events = func(cacheEvents []sessn.PrefixEvent) { p.cacheEvents(vm, cacheEvents) }
 	p.members[idOf(vm)] = m
 	p.wg.Go(func() { _ = m.client.Run(ctx) })
 	return m
 }
 
-// report hands a target's load report on to admission.
-func (p *pool) report(c *sessn.Client, vm fleet.VM) {
+// reportLoad passes a target's load report to the admitter.
+func (p *pool) reportLoad(c *sessn.Client, vm fleet.VM) {
 	s := c.Status()
 	if s.Connected && s.Beat.Load.Known {
-		p.front.policy.report(vm.Service, vm.Name, reportOf(s))
+		p.front.policy.reportLoad(vm.Service, vm.Name, loadReportOf(s))
 	}
 }
 
-func (p *pool) events(vm fleet.VM, events []sessn.PrefixEvent) {
-	for _, e := range events {
-		p.front.policy.event(vm.Name, e.Prefix, e.Stored)
+func (p *pool) cacheEvents(vm fleet.VM, cacheEvents []sessn.PrefixEvent) {
+	for _, e := range cacheEvents {
+		p.front.policy.reportCacheEvent(vm.Name, e.Prefix, e.Stored)
 	}
 }
 
-func reportOf(s sessn.Status) route.Report {
+func loadReportOf(s sessn.Status) route.Report {
 	l := s.Beat.Load
 	return route.Report{At: s.At, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
 }
 
-// take returns the member with the VM's name and counts a call in flight at
-// it. A side outside the subset gets a session of its own.
-func (p *pool) take(name string) *member {
-	vm, ok := p.listed(name)
+// acquire returns the member for the named VM and counts a call in flight at it, or
+// returns nil. For a side outside the subset it opens a session.
+func (p *pool) acquire(name string) *member {
+	vm, ok := p.findSide(name)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m := p.byNameLocked(name)
 	if m == nil && ok {
-		m = p.ensureLocked(vm)
+		m = p.openLocked(vm)
 	}
 	if m == nil {
 		return nil
@@ -215,7 +220,7 @@
 	return found
 }
 
-func (p *pool) listed(name string) (fleet.VM, bool) {
+func (p *pool) findSide(name string) (fleet.VM, bool) {
 	for _, vm := range p.front.Source.Current().VMs {
 		if vm.Name == name && vm.Role == fleet.RoleSide {
 			return vm, true
@@ -224,7 +229,7 @@
 	return fleet.VM{}, false
 }
 
-// isListed reports whether the VM list still names the member's VM.
+// isListed reports whether the VM list still contains the member's VM.
 func (p *pool) isListed(m *member) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -234,11 +239,12 @@
 func (p *pool) release(m *member) {
 	p.mu.Lock()
 	m.inFlight--
-	m.used = p.front.Clock.Now()
+	m.lastUsed = p.front.Clock.Now()
 	p.mu.Unlock()
 }
 
-// candidates returns the service's targets that the entry has sessions with.
+// candidates returns the service's targets that the entry has sessions with, sorted by
+// name.
 func (p *pool) candidates(service string) []route.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -256,12 +262,13 @@
 	s := m.client.Status()
 	c := route.Candidate{VM: m.vm, Standing: m.standing(s), InFlight: m.inFlight, Serving: s.Beat.Serving}
 	if s.Beat.Load.Known {
-		c.Report = reportOf(s)
+		c.Report = loadReportOf(s)
 	}
 	return c
 }
 
-// standing takes whichever tells first: the VM list, the side, or silence.
+// standing combines what the VM list, the side's heartbeat and the state of the session
+// say. The first that excludes the target determines the result.
 func (m *member) standing(s sessn.Status) route.Standing {
 	switch {
 	case m.vm.State == fleet.StateLeaving || s.Beat.Leaving:
--- a/io/request/front/prefix.go
+++ b/io/request/front/prefix.go
@@ -6,29 +6,30 @@
 	"strings"
 )
 
-// Blocks of a prompt by which engines cache it, in bytes and in number.
+// Engines cache prompts in blocks of prefixBlockSize bytes. At most maxPrefixes blocks
+// of a prompt are hashed.
 const (
-	prefixBlock = 64
-	maxPrefixes = 64
+	prefixBlockSize = 64
+	maxPrefixes     = 64
 )
 
-// chatMessage is one message of a chat. Content is text, or the parts of the
-// longer form, which count as they are written.
+// chatMessage is a message of a chat. Content is either a string or an array of parts.
+// An array is hashed as its raw JSON.
 type chatMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
-// prefixes returns the hashes of the prompt's leading whole blocks, the
-// shortest prefix first: FNV-1a 64 over role, newline, content and newline
-// of each message, as the engines name them in their cache events.
-func prefixes(messages []chatMessage) []uint64 {
+// prefixHashes returns the hashes of the prompt's prefixes that end at a block
+// boundary, the shortest first. The prompt is the role, a newline, the content and a
+// newline of each message. The hash is FNV-1a 64, as in the engines' cache events.
+func prefixHashes(messages []chatMessage) []uint64 {
 	prompt := promptOf(messages)
-	n := min(len(prompt)/prefixBlock, maxPrefixes)
+	n := min(len(prompt)/prefixBlockSize, maxPrefixes)
 	out := make([]uint64, 0, n)
 	h := fnv.New64a()
 	for i := range n {
-		_, _ = h.Write([]byte(prompt[i*prefixBlock : (i+1)*prefixBlock]))
+		_, _ = h.Write([]byte(prompt[i*prefixBlockSize : (i+1)*prefixBlockSize]))
 		out = append(out, h.Sum64())
 	}
 	return out
@@ -41,7 +42,7 @@
 		b.WriteByte('\n')
 		b.WriteString(contentOf(m.Content))
 		b.WriteByte('\n')
-		if b.Len() >= prefixBlock*maxPrefixes {
+		if b.Len() >= prefixBlockSize*maxPrefixes {
 			break
 		}
 	}
--- a/io/request/front/prefix_test.go
+++ b/io/request/front/prefix_test.go
@@ -12,11 +12,11 @@
 	"hawthornferry/standin/expect"
 )
 
-// An engine tells, late, that it holds a prompt's prefix. The event comes to
-// the entry through the side's session, and the next call with that prompt
-// goes to this engine though another one is as free.
+// An engine reports that its cache holds a prompt's prefix. The event reaches the entry
+// through the side's session. Calls with that prompt must then go to this engine
+// although another one has the same load.
 func TestCacheEventsSteerCalls(t *testing.T) {
-	w := newWorld(t)
+	fl := newTestFleet(t)
 	content := strings.Repeat("permit desk ", 40)
 	prompt := expect.Prompt([]expect.Message{{Role: "system", Content: content}})
 	var page []string
@@ -27,13 +27,13 @@
 		mux := http.NewServeMux()
 		mux.HandleFunc("/v1/events", func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, events) })
 		mux.Handle("/", engineStub(manifestA, func(rw http.ResponseWriter, _ *http.Request) { io.WriteString(rw, name) }))
-		w.addSide(name, "helper", mux)
+		fl.addSide(name, "helper", mux)
 	}
 	add("h1", `{"events":[]}`)
 	add("h2", `{"events":[`+strings.Join(page, ",")+`]}`)
-	e := w.addEntry("e1")
-	w.ready(e, "helper", 2)
-	for e.front.prefixesKnown() < len(page) {
+	e := fl.addEntry("e1")
+	fl.waitReady(e, "helper", 2)
+	for e.front.knownPrefixes() < len(page) {
 		time.Sleep(time.Millisecond)
 	}
 	body, err := json.Marshal(map[string]any{
@@ -42,10 +42,10 @@
 	})
 	check(t, "request", nil, err)
 	for range 5 {
-		check(t, "target", "h2", w.call(e, http.MethodPost, chatURL, string(body), nil).Body)
+		check(t, "target", "h2", fl.call(e, http.MethodPost, chatURL, string(body), nil).Body)
 	}
 }
 
-func (f *Front) prefixesKnown() int {
-	return f.policy.prefixes()
+func (f *Front) knownPrefixes() int {
+	return f.policy.prefixCount()
 }
--- a/io/request/front/problem.go
+++ b/io/request/front/problem.go
@@ -10,9 +10,9 @@
 	"hawthornferry/core/request/calls"
 )
 
-// Problem is the body of an error answer: problem+json of RFC 9457 with the
-// outcome of the call. Ticket, when set, asks for the outcome later by
-// GET /v1/tickets/{ticket}.
+// Problem is the body of an error response: application/problem+json of RFC 9457,
+// extended by the outcome of the call. If Ticket is set, the outcome can be queried
+// later with GET /v1/tickets/{ticket}.
 type Problem struct {
 	Type      string        `json:"type"`
 	Title     string        `json:"title"`
@@ -23,34 +23,34 @@
 	Service   string        `json:"service,omitempty"`
 	Ticket    string        `json:"ticket,omitempty"`
 
-	// RetryAfter is sent as a header where asking again is safe.
+	// RetryAfter is sent as a header if it is safe to retry.
 	RetryAfter time.Duration `json:"-"`
 }
 
 const (
-	problemType  = "about:blank"
-	problemMedia = "application/problem+json"
+	problemType      = "about:blank"
+	problemMediaType = "application/problem+json"
 )
 
-// Headers that callers use or see.
+// Headers of requests and responses.
 const (
-	headerCustomer = "X-Customer"
-	headerPriority = "X-Priority"
-	headerDeadline = "X-Deadline-Ms"
-	headerKey      = "Idempotency-Key"
-	headerTicket   = "X-Ticket"
-	headerRequest  = "X-Request-Id"
-	headerOutcome  = "X-Outcome"
-	headerManifest = "X-Manifest"
-	headerResume   = "X-Resume-From"
+	headerCustomer       = "X-Customer"
+	headerPriority       = "X-Priority"
+	headerDeadlineMs     = "X-Deadline-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerTicket         = "X-Ticket"
+	headerRequestID      = "X-Request-Id"
+	headerOutcome        = "X-Outcome"
+	headerManifest       = "X-Manifest"
+	headerResumeFrom     = "X-Resume-From"
 )
 
-// write sends p to the caller.
+// write sends p as the response.
 func (p Problem) write(w http.ResponseWriter) {
 	p.Type = problemType
 	p.Title = http.StatusText(p.Status)
 	h := w.Header()
-	h.Set("Content-Type", problemMedia)
+	h.Set("Content-Type", problemMediaType)
 	h.Set(headerOutcome, string(p.Outcome))
 	if p.RetryAfter > 0 {
 		seconds := int(math.Ceil(p.RetryAfter.Seconds()))
--- a/io/request/front/proxy_test.go
+++ b/io/request/front/proxy_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// proxy stands between entries and a side. Connections that it loses track
-// of stay open and carry nothing more; new ones work.
+// proxy forwards connections between entries and a side. freeze makes the open
+// connections stay open without forwarding anything; new connections work.
 type proxy struct {
 	listener net.Listener
 	target   string
 
 	mu    sync.Mutex
-	pairs []*pair
+	conns []*proxiedConn
 }
 
-// pair is one proxied connection.
-type pair struct {
-	near, far net.Conn
-	gate      chan struct{}
+// proxiedConn is a proxied connection. Data is forwarded once open is closed.
+type proxiedConn struct {
+	client, server net.Conn
+	open           chan struct{}
 }
 
 func newProxy(t *testing.T, target netip.AddrPort) *proxy {
@@ -40,35 +40,36 @@
 
 func (p *proxy) run() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", p.target)
+		server, err := net.Dial("tcp", p.target)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
 		open := make(chan struct{})
 		close(open)
-		pr := &pair{near: near, far: far, gate: open}
+		pr := &proxiedConn{client: client, server: server, open: open}
 		p.mu.Lock()
-		p.pairs = append(p.pairs, pr)
+		p.conns = append(p.conns, pr)
 		p.mu.Unlock()
-		go p.copy(pr, far, near)
-		go p.copy(pr, near, far)
+		go p.copy(pr, server, client)
+		go p.copy(pr, client, server)
 	}
 }
 
-// maxHeld is the most pieces that one direction of a pair holds back.
-const maxHeld = 4096
+// maxHeldPieces is the maximum number of reads that one direction of a connection holds
+// back.
+const maxHeldPieces = 4096
 
-// copy passes on what it reads, in order, while the gate is open. It reads on
-// while the gate is closed: left in the kernel, what was held back could be
-// dropped by a reset from the other end.
-func (p *proxy) copy(pr *pair, to, from net.Conn) {
-	held := make(chan []byte, maxHeld)
-	go p.deliver(pr, to, held)
+// copy forwards data in order while the connection is not frozen. It keeps reading
+// while it is frozen: data left in the kernel could be discarded by a reset from the
+// other end.
+func (p *proxy) copy(pr *proxiedConn, to, from net.Conn) {
+	held := make(chan []byte, maxHeldPieces)
+	go p.forward(pr, to, held)
 	defer close(held)
 	for {
 		buf := make([]byte, 64<<10)
@@ -82,40 +83,40 @@
 	}
 }
 
-func (p *proxy) deliver(pr *pair, to net.Conn, held <-chan []byte) {
+func (p *proxy) forward(pr *proxiedConn, to net.Conn, held <-chan []byte) {
 	defer to.Close()
 	for b := range held {
-		p.await(pr)
+		p.waitOpen(pr)
 		_, _ = to.Write(b)
 	}
-	p.await(pr)
+	p.waitOpen(pr)
 }
 
-func (p *proxy) await(pr *pair) {
+func (p *proxy) waitOpen(pr *proxiedConn) {
 	p.mu.Lock()
-	gate := pr.gate
+	open := pr.open
 	p.mu.Unlock()
-	<-gate
+	<-open
 }
 
-// silence loses track of the connections that are open now. The returned
-// function lets go what they have held back.
-func (p *proxy) silence() func() {
+// freeze stops forwarding on the connections that are open now. The returned function
+// forwards what they have held back and resumes them.
+func (p *proxy) freeze() func() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	gate := make(chan struct{})
-	for _, pr := range p.pairs {
-		pr.gate = gate
+	open := make(chan struct{})
+	for _, pr := range p.conns {
+		pr.open = open
 	}
-	return sync.OnceFunc(func() { close(gate) })
+	return sync.OnceFunc(func() { close(open) })
 }
 
 func (p *proxy) close() {
 	p.listener.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, pr := range p.pairs {
-		pr.near.Close()
-		pr.far.Close()
+	for _, pr := range p.conns {
+		pr.client.Close()
+		pr.server.Close()
 	}
 }
--- a/io/request/front/relay.go
+++ b/io/request/front/relay.go
@@ -11,33 +11,33 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// errVersion is returned for an answer of another version than the one that
-// the caller already has a part of.
-var errVersion = errors.New("answer of another version")
+// errVersionMismatch is returned if an attempt's answer comes from another version than
+// the part that the caller already has.
+var errVersionMismatch = errors.New("answer of another version")
 
-// errCaller is returned when the caller can not be written to.
-var errCaller = errors.New("caller does not take its answer")
+// errCallerWrite marks a failed write to the caller.
+var errCallerWrite = errors.New("caller does not take its answer")
 
-// errCut is returned for an answer that ended before it was whole.
-var errCut = errors.New("answer ended before it was whole")
+// errTruncated is returned for an answer that ended before it was complete.
+var errTruncated = errors.New("answer ended before it was whole")
 
-// relay hands one answer to a caller. Several attempts may follow each
-// other; resume says where the next one is to go on.
+// relay passes an answer to a caller. Several attempts may contribute to one answer:
+// prepareResume is called between them.
 type relay interface {
-	// head, data and end take an attempt's answer in.
-	head(h *sessn.Head) error
-	data(b []byte) error
-	end() error
-	// begun reports whether the caller has got a byte.
-	begun() bool
-	// resume prepares for the next attempt and returns the version that
-	// alone may answer it, if any, and the number of tokens to skip.
-	resume() (chunk.Digest, int)
-	// possible reports whether a further attempt can complete the answer.
-	possible() bool
+	// onHead, onData and onEnd receive an attempt's answer.
+	onHead(h *sessn.Head) error
+	onData(b []byte) error
+	onEnd() error
+	// started reports whether anything has been sent to the caller.
+	started() bool
+	// prepareResume prepares for the next attempt. It returns the only version that may
+	// answer it, or an empty digest for any version, and the number of tokens to skip.
+	prepareResume() (chunk.Digest, int)
+	// canRetry reports whether another attempt can still complete the answer.
+	canRetry() bool
 }
 
-// callerWriter writes to the caller under a deadline for each write.
+// callerWriter writes to the caller with a deadline for each write.
 type callerWriter struct {
 	w       http.ResponseWriter
 	rc      *http.ResponseController
@@ -51,14 +51,14 @@
 func (c callerWriter) send(b []byte) error {
 	_ = c.rc.SetWriteDeadline(time.Now().Add(c.timeout))
 	if _, err := c.w.Write(b); err != nil {
-		return errors.Mark(err, errCaller)
+		return errors.Mark(err, errCallerWrite)
 	}
 	return nil
 }
 
 func (c callerWriter) flush() error {
 	if err := c.rc.Flush(); err != nil {
-		return errors.Mark(err, errCaller)
+		return errors.Mark(err, errCallerWrite)
 	}
 	return nil
 }
@@ -69,63 +69,63 @@
 	}
 }
 
-// setLength states the length of an answer that may have a body. That of a
-// HEAD is the target's own.
-func setLength(h http.Header, status, n int) {
+// setContentLength sets the length of an answer unless its status allows no body or the
+// target has set a length, as it does in answers to HEAD.
+func setContentLength(h http.Header, status, n int) {
 	if status == http.StatusNoContent || status == http.StatusNotModified || h.Get("Content-Length") != "" {
 		return
 	}
 	h.Set("Content-Length", strconv.Itoa(n))
 }
 
-// wholeRelay holds an answer back until it is whole, so that a failure before
-// its end can still be mended by another attempt. An answer over the bound is
-// passed on as it comes, and cut if it fails.
-type wholeRelay struct {
-	out    callerWriter
-	first  *sessn.Head
-	held   []byte
-	passed bool
+// bufferedRelay buffers an answer until it is complete, so that if an attempt fails
+// another one can still provide it. An answer over sessn.MaxAnswer is passed through as
+// it arrives, and is truncated if the attempt fails.
+type bufferedRelay struct {
+	out         callerWriter
+	answerHead  *sessn.Head
+	buffered    []byte
+	wroteHeader bool
 }
 
-func (r *wholeRelay) head(h *sessn.Head) error {
-	r.first = h
+func (r *bufferedRelay) onHead(h *sessn.Head) error {
+	r.answerHead = h
 	return nil
 }
 
-func (r *wholeRelay) data(b []byte) error {
-	if r.passed {
+func (r *bufferedRelay) onData(b []byte) error {
+	if r.wroteHeader {
 		return r.out.send(b)
 	}
-	r.held = append(r.held, b...)
-	if len(r.held) <= sessn.MaxAnswer {
+	r.buffered = append(r.buffered, b...)
+	if len(r.buffered) <= sessn.MaxAnswer {
 		return nil
 	}
-	r.passed = true
-	copyHeader(r.out.w.Header(), r.first.Header)
-	r.out.w.WriteHeader(r.first.Status)
-	return r.out.send(r.held)
+	r.wroteHeader = true
+	copyHeader(r.out.w.Header(), r.answerHead.Header)
+	r.out.w.WriteHeader(r.answerHead.Status)
+	return r.out.send(r.buffered)
 }
 
-func (r *wholeRelay) end() error {
-	if r.first == nil {
-		return errCut
+func (r *bufferedRelay) onEnd() error {
+	if r.answerHead == nil {
+		return errTruncated
 	}
-	if r.passed {
+	if r.wroteHeader {
 		return nil
 	}
-	r.passed = true
-	copyHeader(r.out.w.Header(), r.first.Header)
-	setLength(r.out.w.Header(), r.first.Status, len(r.held))
-	r.out.w.WriteHeader(r.first.Status)
-	return r.out.send(r.held)
+	r.wroteHeader = true
+	copyHeader(r.out.w.Header(), r.answerHead.Header)
+	setContentLength(r.out.w.Header(), r.answerHead.Status, len(r.buffered))
+	r.out.w.WriteHeader(r.answerHead.Status)
+	return r.out.send(r.buffered)
 }
 
-func (r *wholeRelay) begun() bool { return r.passed }
+func (r *bufferedRelay) started() bool { return r.wroteHeader }
 
-func (r *wholeRelay) resume() (chunk.Digest, int) {
-	r.first, r.held = nil, r.held[:0]
+func (r *bufferedRelay) prepareResume() (chunk.Digest, int) {
+	r.answerHead, r.buffered = nil, r.buffered[:0]
 	return "", 0
 }
 
-func (r *wholeRelay) possible() bool { return !r.passed }
+func (r *bufferedRelay) canRetry() bool { return !r.wroteHeader }
--- a/io/request/front/repeat.go
+++ b/io/request/front/repeat.go
@@ -13,129 +13,130 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// repeat carries a call that may run more than once: a failed attempt goes
-// to another target, within the bounds of attempts and of the retry budget.
-func (f *Front) repeat(ctx context.Context, w http.ResponseWriter, k *work) {
-	rl := f.newRelay(w, k)
-	last := ending{outcome: calls.NotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
+// runRepeatable runs a call that may run more than once. A failed attempt is followed
+// by one on another target, within the limits of MaxAttempts and of the retry budget.
+func (f *Front) runRepeatable(ctx context.Context, w http.ResponseWriter, rq *request) {
+	rl := f.newRelay(w, rq)
+	last := result{outcome: calls.NotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
-		m, err := f.choose(k)
+		m, err := f.choose(rq)
 		if err != nil {
-			last.reason = or(last.reason, err.Error())
+			last.reason = valueOr(last.reason, err.Error())
 			break
 		}
-		err = f.tryRepeat(ctx, m, k, rl)
+		err = f.attemptRepeatable(ctx, m, rq, rl)
 		f.pool.release(m)
 		if err == nil {
-			f.finish(k, ending{outcome: calls.Done})
+			f.recordResult(rq, result{outcome: calls.Done})
 			return
 		}
-		last = endingOf(ctx, err, last)
-		if n >= f.Limits.Attempts || !f.goOn(ctx, k, rl, m, err) {
+		last = resultOfError(ctx, err, last)
+		if n >= f.Limits.MaxAttempts || !f.prepareRetry(ctx, rq, rl, m, err) {
 			break
 		}
 	}
-	f.endRepeat(w, k, rl, last)
+	f.failRepeatable(w, rq, rl, last)
 }
 
-func (f *Front) newRelay(w http.ResponseWriter, k *work) relay {
+func (f *Front) newRelay(w http.ResponseWriter, rq *request) relay {
 	out := newCallerWriter(w, f.Limits.WriteTimeout)
-	if k.stream {
+	if rq.stream {
 		return newEventRelay(out)
 	}
-	return &wholeRelay{out: out}
+	return &bufferedRelay{out: out}
 }
 
-// goOn decides whether a failed attempt is followed by another, and prepares
-// it.
-func (f *Front) goOn(ctx context.Context, k *work, rl relay, m *member, err error) bool {
-	if ctx.Err() != nil || errors.Is(err, errCaller) || !rl.possible() {
+// prepareRetry decides whether a failed attempt is followed by another. If so, it
+// updates rq and rl for that.
+func (f *Front) prepareRetry(ctx context.Context, rq *request, rl relay, m *member, err error) bool {
+	if ctx.Err() != nil || errors.Is(err, errCallerWrite) || !rl.canRetry() {
 		return false
 	}
-	if !f.policy.retry(k.req.Service) {
+	if !f.policy.allowRetry(rq.routing.Service) {
 		return false
 	}
-	k.req.Avoid = append(k.req.Avoid, m.client.VM.Name)
-	version, tokens := rl.resume()
-	k.req.Version = version
-	k.header.Del(headerResume)
+	rq.routing.Avoid = append(rq.routing.Avoid, m.client.VM.Name)
+	version, tokens := rl.prepareResume()
+	rq.routing.Version = version
+	rq.header.Del(headerResumeFrom)
 	if tokens > 0 {
-		k.header.Set(headerResume, strconv.Itoa(tokens))
+		rq.header.Set(headerResumeFrom, strconv.Itoa(tokens))
 	}
 	f.Log.Decide(trail.Decision{
-		Area: trail.AreaCall, Action: "retry", Request: k.req.ID, Customer: k.req.Customer,
-		Service: k.req.Service, Subject: m.client.VM.Name, Reason: err.Error(),
+		Area: trail.AreaCall, Action: "retry", Request: rq.routing.ID, Customer: rq.routing.Customer,
+		Service: rq.routing.Service, Subject: m.client.VM.Name, Reason: err.Error(),
 		Revision: f.Self.Revision.Load(),
 	})
 	return true
 }
 
-// endRepeat tells the caller that its answer will not be whole. Once a part
-// of it has left, only a broken connection says so: an orderly end would pass
-// for the end of the answer.
-func (f *Front) endRepeat(w http.ResponseWriter, k *work, rl relay, e ending) {
-	if !rl.begun() {
-		f.fail(w, k, e)
+// failRepeatable reports to the caller that it gets no complete answer. If a part of
+// the answer has been sent already, it aborts the connection: an orderly end would make
+// the part look complete.
+func (f *Front) failRepeatable(w http.ResponseWriter, rq *request, rl relay, res result) {
+	if !rl.started() {
+		f.writeFailure(w, rq, res)
 		return
 	}
-	e.outcome = calls.Unknown
-	f.finish(k, e)
+	res.outcome = calls.Unknown
+	f.recordResult(rq, res)
 	panic(http.ErrAbortHandler)
 }
 
-// refusedError is a refusal of the side.
-type refusedError struct{ refusal *sessn.Refusal }
+// refusalError is the error for a call that the side refused.
+type refusalError struct{ refusal *sessn.Refusal }
 
-func (e *refusedError) Error() string { return "side refused: " + string(e.refusal.Reason) }
+func (e *refusalError) Error() string { return "side refused: " + string(e.refusal.Reason) }
 
-func endingOf(ctx context.Context, err error, last ending) ending {
+func resultOfError(ctx context.Context, err error, last result) result {
 	if ctx.Err() != nil {
-		return gaveUp(ctx, calls.Unknown)
+		return interruptedResult(ctx, calls.Unknown)
 	}
-	var refused *refusedError
+	var refused *refusalError
 	if errors.As(err, &refused) {
-		return endingOfRefusal(refused.refusal)
+		return resultOfRefusal(refused.refusal)
 	}
 	if errors.Is(err, sessn.ErrUnsent) {
 		last.reason = err.Error()
 		return last
 	}
-	return ending{
+	return result{
 		outcome: calls.Unknown, reason: err.Error(),
 		status: http.StatusBadGateway, retryAfter: retryAfter,
 	}
 }
 
-// endingOfRefusal tells a caller why the side refused. Asking again is safe
-// for a call that did not run, and for one that may be repeated.
-func endingOfRefusal(r *sessn.Refusal) ending {
-	e := ending{outcome: r.Outcome, reason: string(r.Reason), retryAfter: max(r.RetryAfter, retryAfter)}
+// resultOfRefusal returns what to tell the caller of a repeatable call that the side
+// refused. It sets retryAfter, as such a call is always safe to retry. For once-calls
+// withoutUnsafeRetry must be applied to it.
+func resultOfRefusal(r *sessn.Refusal) result {
+	res := result{outcome: r.Outcome, reason: string(r.Reason), retryAfter: max(r.RetryAfter, retryAfter)}
 	switch {
 	case r.Reason == calls.ReasonTimeout:
-		e.status = http.StatusGatewayTimeout
+		res.status = http.StatusGatewayTimeout
 	case r.Outcome == calls.NotRun:
-		e.status = http.StatusServiceUnavailable
+		res.status = http.StatusServiceUnavailable
 	default:
-		e.status = http.StatusBadGateway
+		res.status = http.StatusBadGateway
 	}
-	return e
+	return res
 }
 
-// tryRepeat makes one attempt. It returns nil when the caller has got the
-// whole answer.
-func (f *Front) tryRepeat(ctx context.Context, m *member, k *work, rl relay) error {
-	start, err := f.start(ctx, m, k)
+// attemptRepeatable makes one attempt. It returns nil if the caller got the complete
+// answer.
+func (f *Front) attemptRepeatable(ctx context.Context, m *member, rq *request, rl relay) error {
+	startMessage, err := f.startMessage(ctx, m, rq)
 	if err != nil {
 		return err
 	}
-	start.Version = k.req.Version
-	call, err := m.client.Start(start, k.body)
+	startMessage.Version = rq.routing.Version
+	call, err := m.client.Start(startMessage, rq.body)
 	if err != nil {
 		return err
 	}
 	ended := false
 	defer func() { call.Close(ended) }()
-	pace := newPacer(rl)
+	timer := newTokenTimer(rl)
 	for {
 		msg, err := call.Next(ctx)
 		if err != nil {
@@ -143,20 +144,20 @@
 		}
 		switch msg := msg.(type) {
 		case *sessn.Head:
-			if err = rl.head(msg); err == nil {
-				f.noteStream(k, m, rl, msg)
+			if err = rl.onHead(msg); err == nil {
+				f.logStreamHead(rq, m, rl, msg)
 			}
 		case *sessn.Data:
-			k.began(f.Clock.Now())
-			pace.data(f.Clock.Now())
-			err = rl.data(msg.Data)
+			rq.recordFirstByte(f.Clock.Now())
+			timer.onData(f.Clock.Now())
+			err = rl.onData(msg.Data)
 		case *sessn.Refusal:
 			ended = true
-			return &refusedError{msg}
+			return &refusalError{msg}
 		case *sessn.End:
 			ended = true
-			f.policy.paced(m.client.VM.Name, pace)
-			return rl.end()
+			f.policy.reportTokenInterval(m.client.VM.Name, timer)
+			return rl.onEnd()
 		}
 		if err != nil {
 			return err
@@ -164,22 +165,22 @@
 	}
 }
 
-// start builds the message that opens a call at the member's side.
-func (f *Front) start(ctx context.Context, m *member, k *work) (*sessn.Start, error) {
+// startMessage builds the message that starts the call at the member's side.
+func (f *Front) startMessage(ctx context.Context, m *member, rq *request) (*sessn.Start, error) {
 	echo, ok := m.client.Reading()
 	if !ok {
 		return nil, sessn.ErrUnsent
 	}
-	left := k.timeout
+	left := rq.timeout
 	if d, ok := ctx.Deadline(); ok {
 		left = d.Sub(f.Clock.Now())
 	}
 	return &sessn.Start{
-		Request: k.req.ID,
+		Request: rq.routing.ID,
 		Echo:    echo,
-		Method:  k.method,
-		Path:    k.path,
-		Header:  k.header,
+		Method:  rq.method,
+		Path:    rq.path,
+		Header:  rq.header,
 		Timeout: max(left, time.Millisecond),
 	}, nil
 }
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -20,39 +20,41 @@
 
 const servicePrefix = "/v1/services/"
 
-// router maps the paths of callers.
-func (f *Front) router() http.Handler {
+// newRouter returns the handler for all paths that callers may use.
+func (f *Front) newRouter() http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	r.HandleFunc("/v1/chat/completions", f.guard(f.chat)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/tickets", f.guard(f.issueTicket)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/tickets/{id}", f.guard(f.askTicket)).Methods(http.MethodGet)
-	r.HandleFunc(servicePrefix+"{service}/{path:.*}", f.guard(f.service))
-	r.NotFoundHandler = http.HandlerFunc(f.notFound)
-	r.MethodNotAllowedHandler = http.HandlerFunc(f.notAllowed)
+	r.HandleFunc("/v1/chat/completions", f.limitInFlight(f.handleChat)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/tickets", f.limitInFlight(f.handleTicketIssue)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/tickets/{id}", f.limitInFlight(f.handleTicketStatus)).Methods(http.MethodGet)
+	r.HandleFunc(servicePrefix+"{service}/{path:.*}", f.limitInFlight(f.handleService))
+	r.NotFoundHandler = http.HandlerFunc(f.handleNotFound)
+	r.MethodNotAllowedHandler = http.HandlerFunc(f.handleMethodNotAllowed)
 	return r
 }
 
-// retryAfter is what a refused caller is told to wait.
+// retryAfter is the time after which a refused caller is told to retry.
 const retryAfter = time.Second
 
-// guard refuses what the entry may not take now and bounds what it takes.
-func (f *Front) guard(next http.HandlerFunc) http.HandlerFunc {
+// limitInFlight rejects requests while the entry has MaxInFlight calls. While the entry
+// drains, it tells callers to close their connections.
+func (f *Front) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if f.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		select {
-		case f.places <- struct{}{}:
+		case f.callSlots <- struct{}{}:
 		default:
 			f.reject(w, http.StatusServiceUnavailable, "too many calls in flight", retryAfter)
 			return
 		}
-		defer func() { <-f.places }()
+		defer func() { <-f.callSlots }()
 		next(w, r)
 	}
 }
 
-// reject ends a request that never became a call.
+// reject sends the error response to a request that was rejected before it became a
+// call.
 func (f *Front) reject(w http.ResponseWriter, status int, detail string, after time.Duration) {
 	f.Metrics.Counter("rejected").Inc(1)
 	Problem{
@@ -61,16 +63,17 @@
 	}.write(w)
 }
 
-func (f *Front) notFound(w http.ResponseWriter, _ *http.Request) {
+func (f *Front) handleNotFound(w http.ResponseWriter, _ *http.Request) {
 	f.reject(w, http.StatusNotFound, "no such path", 0)
 }
 
-func (f *Front) notAllowed(w http.ResponseWriter, _ *http.Request) {
+func (f *Front) handleMethodNotAllowed(w http.ResponseWriter, _ *http.Request) {
 	f.reject(w, http.StatusMethodNotAllowed, "method is not allowed here", 0)
 }
 
-// lookup returns the service of the document in force.
-func (f *Front) lookup(w http.ResponseWriter, name string, kind envdoc.Kind) (envdoc.Service, bool) {
+// lookupService returns the named service of the given kind from the current document.
+// If there is none, it sends the error response and returns false.
+func (f *Front) lookupService(w http.ResponseWriter, name string, kind envdoc.Kind) (envdoc.Service, bool) {
 	d := f.Source.Current().Document
 	if d == nil {
 		f.reject(w, http.StatusServiceUnavailable, "no document is in force yet", retryAfter)
@@ -84,28 +87,28 @@
 	return s, true
 }
 
-// workNamed makes the work of a call to the service called name, or tells the
-// caller why there is none.
-func (f *Front) workNamed(w http.ResponseWriter, r *http.Request, name string, kind envdoc.Kind) (*work, bool) {
-	s, ok := f.lookup(w, name, kind)
+// newRequestByName is newRequestFor for the named service. If there is no such service
+// of the given kind, it sends the error response and returns false.
+func (f *Front) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.Kind) (*request, bool) {
+	s, ok := f.lookupService(w, name, kind)
 	if !ok {
 		return nil, false
 	}
-	return f.workOf(w, r, s)
+	return f.newRequestFor(w, r, s)
 }
 
-// workOf makes the work of a call to s, or tells the caller which header is
-// at fault.
-func (f *Front) workOf(w http.ResponseWriter, r *http.Request, s envdoc.Service) (*work, bool) {
-	k, err := f.newWork(r, s)
+// newRequestFor returns the request for a call to s. If a header is invalid, it sends
+// the error response and returns false.
+func (f *Front) newRequestFor(w http.ResponseWriter, r *http.Request, s envdoc.Service) (*request, bool) {
+	rq, err := f.newRequest(r, s)
 	if err != nil {
 		f.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return nil, false
 	}
-	return k, true
+	return rq, true
 }
 
-// chatRequest is the part of a chat completion that the entry reads.
+// chatRequest is the part of a chat completion request that the entry reads.
 type chatRequest struct {
 	Model    string        `json:"model"`
 	Stream   bool          `json:"stream"`
@@ -114,8 +117,8 @@
 
 const chatPath = "/v1/chat/completions"
 
-// chat serves a chat completion; its model names the service.
-func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
+// handleChat serves a chat completion. The model names the service.
+func (f *Front) handleChat(w http.ResponseWriter, r *http.Request) {
 	body, release, ok := f.readBody(w, r)
 	if !ok {
 		return
@@ -126,19 +129,19 @@
 		f.reject(w, http.StatusBadRequest, "the body is not a chat completion", 0)
 		return
 	}
-	k, ok := f.workNamed(w, r, q.Model, envdoc.KindEngine)
+	rq, ok := f.newRequestByName(w, r, q.Model, envdoc.KindEngine)
 	if !ok {
 		return
 	}
-	k.path, k.body, k.stream = chatPath, body, q.Stream
-	k.req.Prefix = prefixes(q.Messages)
-	f.serve(w, r, k, f.repeat)
+	rq.path, rq.body, rq.stream = chatPath, body, q.Stream
+	rq.routing.Prefix = prefixHashes(q.Messages)
+	f.admitAndRun(w, r, rq, f.runRepeatable)
 }
 
-// service passes a call through to a plain service.
-func (f *Front) service(w http.ResponseWriter, r *http.Request) {
+// handleService passes a call to a plain service through.
+func (f *Front) handleService(w http.ResponseWriter, r *http.Request) {
 	name := mux.Vars(r)["service"]
-	s, ok := f.lookup(w, name, envdoc.KindPlain)
+	s, ok := f.lookupService(w, name, envdoc.KindPlain)
 	if !ok {
 		return
 	}
@@ -152,23 +155,23 @@
 		return
 	}
 	defer release()
-	k, ok := f.workOf(w, r, s)
+	rq, ok := f.newRequestFor(w, r, s)
 	if !ok {
 		return
 	}
-	k.path, k.body = path, body
-	if repeatable(s, r.Method, path) {
-		f.serve(w, r, k, f.repeat)
+	rq.path, rq.body = path, body
+	if isRepeatable(s, r.Method, path) {
+		f.admitAndRun(w, r, rq, f.runRepeatable)
 		return
 	}
-	if err := k.readBinding(r.Header); err != nil {
+	if err := rq.parseBinding(r.Header); err != nil {
 		f.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	f.serve(w, r, k, f.once)
+	f.admitAndRun(w, r, rq, f.runOnce)
 }
 
-// servicePath is the path and query that the target gets.
+// servicePath returns the path and query to send to the target.
 func servicePath(r *http.Request, service string) (string, error) {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), servicePrefix+service)
 	for part := range strings.SplitSeq(path, "/") {
@@ -182,44 +185,44 @@
 	return path, nil
 }
 
-// serve runs a call under its deadline.
-func (f *Front) serve(w http.ResponseWriter, r *http.Request, k *work, run func(context.Context, http.ResponseWriter, *work)) {
-	w.Header().Set(headerRequest, k.req.ID)
-	ctx, cancel := clockwork.WithTimeout(r.Context(), f.Clock, k.timeout)
+// admitAndRun waits for admission and then calls run, both within the call's deadline.
+func (f *Front) admitAndRun(w http.ResponseWriter, r *http.Request, rq *request, run func(context.Context, http.ResponseWriter, *request)) {
+	w.Header().Set(headerRequestID, rq.routing.ID)
+	ctx, cancel := clockwork.WithTimeout(r.Context(), f.Clock, rq.timeout)
 	defer cancel()
-	v, ok := f.policy.admit(ctx, k.req)
+	v, ok := f.policy.admit(ctx, rq.routing)
 	if !ok {
-		f.fail(w, k, onceEnding(gaveUp(ctx, k.unsentOutcome())))
+		f.writeFailure(w, rq, withoutUnsafeRetry(interruptedResult(ctx, rq.unsentOutcome())))
 		return
 	}
-	f.logAdmission(k, v)
+	f.logAdmission(rq, v)
 	if v.Decision == admit.Refused {
-		f.turnAway(ctx, w, k, v)
+		f.refuseAdmission(ctx, w, rq, v)
 		return
 	}
-	k.admitted = f.Clock.Now()
-	defer func() { f.policy.done(k.req.ID, k.firstByte) }()
-	run(ctx, w, k)
+	rq.admittedAt = f.Clock.Now()
+	defer func() { f.policy.callEnded(rq.routing.ID, rq.timeToFirstByte) }()
+	run(ctx, w, rq)
 }
 
-// turnAway tells a caller that its call is refused at the door. Only the side
-// of a bound call can say whether it ran, so that one is asked.
-func (f *Front) turnAway(ctx context.Context, w http.ResponseWriter, k *work, v admit.Verdict) {
-	e := ending{
+// refuseAdmission reports to a caller that admission refused its call. A bound call may
+// have run already, so its side is queried first.
+func (f *Front) refuseAdmission(ctx context.Context, w http.ResponseWriter, rq *request, v admit.Verdict) {
+	res := result{
 		outcome: calls.NotRun, reason: string(v.Reason),
-		status: http.StatusTooManyRequests, retryAfter: v.RetryAfter, refused: true,
+		status: http.StatusTooManyRequests, retryAfter: v.RetryAfter, refusedAtAdmission: true,
 	}
-	if k.ticket == nil && k.key == "" {
-		f.fail(w, k, e)
+	if rq.ticket == nil && rq.idempotencyKey == "" {
+		f.writeFailure(w, rq, res)
 		return
 	}
-	k.refused = &e
-	f.once(ctx, w, k)
+	rq.refusedAtAdmission = &res
+	f.runOnce(ctx, w, rq)
 }
 
-func (f *Front) logAdmission(k *work, v admit.Verdict) {
+func (f *Front) logAdmission(rq *request, v admit.Verdict) {
 	f.Log.Decide(trail.Decision{
-		Area: trail.AreaAdmission, Action: string(v.Decision), Request: k.req.ID, Customer: k.req.Customer,
-		Service: k.req.Service, Reason: string(v.Reason), Revision: f.Self.Revision.Load(),
+		Area: trail.AreaAdmission, Action: string(v.Decision), Request: rq.routing.ID, Customer: rq.routing.Customer,
+		Service: rq.routing.Service, Reason: string(v.Reason), Revision: f.Self.Revision.Load(),
 	})
 }
--- a/io/request/front/stream.go
+++ b/io/request/front/stream.go
@@ -12,82 +12,83 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// Form of a stream of server-sent events.
+// Format of a stream of server-sent events.
 const (
-	mediaEvents = "text/event-stream"
-	dataField   = "data:"
-	doneData    = "[DONE]"
+	mediaTypeEventStream = "text/event-stream"
+	dataField            = "data:"
+	endMark              = "[DONE]"
 )
 
-// eventEnds are the ends of an event.
-var eventEnds = []string{"\n\n", "\r\n\r\n"}
+// eventTerminators are the byte sequences that end an event.
+var eventTerminators = []string{"\n\n", "\r\n\r\n"}
 
-// maxEvent bounds one event in bytes.
-const maxEvent = 256 << 10
+// maxEventBytes limits the size of an event. The bytes of an incomplete event are
+// buffered.
+const maxEventBytes = 256 << 10
 
-var errEvent = errors.Newf("event is over %d bytes", maxEvent)
+var errEventTooLarge = errors.Newf("event is over %d bytes", maxEventBytes)
 
-// eventRelay passes on a generation event by event. It sends whole events
-// only, and counts the tokens that the caller has, so that another target
-// which serves the same version can go on after them.
+// eventRelay passes a stream of generated tokens to the caller, in whole events only.
+// It counts the tokens sent, so that another target that serves the same version can
+// continue after them.
 type eventRelay struct {
 	out callerWriter
-	// whole takes over for an answer that is not a stream, such as an error.
-	whole   *wholeRelay
-	version chunk.Digest
-	header  http.Header
-
-	buf    []byte
-	held   []byte
-	tokens int
-	sent   bool
-	done   bool
+	// nonStream relays an answer that is not a stream, such as an error.
+	nonStream *bufferedRelay
+	version   chunk.Digest
+	header    http.Header
+
+	unparsed    []byte
+	heldEvents  []byte
+	tokens      int
+	wroteHeader bool
+	sawEndMark  bool
 }
 
 func newEventRelay(out callerWriter) *eventRelay { return &eventRelay{out: out} }
 
-func (r *eventRelay) head(h *sessn.Head) error {
-	if !strings.HasPrefix(h.Header.Get("Content-Type"), mediaEvents) {
-		if r.sent {
-			return errCut
+func (r *eventRelay) onHead(h *sessn.Head) error {
+	if !strings.HasPrefix(h.Header.Get("Content-Type"), mediaTypeEventStream) {
+		if r.wroteHeader {
+			return errTruncated
 		}
-		r.whole = &wholeRelay{out: r.out}
-		return r.whole.head(h)
+		r.nonStream = &bufferedRelay{out: r.out}
+		return r.nonStream.onHead(h)
 	}
 	got := chunk.Digest(h.Header.Get(headerManifest))
-	// A part of one version followed by a part of another reads as one text
-	// that neither would have given.
-	if r.sent && got != r.version {
-		return errVersion
+	// Text of one version continued by another would look like a single answer that
+	// neither version would have given.
+	if r.wroteHeader && got != r.version {
+		return errVersionMismatch
 	}
 	r.version = got
 	r.header = h.Header
-	// An engine that ends early states the length of the part that it sent;
-	// passed on, the part would pass for the whole.
+	// An engine that ends early sends the length of the part that it sent. If the
+	// caller got that length, the part would look complete.
 	r.header.Del("Content-Length")
 	return nil
 }
 
-func (r *eventRelay) data(b []byte) error {
-	if r.whole != nil {
-		return r.whole.data(b)
+func (r *eventRelay) onData(b []byte) error {
+	if r.nonStream != nil {
+		return r.nonStream.onData(b)
 	}
-	r.buf = append(r.buf, b...)
+	r.unparsed = append(r.unparsed, b...)
 	flush := false
 	for {
-		n := eventLength(r.buf)
+		n := firstEventLength(r.unparsed)
 		if n == 0 {
 			break
 		}
-		wrote, err := r.event(r.buf[:n])
+		wrote, err := r.relayEvent(r.unparsed[:n])
 		if err != nil {
 			return err
 		}
 		flush = flush || wrote
-		r.buf = r.buf[n:]
+		r.unparsed = r.unparsed[n:]
 	}
-	if len(r.buf) > maxEvent {
-		return errEvent
+	if len(r.unparsed) > maxEventBytes {
+		return errEventTooLarge
 	}
 	if !flush {
 		return nil
@@ -95,29 +96,30 @@
 	return r.out.flush()
 }
 
-// eventLength is the length of the first whole event of b with its end, 0
-// when there is none yet.
-func eventLength(b []byte) int {
-	best := 0
-	for _, end := range eventEnds {
-		if i := bytes.Index(b, []byte(end)); i >= 0 && (best == 0 || i+len(end) < best) {
-			best = i + len(end)
+// firstEventLength returns the length of the first complete event in b with its
+// terminator, or 0 if there is none yet.
+func firstEventLength(b []byte) int {
+	shortest := 0
+	for _, end := range eventTerminators {
+		if i := bytes.Index(b, []byte(end)); i >= 0 && (shortest == 0 || i+len(end) < shortest) {
+			shortest = i + len(end)
 		}
 	}
-	return best
+	return shortest
 }
 
-// event takes one whole event. One without a token, such as the last before
-// the end, is held until what follows it has come: were the stream resumed
-// after it, the caller would get it twice.
-func (r *eventRelay) event(e []byte) (bool, error) {
+// relayEvent handles one complete event and reports whether it sent anything. An event
+// without a token, such as the last one before the end mark, is held until a later
+// event is sent. Otherwise, if the stream were resumed after it, the caller would get
+// it twice, as the position to resume from is a number of tokens.
+func (r *eventRelay) relayEvent(e []byte) (bool, error) {
 	payload := bytes.TrimSpace(bytes.TrimPrefix(e, []byte(dataField)))
-	if string(payload) == doneData {
-		r.done = true
+	if string(payload) == endMark {
+		r.sawEndMark = true
 		return true, r.send(e)
 	}
 	if !hasToken(payload) {
-		r.held = append(r.held, e...)
+		r.heldEvents = append(r.heldEvents, e...)
 		return false, nil
 	}
 	r.tokens++
@@ -125,19 +127,19 @@
 }
 
 func (r *eventRelay) send(e []byte) error {
-	if !r.sent {
-		r.sent = true
+	if !r.wroteHeader {
+		r.wroteHeader = true
 		copyHeader(r.out.w.Header(), r.header)
 		r.out.w.WriteHeader(http.StatusOK)
 	}
-	if len(r.held) > 0 {
-		e = append(r.held, e...)
-		r.held = nil
+	if len(r.heldEvents) > 0 {
+		e = append(r.heldEvents, e...)
+		r.heldEvents = nil
 	}
 	return r.out.send(e)
 }
 
-// tokenEvent is the part of an event that tells whether it has a token.
+// tokenEvent is the part of an event that shows whether it has a token.
 type tokenEvent struct {
 	Choices []struct {
 		Delta struct {
@@ -154,32 +156,35 @@
 	return len(e.Choices) > 0 && e.Choices[0].Delta.Content != ""
 }
 
-// end accepts the end only after the event that marks it: a connection that
-// closed early would otherwise pass for a whole answer.
-func (r *eventRelay) end() error {
-	if r.whole != nil {
-		return r.whole.end()
+// onEnd returns an error unless the end mark has been received. Otherwise a stream
+// whose connection closed early would look complete.
+func (r *eventRelay) onEnd() error {
+	if r.nonStream != nil {
+		return r.nonStream.onEnd()
 	}
-	if !r.done {
-		return errCut
+	if !r.sawEndMark {
+		return errTruncated
 	}
 	return nil
 }
 
-func (r *eventRelay) begun() bool { return r.sent || (r.whole != nil && r.whole.begun()) }
+func (r *eventRelay) started() bool {
+	return r.wroteHeader || (r.nonStream != nil && r.nonStream.started())
+}
 
-func (r *eventRelay) resume() (chunk.Digest, int) {
-	r.buf, r.held, r.whole = nil, nil, nil
-	if !r.sent {
+func (r *eventRelay) prepareResume() (chunk.Digest, int) {
+	r.unparsed, r.heldEvents, r.nonStream = nil, nil, nil
+	if !r.wroteHeader {
 		return "", 0
 	}
 	return r.version, r.tokens
 }
 
-// possible: a stream can go on only on a known version.
-func (r *eventRelay) possible() bool {
-	if r.whole != nil {
-		return r.whole.possible()
+// canRetry reports whether another attempt can complete the answer. Once tokens have
+// been sent, that takes a target with the same version, so the version must be known.
+func (r *eventRelay) canRetry() bool {
+	if r.nonStream != nil {
+		return r.nonStream.canRetry()
 	}
-	return !r.done && (!r.sent || r.version != "")
+	return !r.sawEndMark && (!r.wroteHeader || r.version != "")
 }
--- a/io/request/front/ticket.go
+++ b/io/request/front/ticket.go
@@ -15,37 +15,37 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// TicketRequest asks for a ticket for one call to a service.
+// TicketRequest is the body of a request for a ticket for one call to a service.
 type TicketRequest struct {
 	Service string `json:"service"`
 }
 
-// TicketAnswer carries the ticket. The call names it in the header X-Ticket.
-type TicketAnswer struct {
+// TicketResponse returns the ticket. The call then carries it in the X-Ticket header.
+type TicketResponse struct {
 	Ticket  string `json:"ticket"`
 	Service string `json:"service"`
 }
 
-// TicketStatus is what became of the call with a ticket. State is one of the
-// side's states of a call; Outcome is empty while it is open.
+// TicketStatus is what is known about the call of a ticket. State is the state that the
+// side reports. Outcome is empty while it is open.
 type TicketStatus struct {
-	State   calls.State   `json:"state"`
-	Outcome calls.Outcome `json:"outcome,omitempty"`
-	Answer  *TicketResult `json:"answer,omitempty"`
+	State   calls.State     `json:"state"`
+	Outcome calls.Outcome   `json:"outcome,omitempty"`
+	Answer  *TicketedAnswer `json:"answer,omitempty"`
 }
 
-// TicketResult is the answer of a call that is done. Base64 holds a body that
-// is not text.
-type TicketResult struct {
+// TicketedAnswer is the answer of a call that is done. A body that is not valid UTF-8
+// is in Base64 rather than in Body.
+type TicketedAnswer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header"`
 	Body   string      `json:"body"`
 	Base64 []byte      `json:"base64,omitempty"`
 }
 
-// issueTicket picks a side for a call and names it in a ticket. The call
-// itself comes later, through any entry.
-func (f *Front) issueTicket(w http.ResponseWriter, r *http.Request) {
+// handleTicketIssue chooses a side for a call and returns a ticket that names it. The
+// call itself is sent later, through any entry.
+func (f *Front) handleTicketIssue(w http.ResponseWriter, r *http.Request) {
 	body, release, ok := f.readBody(w, r)
 	if !ok {
 		return
@@ -56,17 +56,17 @@
 		f.reject(w, http.StatusBadRequest, "the body is not a ticket request", 0)
 		return
 	}
-	k, ok := f.workNamed(w, r, q.Service, envdoc.KindPlain)
+	rq, ok := f.newRequestByName(w, r, q.Service, envdoc.KindPlain)
 	if !ok {
 		return
 	}
-	m, err := f.choose(k)
+	m, err := f.choose(rq)
 	if err != nil {
 		f.reject(w, http.StatusServiceUnavailable, err.Error(), retryAfter)
 		return
 	}
 	defer f.pool.release(m)
-	f.writeTicket(w, m, k.req.Service)
+	f.writeTicket(w, m, rq.routing.Service)
 }
 
 func (f *Front) writeTicket(w http.ResponseWriter, m *member, service string) {
@@ -87,7 +87,7 @@
 		f.reject(w, http.StatusInternalServerError, "the ticket could not be written", retryAfter)
 		return
 	}
-	writeJSON(w, http.StatusCreated, TicketAnswer{Ticket: text, Service: service})
+	writeJSON(w, http.StatusCreated, TicketResponse{Ticket: text, Service: service})
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
@@ -96,40 +96,41 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// askTicket tells what became of the call with a ticket. It marks nothing.
-func (f *Front) askTicket(w http.ResponseWriter, r *http.Request) {
+// handleTicketStatus reports the state of a ticket's call. Unlike the query of an
+// attempt whose connection failed, it doesn't mark the call as never to run.
+func (f *Front) handleTicketStatus(w http.ResponseWriter, r *http.Request) {
 	t, err := calls.DecodeTicket(mux.Vars(r)["id"])
 	if err != nil {
 		f.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	k := &work{bind: calls.BindTicket, ticket: &t, timeout: f.Limits.AskFor}
-	k.req = route.Request{ID: uuid.NewString(), Service: t.Service}
-	ctx, cancel := context.WithTimeout(r.Context(), f.Limits.AskFor)
+	rq := &request{binding: calls.BindTicket, ticket: &t, timeout: f.Limits.QueryTimeout}
+	rq.routing = route.Request{ID: uuid.NewString(), Service: t.Service}
+	ctx, cancel := context.WithTimeout(r.Context(), f.Limits.QueryTimeout)
 	defer cancel()
-	writeJSON(w, http.StatusOK, f.ticketStatus(ctx, k))
+	writeJSON(w, http.StatusOK, f.ticketStatus(ctx, rq))
 }
 
-func (f *Front) ticketStatus(ctx context.Context, k *work) TicketStatus {
-	m := f.pool.take(k.ticket.Side)
+func (f *Front) ticketStatus(ctx context.Context, rq *request) TicketStatus {
+	m := f.pool.acquire(rq.ticket.Side)
 	if m == nil {
 		return statusOf(calls.StateGone)
 	}
 	defer f.pool.release(m)
-	t := &onceTry{front: f, member: m, work: k, attempt: calls.NewAttempt(k.bind)}
-	if !t.connect(ctx) {
+	t := &onceAttempt{front: f, member: m, request: rq, state: calls.NewAttempt(rq.binding)}
+	if !t.waitConnected(ctx) {
 		return statusOf(calls.StateGone)
 	}
-	call, err := m.client.Query(&sessn.Query{Ticket: *k.ticket})
+	call, err := m.client.Query(&sessn.Query{Ticket: *rq.ticket})
 	if err != nil {
 		return statusOf(calls.StateGone)
 	}
 	defer call.Close(false)
-	return t.readStatus(ctx, call)
+	return t.readTicketStatus(ctx, call)
 }
 
-// readStatus takes the verdict, and the answer when the call is done.
-func (t *onceTry) readStatus(ctx context.Context, call *sessn.Call) TicketStatus {
+// readTicketStatus reads the side's verdict, and the answer if the call is done.
+func (t *onceAttempt) readTicketStatus(ctx context.Context, call *sessn.Call) TicketStatus {
 	msg, err := call.Next(ctx)
 	if err != nil {
 		return statusOf(calls.StateGone)
@@ -142,15 +143,15 @@
 	if v.State != calls.StateDone {
 		return s
 	}
-	t.attempt.On(calls.EventSent)
-	if _, ended := t.read(ctx, call); ended && t.refusal == nil && t.relay.head != nil {
-		s.Answer = t.relay.result()
+	t.state.On(calls.EventSent)
+	if _, ended := t.readAnswer(ctx, call); ended && t.refusal == nil && t.buffer.head != nil {
+		s.Answer = t.buffer.ticketResult()
 	}
 	return s
 }
 
-func (r *onceRelay) result() *TicketResult {
-	out := &TicketResult{Status: r.head.Status, Header: r.head.Header}
+func (r *answerBuffer) ticketResult() *TicketedAnswer {
+	out := &TicketedAnswer{Status: r.head.Status, Header: r.head.Header}
 	if utf8.Valid(r.body) {
 		out.Body = string(r.body)
 		return out
