--- a/io/request/gate/cache.go
+++ b/io/request/gate/cache.go
@@ -7,41 +7,45 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// actionStored is the action of an event for a prefix that came in.
+// actionStored is the action of an event for a prefix that was added to the cache. With
+// any other action the prefix was removed.
 const actionStored = "stored"
 
-// eventsPage is a page of GET /v1/events.
+// eventsPage is the response to GET /v1/events.
 type eventsPage struct {
 	Events []engineEvent `json:"events"`
 }
 
-// engineEvent tells of one prefix; Prefix is hexadecimal.
+// engineEvent reports a change of one prefix in the engine's cache. Prefix is
+// hexadecimal.
 type engineEvent struct {
 	Seq    uint64 `json:"seq"`
 	Action string `json:"action"`
 	Prefix string `json:"prefix"`
 }
 
-// cacheEvents holds the engine's latest cache events for the entries.
-type cacheEvents struct {
-	// boot and seq are how far the engine's events have been read.
-	boot string
-	seq  uint64
-	// latest holds the events that end at position, which counts those read
-	// since the gate's boot.
-	latest   []sessn.PrefixEvent
-	position uint64
+// cacheEventLog holds the engine's latest cache events, to be sent to the entries with
+// heartbeats.
+type cacheEventLog struct {
+	// boot is the engine's boot and lastSeq the number of the last event read from it.
+	boot    string
+	lastSeq uint64
+	// latest holds the last events, at most sessn.MaxEvents. total counts all events
+	// read since the gate's boot, and so is the position of the last one.
+	latest []sessn.PrefixEvent
+	total  uint64
 }
 
-// followCache reads the events since the last time.
-func (g *Gate) followCache(ctx context.Context, boot string) {
+// readCacheEvents reads the events that the engine has added since the last call. boot
+// is the engine's current boot; a new one starts numbering its events anew.
+func (g *Gate) readCacheEvents(ctx context.Context, boot string) {
 	g.mu.Lock()
 	if g.cache.boot != boot {
-		g.cache.boot, g.cache.seq = boot, 0
+		g.cache.boot, g.cache.lastSeq = boot, 0
 	}
-	seq := g.cache.seq
+	lastSeq := g.cache.lastSeq
 	g.mu.Unlock()
-	page, err := ask[eventsPage](ctx, g, "/v1/events?after="+strconv.FormatUint(seq, 10))
+	page, err := getJSON[eventsPage](ctx, g, "/v1/events?after="+strconv.FormatUint(lastSeq, 10))
 	if err != nil {
 		return
 	}
@@ -52,25 +56,26 @@
 	}
 }
 
-func (c *cacheEvents) add(e engineEvent) {
-	c.seq = max(c.seq, e.Seq)
+func (c *cacheEventLog) add(e engineEvent) {
+	c.lastSeq = max(c.lastSeq, e.Seq)
 	prefix, err := strconv.ParseUint(e.Prefix, 16, 64)
 	if err != nil {
 		return
 	}
-	c.position++
+	c.total++
 	c.latest = append(c.latest, sessn.PrefixEvent{Prefix: prefix, Stored: e.Action == actionStored})
 	if over := len(c.latest) - sessn.MaxEvents; over > 0 {
 		c.latest = append(c.latest[:0], c.latest[over:]...)
 	}
 }
 
-// Events returns the cache events after a position.
+// Events returns the cache events after a position, and the position of the last one.
+// Older events that are no longer held are left out.
 func (g *Gate) Events(after uint64) ([]sessn.PrefixEvent, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := &g.cache
-	n := min(c.position-min(after, c.position), uint64(len(c.latest)))
+	n := min(c.total-min(after, c.total), uint64(len(c.latest)))
 	fresh := c.latest[uint64(len(c.latest))-n:]
-	return append([]sessn.PrefixEvent(nil), fresh...), c.position
+	return append([]sessn.PrefixEvent(nil), fresh...), c.total
 }
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -1,6 +1,10 @@
-// Package gate stands in a side process before its target: every call to the
-// target passes it. It runs once-calls at most once, refuses work that the
-// target may not get, and tells the entries how the target stands.
+// Package gate forwards the calls of entries to one target. It runs in the side process
+// next to the target, and every call to the target passes through it. Package side
+// (io/process/side) builds and runs the Gate; package front is its counterpart in the
+// entry.
+//
+// The gate runs once-calls at most once, refuses calls that the target may not get, and
+// reports the target's state to the entries in heartbeats.
 package gate
 
 import (
@@ -25,112 +29,114 @@
 	"hawthornferry/io/process/gauge"
 )
 
-// Gate carries the calls of entries to one target. Set the exported fields
-// before Run or Handler; zero limits take their defaults.
+// Gate forwards the calls of entries to one target. Set the exported fields before
+// calling Run or Handler; limits that are zero get their defaults.
 type Gate struct {
 	Self    *link.Self
 	Clock   clockwork.Clock
 	Log     trail.Log
 	Metrics tally.Scope
-	// Gauge takes the measures of slow decline; it may be nil.
+	// Gauge records counts and table sizes to detect slow degradation. It may be nil.
 	Gauge  *gauge.Gauge
 	Source view.Source
-	// Target is where the target speaks HTTP, Service whose replica it is.
+	// Target is the HTTP address of the target, and Service the service that it is a
+	// replica of.
 	Target  netip.AddrPort
 	Service string
 
 	Timing sessn.Timing
 	Limits calls.Limits
-	// MaxInFlight bounds the calls at the target and in its queue.
+	// MaxInFlight limits the calls at the target, including those in its queue.
 	MaxInFlight int
-	// MaxKept bounds the bytes of answers held for callers who ask again.
-	MaxKept int
+	// MaxStoredBytes limits the total size of the once-calls' answers that are stored
+	// for callers that repeat their call.
+	MaxStoredBytes int
 
 	setup  sync.Once
 	server *sessn.Server
-	// plain pools connections for calls that may be repeated; once opens one
-	// for each call.
-	plain *http.Transport
-	once  *http.Transport
-	boot  time.Time
+	// pooledTransport reuses connections, for calls that may be repeated. onceTransport
+	// opens a connection for each call.
+	pooledTransport *http.Transport
+	onceTransport   *http.Transport
+	bootTime        time.Time
 
-	mu       sync.Mutex
-	ledger   *calls.Ledger
-	runs     map[calls.ID]*run
-	kept     []calls.ID
-	keptSize int
-	inFlight int
-	// answering counts the calls and queries whose answer is not sent yet.
-	answering int
-	idle      chan struct{}
-	draining  bool
-	target    targetState
-	cache     cacheEvents
-	members   string
-	changed   chan struct{}
+	mu          sync.Mutex
+	ledger      *calls.Ledger
+	executions  map[calls.ID]*execution
+	storedIDs   []calls.ID
+	storedBytes int
+	inFlight    int
+	// pendingAnswers counts the calls and queries whose answer has not been sent yet.
+	pendingAnswers int
+	idle           chan struct{}
+	draining       bool
+	target         targetState
+	cache          cacheEventLog
+	members        string
+	changed        chan struct{}
 }
 
-// Defaults of the limits.
+// Default limits.
 const (
-	DefaultMaxInFlight = 256
-	DefaultMaxKept     = 16 << 20
+	DefaultMaxInFlight    = 256
+	DefaultMaxStoredBytes = 16 << 20
 )
 
-func (g *Gate) init() { g.setup.Do(g.prepare) }
+func (g *Gate) init() { g.setup.Do(g.initialize) }
 
-func (g *Gate) prepare() {
+func (g *Gate) initialize() {
 	if g.Limits == (calls.Limits{}) {
 		g.Limits = calls.DefaultLimits()
 	}
 	if g.MaxInFlight == 0 {
 		g.MaxInFlight = DefaultMaxInFlight
 	}
-	if g.MaxKept == 0 {
-		g.MaxKept = DefaultMaxKept
+	if g.MaxStoredBytes == 0 {
+		g.MaxStoredBytes = DefaultMaxStoredBytes
 	}
-	g.boot = g.Clock.Now()
+	g.bootTime = g.Clock.Now()
 	g.ledger = calls.NewLedger(g.Self.Boot, g.Limits)
-	g.runs = map[calls.ID]*run{}
+	g.executions = map[calls.ID]*execution{}
 	g.changed = make(chan struct{})
-	g.plain = pooledTransport()
-	g.once = onceTransport()
+	g.pooledTransport = newPooledTransport()
+	g.onceTransport = newOnceTransport()
 	g.watchTables()
 	g.server = &sessn.Server{Service: g, Clock: g.Clock, Timing: g.Timing}
 }
 
-// Handler returns the handler for the connections of entries.
+// Handler returns the handler for entries' connections.
 func (g *Gate) Handler() link.Handler {
 	g.init()
 	return g.server.Handler()
 }
 
-// Run watches the target and the view until ctx ends.
+// Run keeps the state of the target up to date until ctx ends.
 func (g *Gate) Run(ctx context.Context) error {
 	g.init()
-	tick := g.Clock.NewTicker(watchEvery)
+	tick := g.Clock.NewTicker(stateInterval)
 	defer tick.Stop()
-	defer g.plain.CloseIdleConnections()
+	defer g.pooledTransport.CloseIdleConnections()
 	for {
-		moved := g.Source.Changed()
-		g.watch(ctx)
+		viewChanged := g.Source.Changed()
+		g.updateTarget(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-moved:
+		case <-viewChanged:
 		case <-tick.Chan():
 		}
 	}
 }
 
-// Drain refuses new calls and waits until those in flight have finished and
-// the entries have read their answers, or until ctx ends.
+// Drain refuses new calls and waits until the calls in flight have finished and the
+// entries have read their answers, or until ctx ends.
 func (g *Gate) Drain(ctx context.Context) error {
 	g.init()
 	g.mu.Lock()
 	g.draining = true
 	g.idle = make(chan struct{})
 	idle := g.idle
-	g.wakeIdleLocked()
+	g.signalIdleLocked()
 	g.announceLocked()
 	g.mu.Unlock()
 	select {
@@ -141,50 +147,51 @@
 	}
 }
 
-// wakeIdleLocked lets a drain go on once nothing is in flight.
-func (g *Gate) wakeIdleLocked() {
-	if g.inFlight == 0 && g.answering == 0 && g.idle != nil {
+// signalIdleLocked lets Drain continue if no call is in flight and no answer is
+// pending.
+func (g *Gate) signalIdleLocked() {
+	if g.inFlight == 0 && g.pendingAnswers == 0 && g.idle != nil {
 		close(g.idle)
 		g.idle = nil
 	}
 }
 
-// hold notes that a call or query is to be answered.
-func (g *Gate) hold() {
+// answerPending records that a call or query has arrived that needs an answer.
+func (g *Gate) answerPending() {
 	g.mu.Lock()
-	g.answering++
+	g.pendingAnswers++
 	g.mu.Unlock()
 }
 
-// answered notes that the answer of a call or query has been sent.
-func (g *Gate) answered() {
+// answerSent records that the answer to a call or query has been sent.
+func (g *Gate) answerSent() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.answering--
-	g.wakeIdleLocked()
+	g.pendingAnswers--
+	g.signalIdleLocked()
 }
 
-// Serving is the digest of the manifest that the target last reported, and
-// empty when it serves none.
+// Serving returns the digest of the manifest that the target last reported, or an empty
+// digest if it serves none.
 func (g *Gate) Serving() chunk.Digest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.target.serving
 }
 
-// InFlight is the number of calls at the target.
+// InFlight returns the number of calls at the target.
 func (g *Gate) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
 }
 
-// Beat returns what the next heartbeat says.
+// Beat returns the content of the next heartbeat.
 func (g *Gate) Beat() sessn.Heartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return sessn.Heartbeat{
-		Reading: g.readingLocked(),
+		Reading: g.clockReadingLocked(),
 		Leaving: g.draining || g.target.leaving,
 		Ready:   g.target.ready,
 		Serving: g.target.serving,
@@ -192,7 +199,8 @@
 	}
 }
 
-// Changed returns a channel that is closed when Beat says something new.
+// Changed returns a channel that is closed when entries should learn the result of Beat
+// at once.
 func (g *Gate) Changed() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -210,26 +218,26 @@
 	g.changed = make(chan struct{})
 }
 
-func (g *Gate) readingLocked() lease.Reading {
+func (g *Gate) clockReadingLocked() lease.Reading {
 	return lease.Reading{Boot: g.Self.Boot, At: g.now()}
 }
 
-// now is the gate's own clock: the time since its boot.
-func (g *Gate) now() time.Duration { return g.Clock.Since(g.boot) }
+// now returns the time since the gate's boot. It is the clock that readings refer to.
+func (g *Gate) now() time.Duration { return g.Clock.Since(g.bootTime) }
 
-// enter takes a place at the target.
-func (g *Gate) enterLocked() { g.inFlight++ }
+// acquireSlotLocked counts a call as in flight. releaseSlot ends that.
+func (g *Gate) acquireSlotLocked() { g.inFlight++ }
 
-func (g *Gate) leave() {
+func (g *Gate) releaseSlot() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
-	g.wakeIdleLocked()
+	g.signalIdleLocked()
 }
 
-// refusalLocked is the reason why the target may get no new call now, and ""
-// when it may. version, when set, is the only one that may answer.
-func (g *Gate) refusalLocked(version chunk.Digest) calls.Reason {
+// refusalReasonLocked returns why the target may not get a new call now, or an empty
+// reason if it may. version, if set, is the only one that may answer.
+func (g *Gate) refusalReasonLocked(version chunk.Digest) calls.Reason {
 	switch {
 	case g.draining || g.target.leaving:
 		return calls.ReasonLeaving
@@ -243,7 +251,7 @@
 	return ""
 }
 
-func (g *Gate) kind() envdoc.Kind {
+func (g *Gate) serviceKind() envdoc.Kind {
 	d := g.Source.Current().Document
 	if d == nil {
 		return ""
@@ -255,7 +263,7 @@
 	return s.Kind
 }
 
-func (g *Gate) selfLeaving() bool {
+func (g *Gate) vmLeaving() bool {
 	for _, vm := range g.Source.Current().VMs {
 		if vm.Name == g.Self.VM.Name {
 			return vm.State == fleet.StateLeaving
--- a/io/request/gate/measure.go
+++ b/io/request/gate/measure.go
@@ -5,9 +5,10 @@
 	"hawthornferry/io/process/gauge"
 )
 
-// measure counts the repeats of calls that the ledger stopped: a rise tells
-// of callers or entries that send the same call again and again.
-func (g *Gate) measure(a calls.Action) {
+// addMeasures counts the once-calls that the ledger did not run: repeats and refused
+// ones. If repeats become more frequent, callers or entries are sending the same call
+// again and again.
+func (g *Gate) addMeasures(a calls.Action) {
 	switch a.Act {
 	case calls.ActJoin, calls.ActReplay:
 		g.Gauge.Count("repeatsStopped", 1)
@@ -16,10 +17,10 @@
 	}
 }
 
-// watchTables has the sizes of the gate's tables watched.
+// watchTables registers the gate's tables whose sizes Gauge watches.
 func (g *Gate) watchTables() {
 	g.Gauge.Watch(gauge.Table{Name: "ledger", Bound: g.Limits.Records, Len: g.ledgerSize})
-	g.Gauge.Watch(gauge.Table{Name: "runs", Bound: g.Limits.Records, Len: g.runsSize})
+	g.Gauge.Watch(gauge.Table{Name: "runs", Bound: g.Limits.Records, Len: g.executionsSize})
 }
 
 func (g *Gate) ledgerSize() int {
@@ -28,8 +29,8 @@
 	return g.ledger.Len()
 }
 
-func (g *Gate) runsSize() int {
+func (g *Gate) executionsSize() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.runs)
+	return len(g.executions)
 }
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -15,44 +15,45 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// run is one once-call that was handed to the target. Its fields but done
-// are set before done is closed; answer is nil when it is not kept.
-type run struct {
+// execution is a once-call that was passed to the target. All fields except id and done
+// are set before done is closed. answer is nil if there was none or if it was too large
+// to store.
+type execution struct {
 	id calls.ID
-	// at is the gate's clock when the call was settled.
-	at     time.Duration
-	done   chan struct{}
-	state  calls.State
-	reason calls.Reason
+	// settledAt is the gate's clock when the call ended.
+	settledAt time.Duration
+	done      chan struct{}
+	state     calls.State
+	reason    calls.Reason
 
 	answer *answer
 }
 
-// answer is the whole answer of a once-call.
+// answer is the complete answer to a once-call.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// beginOnce decides on a once-call and sends its answer when it is there.
+// beginOnce decides about a once-call and sends its answer when there is one.
 func (g *Gate) beginOnce(s *sessn.Stream) {
 	m := s.Start
 	print := fingerprint(m, s.Body)
 	g.mu.Lock()
-	why := g.refusalLocked("")
+	reason := g.refusalReasonLocked("")
 	unsure := m.Members != g.members
-	act := g.ledger.Start(g.now(), calls.Start{Ticket: *m.Ticket, Echo: m.Echo, Print: print, Refuse: why, Unsure: unsure})
-	r := g.runs[m.Ticket.Call]
+	act := g.ledger.Start(g.now(), calls.Start{Ticket: *m.Ticket, Echo: m.Echo, Print: print, Refuse: reason, Unsure: unsure})
+	r := g.executions[m.Ticket.Call]
 	if act.Act == calls.ActRun {
-		r = &run{id: m.Ticket.Call, done: make(chan struct{})}
-		g.runs[r.id] = r
-		g.enterLocked()
+		r = &execution{id: m.Ticket.Call, done: make(chan struct{})}
+		g.executions[r.id] = r
+		g.acquireSlotLocked()
 	}
 	g.mu.Unlock()
-	g.note(m, act)
+	g.logDecision(m, act)
 	if act.Act == calls.ActRefuse {
-		_ = s.Refuse(refusalOf(act))
+		_ = s.Refuse(refusalOfAction(act))
 		return
 	}
 	if act.Act == calls.ActRun {
@@ -61,7 +62,7 @@
 	g.answer(s, r, act.Act != calls.ActRun)
 }
 
-func refusalOf(a calls.Action) sessn.Refusal {
+func refusalOfAction(a calls.Action) sessn.Refusal {
 	r := sessn.Refusal{Outcome: a.Outcome, Reason: a.Reason}
 	if a.Outcome == calls.NotRun {
 		r.RetryAfter = retryAfter
@@ -69,24 +70,25 @@
 	return r
 }
 
-// fingerprint identifies a request, so that a key or ticket used for another
-// one is noticed.
+// fingerprint identifies a request, to detect a key or ticket that is reused for
+// another one.
 func fingerprint(m *sessn.Start, body []byte) string {
 	return m.Method + " " + m.Path + " " + string(chunk.Sum(body))
 }
 
-// execute hands a call to the target. It does not end with its caller: a
-// fee that is being taken is taken, and its answer kept.
-func (g *Gate) execute(r *run, s *sessn.Stream) {
-	defer g.leave()
+// execute passes a call to the target. It isn't cancelled when the caller disconnects:
+// a payment that the target has begun can't be undone, and its answer is stored for a
+// repeat of the call.
+func (g *Gate) execute(r *execution, s *sessn.Stream) {
+	defer g.releaseSlot()
 	ctx, cancel := clockwork.WithTimeout(context.Background(), g.Clock, s.Start.Timeout)
 	defer cancel()
-	a, err := g.exchange(ctx, s)
+	a, err := g.sendToTarget(ctx, s)
 	r.answer = a
-	r.state, r.reason = settled(ctx, a, err)
+	r.state, r.reason = stateAfter(ctx, a, err)
 	g.mu.Lock()
 	g.ledger.Settle(g.now(), r.id, r.state)
-	g.keepLocked(r)
+	g.storeLocked(r)
 	g.mu.Unlock()
 	g.Log.Decide(trail.Decision{
 		Area: trail.AreaCall, Action: "settle", Request: s.Start.Request, Service: g.Service,
@@ -96,12 +98,12 @@
 	close(r.done)
 }
 
-func (g *Gate) exchange(ctx context.Context, s *sessn.Stream) (*answer, error) {
-	req, err := g.request(ctx, s)
+func (g *Gate) sendToTarget(ctx context.Context, s *sessn.Stream) (*answer, error) {
+	req, err := g.newTargetRequest(ctx, s)
 	if err != nil {
-		return nil, errors.Mark(err, errDial)
+		return nil, errors.Mark(err, errNotReached)
 	}
-	res, err := g.once.RoundTrip(req)
+	res, err := g.onceTransport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
@@ -114,16 +116,15 @@
 	return &answer{status: res.StatusCode, header: res.Header, body: body}, nil
 }
 
-// settled tells how a call ended. Only a failed dial proves that the target
-// did not hear of it; after that, nothing but its whole answer proves
-// anything.
-func settled(ctx context.Context, a *answer, err error) (calls.State, calls.Reason) {
+// stateAfter returns how a call ended. A failed dial proves that the target did not
+// receive the call. Once it is connected, only a complete answer proves anything.
+func stateAfter(ctx context.Context, a *answer, err error) (calls.State, calls.Reason) {
 	switch {
 	case err == nil && len(a.body) > sessn.MaxAnswer:
 		return calls.StateDone, calls.ReasonTooLarge
 	case err == nil:
 		return calls.StateDone, ""
-	case errors.Is(err, errDial):
+	case errors.Is(err, errNotReached):
 		return calls.StateNever, calls.ReasonTarget
 	case ctx.Err() != nil:
 		return calls.StateBroken, calls.ReasonTimeout
@@ -142,64 +143,65 @@
 	}
 }
 
-// keepLocked holds a settled call for those who ask again. The oldest
-// answers go first when their bytes pass the bound; the ledger's records
-// stay, so a call whose answer is gone still never runs again.
-func (g *Gate) keepLocked(r *run) {
+// storeLocked stores a finished call for callers that repeat it. Over MaxStoredBytes,
+// the oldest calls are dropped first. Their records stay in the ledger, so that a call
+// whose answer was dropped still never runs again.
+func (g *Gate) storeLocked(r *execution) {
 	if r.reason == calls.ReasonTooLarge {
 		r.answer = nil
 	}
-	r.at = g.now()
-	g.kept = append(g.kept, r.id)
-	g.keptSize += r.size()
-	for g.keptSize > g.MaxKept && len(g.kept) > 1 {
-		g.dropLocked()
+	r.settledAt = g.now()
+	g.storedIDs = append(g.storedIDs, r.id)
+	g.storedBytes += r.size()
+	for g.storedBytes > g.MaxStoredBytes && len(g.storedIDs) > 1 {
+		g.dropOldestLocked()
 	}
 }
 
-// dropLocked drops the oldest held call.
-func (g *Gate) dropLocked() {
-	id := g.kept[0]
-	g.kept = g.kept[1:]
-	if r := g.runs[id]; r != nil {
-		g.keptSize -= r.size()
-		delete(g.runs, id)
+// dropOldestLocked drops the oldest stored call.
+func (g *Gate) dropOldestLocked() {
+	id := g.storedIDs[0]
+	g.storedIDs = g.storedIDs[1:]
+	if r := g.executions[id]; r != nil {
+		g.storedBytes -= r.size()
+		delete(g.executions, id)
 	}
 }
 
-// forgetLocked drops the held calls and the records that have passed their
-// age.
-func (g *Gate) forgetLocked() {
+// expireLocked drops the stored calls and the ledger records that are older than
+// Limits.Keep.
+func (g *Gate) expireLocked() {
 	now := g.now()
 	g.ledger.Expire(now)
-	for len(g.kept) > 0 {
-		r := g.runs[g.kept[0]]
-		if r != nil && now-r.at <= g.Limits.Keep {
+	for len(g.storedIDs) > 0 {
+		r := g.executions[g.storedIDs[0]]
+		if r != nil && now-r.settledAt <= g.Limits.Keep {
 			return
 		}
-		g.dropLocked()
+		g.dropOldestLocked()
 	}
 }
 
-func (g *Gate) measureLocked() {
+func (g *Gate) updateMetricsLocked() {
 	g.Metrics.Gauge("gate.records").Update(float64(g.ledger.Len()))
-	g.Metrics.Gauge("gate.keptBytes").Update(float64(g.keptSize))
+	g.Metrics.Gauge("gate.keptBytes").Update(float64(g.storedBytes))
 	g.Metrics.Gauge("gate.inFlight").Update(float64(g.inFlight))
 }
 
-// recordSize is what a held call takes beside its answer, in bytes, roughly.
-const recordSize = 512
+// executionOverhead is the approximate memory for a stored call without its answer's
+// body, in bytes.
+const executionOverhead = 512
 
-func (r *run) size() int {
+func (r *execution) size() int {
 	if r.answer == nil {
-		return recordSize
+		return executionOverhead
 	}
-	return recordSize + len(r.answer.body)
+	return executionOverhead + len(r.answer.body)
 }
 
-// answer sends what became of r once it is known. again tells that the call
-// had come before.
-func (g *Gate) answer(s *sessn.Stream, r *run, again bool) {
+// answer waits for the end of r and sends its answer or a refusal. replayed is set if
+// the call had been received before. r is nil if the answer is no longer stored.
+func (g *Gate) answer(s *sessn.Stream, r *execution, replayed bool) {
 	if r == nil {
 		_ = s.Refuse(sessn.Refusal{Outcome: calls.Done, Reason: calls.ReasonTooLarge})
 		return
@@ -213,17 +215,17 @@
 		_ = s.Refuse(sessn.Refusal{Outcome: outcomeOf(r.state), Reason: r.reason})
 		return
 	}
-	_ = s.Answer(sessn.Head{Status: r.answer.status, Header: r.answer.header, Again: again}, r.answer.body)
+	_ = s.Answer(sessn.Head{Status: r.answer.status, Header: r.answer.header, Again: replayed}, r.answer.body)
 }
 
-// Ask answers a query: the state first, then the answer when there is or
-// will be one.
+// Ask answers a query. It sends the state, and then the answer if the call is running
+// or done.
 func (g *Gate) Ask(s *sessn.Stream, q *sessn.Query) {
-	g.hold()
-	defer g.answered()
+	g.answerPending()
+	defer g.answerSent()
 	g.mu.Lock()
 	state := g.ledger.Query(g.now(), calls.Query{Ticket: q.Ticket, Mark: q.Mark, Unsure: q.Members != g.members})
-	r := g.runs[q.Ticket.Call]
+	r := g.executions[q.Ticket.Call]
 	g.mu.Unlock()
 	g.Log.Decide(trail.Decision{
 		Area: trail.AreaCall, Action: "query", Service: g.Service, Subject: string(q.Ticket.Call),
@@ -236,9 +238,9 @@
 	g.answer(s, r, false)
 }
 
-func (g *Gate) note(m *sessn.Start, a calls.Action) {
-	g.count(string(a.Act))
-	g.measure(a)
+func (g *Gate) logDecision(m *sessn.Start, a calls.Action) {
+	g.countCall(string(a.Act))
+	g.addMeasures(a)
 	g.Log.Decide(trail.Decision{
 		Area: trail.AreaCall, Action: string(a.Act), Request: m.Request, Service: g.Service,
 		Subject: string(m.Ticket.Call), Outcome: string(a.Outcome), Reason: string(a.Reason),
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -16,16 +16,16 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// retryAfter is what a refused caller is told to wait.
+// retryAfter is the time after which a refused caller is told to retry.
 const retryAfter = time.Second
 
-// maxRetryAfter bounds what a target may ask a caller to wait.
+// maxRetryAfter limits the Retry-After of a target that is passed on to a caller.
 const maxRetryAfter = time.Minute
 
-// Begin serves one call.
+// Begin handles one call.
 func (g *Gate) Begin(s *sessn.Stream) {
-	g.hold()
-	defer g.answered()
+	g.answerPending()
+	defer g.answerSent()
 	if s.Start.Ticket != nil {
 		g.beginOnce(s)
 		return
@@ -33,94 +33,94 @@
 	g.beginRepeatable(s)
 }
 
-// beginRepeatable passes on a call that may be repeated, as its answer comes.
+// beginRepeatable forwards a call that may be repeated, and streams its answer.
 func (g *Gate) beginRepeatable(s *sessn.Stream) {
-	if why := g.admit(s.Start); why != "" {
-		g.count("refused")
-		_ = s.Refuse(sessn.Refusal{Outcome: calls.NotRun, Reason: why, RetryAfter: retryAfter})
+	if reason := g.admitRepeatable(s.Start); reason != "" {
+		g.countCall("refused")
+		_ = s.Refuse(sessn.Refusal{Outcome: calls.NotRun, Reason: reason, RetryAfter: retryAfter})
 		return
 	}
-	defer g.leave()
+	defer g.releaseSlot()
 	ctx, cancel := clockwork.WithTimeout(s.Context(), g.Clock, s.Start.Timeout)
 	defer cancel()
-	if r := g.pass(ctx, s); r != nil {
-		g.count("failed")
+	if r := g.forward(ctx, s); r != nil {
+		g.countCall("failed")
 		_ = s.Refuse(*r)
 		return
 	}
-	g.count("passed")
+	g.countCall("passed")
 }
 
-func (g *Gate) admit(m *sessn.Start) calls.Reason {
+func (g *Gate) admitRepeatable(m *sessn.Start) calls.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch lease.Judge(g.readingLocked(), m.Echo, g.Limits.MaxAge) {
+	switch lease.Judge(g.clockReadingLocked(), m.Echo, g.Limits.MaxAge) {
 	case lease.Stale:
 		return calls.ReasonStale
 	case lease.OtherBoot:
 		return calls.ReasonBoot
 	}
-	if why := g.refusalLocked(m.Version); why != "" {
-		return why
+	if reason := g.refusalReasonLocked(m.Version); reason != "" {
+		return reason
 	}
-	g.enterLocked()
+	g.acquireSlotLocked()
 	return ""
 }
 
-// pass sends the call to the target and its answer to the entry. It returns
-// the refusal that ends a call whose answer is not whole.
-func (g *Gate) pass(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
-	req, err := g.request(ctx, s)
+// forward sends the call to the target and the answer to the entry. If the answer is
+// not complete, it returns the refusal that ends the call.
+func (g *Gate) forward(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
+	req, err := g.newTargetRequest(ctx, s)
 	if err != nil {
 		return &sessn.Refusal{Outcome: calls.NotRun, Reason: calls.ReasonTarget}
 	}
-	res, err := g.plain.RoundTrip(req)
+	res, err := g.pooledTransport.RoundTrip(req)
 	if err != nil {
-		return failed(ctx, err)
+		return refusalOfError(ctx, err)
 	}
 	defer res.Body.Close()
-	if why := g.unfit(s.Start, res); why != "" {
-		return &sessn.Refusal{Outcome: calls.NotRun, Reason: why, RetryAfter: waitOf(res)}
+	if reason := g.answerRefusalReason(s.Start, res); reason != "" {
+		return &sessn.Refusal{Outcome: calls.NotRun, Reason: reason, RetryAfter: retryAfterOf(res)}
 	}
 	StripHops(res.Header)
 	h := sessn.Head{Status: res.StatusCode, Header: res.Header}
 	if res.ContentLength >= 0 && res.ContentLength <= sessn.BlockSize {
-		return passWhole(ctx, s, h, res)
+		return forwardWhole(ctx, s, h, res)
 	}
 	if err := s.Head(h); err != nil {
-		return failed(ctx, err)
+		return refusalOfError(ctx, err)
 	}
-	buf := make([]byte, copyBlock)
+	buf := make([]byte, copyBufferSize)
 	if _, err := io.CopyBuffer(onlyWriter{s}, res.Body, buf); err != nil {
-		return failed(ctx, err)
+		return refusalOfError(ctx, err)
 	}
 	_ = s.End()
 	return nil
 }
 
-// passWhole sends an answer that is known to be small in one message.
-func passWhole(ctx context.Context, s *sessn.Stream, h sessn.Head, res *http.Response) *sessn.Refusal {
+// forwardWhole sends an answer that fits in one block as a single message.
+func forwardWhole(ctx context.Context, s *sessn.Stream, h sessn.Head, res *http.Response) *sessn.Refusal {
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		return failed(ctx, err)
+		return refusalOfError(ctx, err)
 	}
 	_ = s.Answer(h, body)
 	return nil
 }
 
-// copyBlock is the size in bytes of the buffer of one answer.
-const copyBlock = 16 << 10
+// copyBufferSize is the size in bytes of the buffer through which an answer is copied.
+const copyBufferSize = 16 << 10
 
-// onlyWriter hides every method but Write, so that each block read from the
-// target is sent at once.
+// onlyWriter hides the methods of a writer other than Write, so that io.CopyBuffer sends
+// each block that it reads from the target at once.
 type onlyWriter struct{ io.Writer }
 
-// unfit is the reason why an answer of the target may not be passed on, and
-// "" when it may. An engine between two versions answers 503 and one with a
-// full queue 429: neither has begun, so another target may. An answer of
-// another version than the wanted one would mix two texts.
-func (g *Gate) unfit(m *sessn.Start, res *http.Response) calls.Reason {
-	if g.kind() != envdoc.KindEngine {
+// answerRefusalReason returns why an answer of the target may not be forwarded, or an
+// empty reason if it may. An engine that is switching versions answers 503, and one
+// with a full queue 429. Neither has begun the call, so another target may run it. An
+// answer of another version than the requested one would mix two texts.
+func (g *Gate) answerRefusalReason(m *sessn.Start, res *http.Response) calls.Reason {
+	if g.serviceKind() != envdoc.KindEngine {
 		return ""
 	}
 	switch res.StatusCode {
@@ -135,8 +135,9 @@
 	return ""
 }
 
-// waitOf is how long the target asks a refused caller to wait.
-func waitOf(res *http.Response) time.Duration {
+// retryAfterOf returns the time after which, according to the target, the caller may
+// retry.
+func retryAfterOf(res *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(res.Header.Get("Retry-After"))
 	if err != nil || seconds <= 0 {
 		return retryAfter
@@ -144,9 +145,9 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-func failed(ctx context.Context, err error) *sessn.Refusal {
+func refusalOfError(ctx context.Context, err error) *sessn.Refusal {
 	switch {
-	case errors.Is(err, errDial):
+	case errors.Is(err, errNotReached):
 		return &sessn.Refusal{Outcome: calls.NotRun, Reason: calls.ReasonTarget, RetryAfter: retryAfter}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return &sessn.Refusal{Outcome: calls.Unknown, Reason: calls.ReasonTimeout}
@@ -156,4 +157,4 @@
 	return &sessn.Refusal{Outcome: calls.Unknown, Reason: calls.ReasonBroken}
 }
 
-func (g *Gate) count(name string) { g.Metrics.Counter("gateCalls." + name).Inc(1) }
+func (g *Gate) countCall(name string) { g.Metrics.Counter("gateCalls." + name).Inc(1) }
--- a/io/request/gate/request.go
+++ b/io/request/gate/request.go
@@ -11,11 +11,11 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// ManifestHeader names the version that answered a call.
+// ManifestHeader is the header in which an engine names the version that answered.
 const ManifestHeader = "X-Manifest"
 
-// request builds the HTTP request for the target.
-func (g *Gate) request(ctx context.Context, s *sessn.Stream) (*http.Request, error) {
+// newTargetRequest returns the HTTP request to send to the target.
+func (g *Gate) newTargetRequest(ctx context.Context, s *sessn.Stream) (*http.Request, error) {
 	url := "http://" + g.Target.String() + s.Start.Path
 	req, err := http.NewRequestWithContext(ctx, s.Start.Method, url, bytes.NewReader(s.Body))
 	if err != nil {
@@ -29,20 +29,21 @@
 	return req, nil
 }
 
-// hops are the headers that concern one connection alone.
-var hops = []string{
+// hopHeaders are the headers that apply to a single connection (hop-by-hop headers).
+var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripHops removes from h what concerns one connection alone.
+// StripHops removes the hop-by-hop headers from h, including those that the Connection
+// header lists.
 func StripHops(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hops {
+	for _, name := range hopHeaders {
 		h.Del(name)
 	}
 }
--- a/io/request/gate/target.go
+++ b/io/request/gate/target.go
@@ -14,25 +14,25 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// Rates of the watch on the target. An engine that has not told its state
-// for silentTarget gets no new calls.
+// The target's state is read every stateInterval. An engine whose state could not be
+// read for maxStateAge gets no new calls. maxStateBytes limits the size of a response.
 const (
-	watchEvery   = 250 * time.Millisecond
-	stateTimeout = time.Second
-	silentTarget = 2 * time.Second
-	maxState     = 64 << 10
+	stateInterval = 250 * time.Millisecond
+	stateTimeout  = time.Second
+	maxStateAge   = 2 * time.Second
+	maxStateBytes = 64 << 10
 )
 
-// targetState is how the target stands.
+// targetState is the state of the target as last read.
 type targetState struct {
 	ready   bool
 	leaving bool
 	serving chunk.Digest
 	load    sessn.Load
-	heard   time.Time
+	readAt  time.Time
 }
 
-// engineState is the part of GET /v1/state that the gate reads.
+// engineState is the part of the response to GET /v1/state that the gate reads.
 type engineState struct {
 	Boot     string       `json:"boot"`
 	Manifest chunk.Digest `json:"manifest"`
@@ -41,10 +41,10 @@
 	Capacity int          `json:"capacity"`
 }
 
-// watch brings the target's state up to date and tells the entries at once
-// when their choice depends on what has changed.
-func (g *Gate) watch(ctx context.Context) {
-	next := g.observe(ctx)
+// updateTarget reads the target's state. It informs the entries at once if something
+// has changed that affects their choice of targets.
+func (g *Gate) updateTarget(ctx context.Context) {
+	next := g.readTargetState(ctx)
 	members := calls.Members(g.Source.Current(), g.Service, g.Self.VM.Zone)
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -52,8 +52,8 @@
 		g.members = members
 		g.ledger.Renew(g.now())
 	}
-	g.forgetLocked()
-	g.measureLocked()
+	g.expireLocked()
+	g.updateMetricsLocked()
 	old := g.target
 	g.target = next
 	if old.ready != next.ready || old.leaving != next.leaving || old.serving != next.serving {
@@ -61,48 +61,49 @@
 	}
 }
 
-func (g *Gate) observe(ctx context.Context) targetState {
-	leaving := g.selfLeaving()
-	switch g.kind() {
+func (g *Gate) readTargetState(ctx context.Context) targetState {
+	leaving := g.vmLeaving()
+	switch g.serviceKind() {
 	case envdoc.KindPlain:
 		return targetState{ready: true, leaving: leaving}
 	case envdoc.KindEngine:
-		s := g.observeEngine(ctx)
+		s := g.readEngineState(ctx)
 		s.leaving = leaving
 		return s
 	}
 	return targetState{leaving: leaving}
 }
 
-func (g *Gate) observeEngine(ctx context.Context) targetState {
-	st, err := ask[engineState](ctx, g, "/v1/state")
+func (g *Gate) readEngineState(ctx context.Context) targetState {
+	st, err := getJSON[engineState](ctx, g, "/v1/state")
 	if err != nil {
-		return g.unheard()
+		return g.stateAfterFailure()
 	}
-	g.followCache(ctx, st.Boot)
+	g.readCacheEvents(ctx, st.Boot)
 	return targetState{
 		ready:   st.Manifest != "",
 		serving: st.Manifest,
 		load:    sessn.Load{Known: true, Running: st.Running, Queued: st.Queued, Capacity: st.Capacity},
-		heard:   g.Clock.Now(),
+		readAt:  g.Clock.Now(),
 	}
 }
 
-// unheard keeps the last state for a while: one late answer of a busy engine
-// is no reason to take its work away.
-func (g *Gate) unheard() targetState {
+// stateAfterFailure returns the state to assume when the engine's state could not be
+// read. It keeps the last one for maxStateAge, as one late response of a busy engine is
+// no reason to stop sending it calls.
+func (g *Gate) stateAfterFailure() targetState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.target
-	if g.Clock.Since(s.heard) > silentTarget {
+	if g.Clock.Since(s.readAt) > maxStateAge {
 		s.ready = false
 		s.serving = ""
 	}
 	return s
 }
 
-// ask reads a JSON answer of the target.
-func ask[T any](ctx context.Context, g *Gate, path string) (T, error) {
+// getJSON sends a GET request to the target and decodes the JSON response.
+func getJSON[T any](ctx context.Context, g *Gate, path string) (T, error) {
 	var out T
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -111,7 +112,7 @@
 	if err != nil {
 		return out, fault.At("ask "+path, g.Target.String(), err)
 	}
-	res, err := g.plain.RoundTrip(req)
+	res, err := g.pooledTransport.RoundTrip(req)
 	if err != nil {
 		return out, fault.At("ask "+path, g.Target.String(), err)
 	}
@@ -119,6 +120,6 @@
 	if res.StatusCode != http.StatusOK {
 		return out, fault.Newf("ask "+path, g.Target.String(), "status %d", res.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(res.Body, maxState)).Decode(&out)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxStateBytes)).Decode(&out)
 	return out, fault.At("read "+path, g.Target.String(), err)
 }
--- a/io/request/gate/transport.go
+++ b/io/request/gate/transport.go
@@ -9,38 +9,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds towards the target.
+// Limits for connections to the target.
 const (
-	dialTimeout = 2 * time.Second
-	idlePerHost = 64
-	idleTimeout = 30 * time.Second
-	maxHeader   = 64 << 10
+	dialTimeout    = 2 * time.Second
+	maxIdleConns   = 64
+	idleTimeout    = 30 * time.Second
+	maxHeaderBytes = 64 << 10
 )
 
-// errDial marks a failure before any byte could reach the target.
-var errDial = errors.New("target not reached")
+// errNotReached marks a failure that happened before any byte could reach the target.
+var errNotReached = errors.New("target not reached")
 
-// pooledTransport carries calls that may be repeated.
-func pooledTransport() *http.Transport {
+// newPooledTransport returns the transport for calls that may be repeated.
+func newPooledTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:            dialTarget,
-		MaxIdleConnsPerHost:    idlePerHost,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        idleTimeout,
 		DisableCompression:     true,
-		MaxResponseHeaderBytes: maxHeader,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// onceTransport carries once-calls, each over a connection of its own.
+// newOnceTransport returns the transport for once-calls, which opens a connection for
+// each call.
 //
-// http.Transport sends a request again by itself when a reused connection
-// breaks and the request looks repeatable to it: one with an Idempotency-Key,
-// or without a body. A target that ran the call before the connection broke
-// would run it twice. The transport does so only on reused connections, so
-// without reuse it never happens. It also spares callers an unknown outcome
-// whenever a target closes an idle connection just as a call goes out.
-func onceTransport() *http.Transport {
-	t := pooledTransport()
+// http.Transport resends a request on its own if a reused connection breaks and the
+// request looks repeatable to it: one with an Idempotency-Key, or one without a body.
+// If the target ran the call before the connection broke, it would run it twice. As the
+// transport does this only on reused connections, it never happens without reuse. This
+// also avoids unknown outcomes if a target closes an idle connection just as a call is
+// sent.
+func newOnceTransport() *http.Transport {
+	t := newPooledTransport()
 	t.DisableKeepAlives = true
 	return t
 }
@@ -49,7 +50,7 @@
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, network, addr)
 	if err != nil {
-		return nil, errors.Mark(err, errDial)
+		return nil, errors.Mark(err, errNotReached)
 	}
 	return c, nil
 }
--- a/io/request/gate/transport_test.go
+++ b/io/request/gate/transport_test.go
@@ -12,8 +12,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// breakingTarget answers the first call of each connection and breaks the
-// connection after it has run the second. It counts the runs of payments.
+// breakingTarget returns the address of a server that answers the first request of each
+// connection, and closes the connection without an answer after it has run the second.
+// It counts the runs of payments.
 func breakingTarget(t *testing.T) (string, *atomic.Int64) {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,10 +52,10 @@
 	}
 }
 
-// The caller pays once. Its call goes out on a connection that the target has
-// answered on before; the target takes the fee and breaks the connection.
-// http.Transport then sends a request with an Idempotency-Key again by
-// itself, and the fee is taken twice; a connection for each call stops that.
+// A payment is sent on a connection on which the target has answered before. The target
+// runs it and closes the connection without an answer. http.Transport on its own
+// resends a request with an Idempotency-Key, so that the payment would run twice. With
+// a connection for each call it runs once.
 func TestTransportNeverResends(t *testing.T) {
 	tests := []struct {
 		name string
@@ -62,7 +63,7 @@
 		want int64
 	}{
 		{"default transport, which resends", &http.Transport{}, 2},
-		{"transport of once-calls", onceTransport(), 1},
+		{"transport of once-calls", newOnceTransport(), 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
