--- a/io/version/shelf/engine.go
+++ b/io/version/shelf/engine.go
@@ -7,8 +7,10 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Report is what an engine tells of itself. Serving is 0 while it lacks
-// weights; Born names its start and Orders counts those it has taken since.
+// Report is the state that an engine reports. Serving is the version that it serves, 0
+// if it has no weights. Born is when it started, zero if unknown, and Orders counts the
+// load orders that it has accepted since then. Active and Queued count its requests;
+// Pace is how many times longer than declared its steps take.
 type Report struct {
 	Model   string
 	Serving uint64
@@ -20,9 +22,11 @@
 	Pace    float64
 }
 
-// Engine is an engine that keeps the chunks of a model by their numbers, one
-// of each. Begin orders it to load what it keeps as the given version;
-// Orders is how many orders it must have taken before.
+// Engine is the control interface of one engine. The engine stages the chunks of a model
+// under their numbers, one chunk for each number; Held lists the numbers for which it
+// has a chunk, and Put overwrites the chunk of a number. Begin orders the engine to load
+// the staged chunks as the given version; orders is how many orders the engine must have
+// accepted before.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
 	Held(ctx context.Context, model string) ([]int, error)
@@ -31,8 +35,9 @@
 	Begin(ctx context.Context, model string, version, orders uint64) error
 }
 
-// Origin is where versions are drawn from. Manifest lists the chunks of a
-// version.
+// Origin serves the weights of every version. Manifest lists the chunks of a version,
+// and Piece reads the chunk with number num; progress is called with the number of bytes
+// of each part received.
 type Origin interface {
 	Manifest(ctx context.Context, model string, version uint64) (chunk.Manifest, error)
 	Piece(ctx context.Context, model string, version uint64, num int, size int64, progress func(n int)) ([]byte, error)
--- a/io/version/shelf/load.go
+++ b/io/version/shelf/load.go
@@ -14,28 +14,30 @@
 	"hawthornferry/io/process/awake"
 )
 
-// Times and counts of a load.
+// Limits of a load.
 const (
-	// lateOrder is how long before a load a chunk may have turned bad without
-	// blame on who ordered it: it cannot be helped in the last moment. mostAge is
-	// how old the oldest look at a chunk may be when the order is given, and
-	// orderTime how long the engine has to take it; both are within lateOrder.
-	lateOrder = 3 * time.Second
-	mostAge   = 1500 * time.Millisecond
-	orderTime = time.Second
-	// readRounds is how often chunks are looked at before an order whose oldest
-	// look is too old each time is given up for now.
-	readRounds = 4
-	// settleWait bounds the wait for an engine that did not answer an order.
-	settleWait = 2 * time.Second
+	// corruptionGrace is how long before a load a chunk may have become corrupt without
+	// the order counting as a fault: a change at the last moment cannot be detected.
+	corruptionGrace = 3 * time.Second
+	// maxReadBackAge is how long before the order any chunk may have been verified at
+	// the engine, and orderTimeout how long the engine may take to accept the order.
+	// Their sum is below corruptionGrace.
+	maxReadBackAge = 1500 * time.Millisecond
+	orderTimeout   = time.Second
+	// maxReadBackRounds bounds the rounds of verification before an order. The attempt
+	// to load fails if after each of them some chunk was verified too long ago.
+	maxReadBackRounds = 4
+	// settleTimeout bounds the wait for the engine to answer again after an unanswered
+	// order.
+	settleTimeout = 2 * time.Second
 )
 
-// Load makes sure that every chunk of the version lies whole at the engine
-// and orders it to load them. A chunk may have been spoilt, or overwritten by
-// another version, since it was staged; an engine that took it would answer
-// callers from mixed weights.
+// Load verifies that the engine has every chunk of the version, stages those again that
+// are missing or corrupt, and orders the engine to load them under number. Since it was
+// staged a chunk may have become corrupt or been overwritten by that of another version;
+// an engine that loaded it would serve callers from mixed weights.
 func (s *Shelf) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
-	e := s.edition(digest)
+	e := s.versionByDigest(digest)
 	if e == nil {
 		return fault.Newf("order load", "engine", "manifest %s is not known", digest)
 	}
@@ -43,36 +45,39 @@
 		s.Loading(true)
 		defer s.Loading(false)
 	}
-	// A chunk of another version that arrived meanwhile would be loaded among
-	// those of this one.
-	s.staging.Lock()
-	defer s.staging.Unlock()
-	// What is put back must not get into an earlier order either.
-	if err := s.settle(ctx); err != nil {
+	// A chunk of another version that is staged from here on would be loaded together
+	// with those of this one.
+	s.stagingMu.Lock()
+	defer s.stagingMu.Unlock()
+	// An earlier order that is still on its way must not load what is staged again here.
+	if err := s.awaitOrderSettled(ctx); err != nil {
 		return err
 	}
 	oldest, err := s.readBack(ctx, e, m)
 	if err != nil {
 		return err
 	}
-	err = s.begin(ctx, e, number)
-	s.noteLate(e, oldest)
+	err = s.orderLoad(ctx, e, number)
+	s.logLateOrder(e, oldest)
 	return err
 }
 
-// begin gives the order, and waits for the engine if it does not answer.
-func (s *Shelf) begin(ctx context.Context, e *Edition, number uint64) error {
-	orderCtx, cancel := context.WithTimeout(ctx, orderTime)
+// orderLoad orders the engine to load the staged chunks. If the engine does not answer
+// the order, orderLoad waits until it answers again, as awaitOrderSettled does.
+func (s *Shelf) orderLoad(ctx context.Context, e *Edition, number uint64) error {
+	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	s.settled = false
+	s.noOrderPending = false
 	err := s.Engine.Begin(orderCtx, e.Model, e.Version, number-1)
 	if err == nil {
-		s.settled = true
+		s.noOrderPending = true
 		return nil
 	}
-	return errors.CombineErrors(err, s.settle(ctx))
+	return errors.CombineErrors(err, s.awaitOrderSettled(ctx))
 }
 
+// now is the time on a clock that also counts the time in which the machine was
+// suspended.
 func (s *Shelf) now() time.Duration {
 	if s.Awake == nil {
 		return awake.Now()
@@ -80,50 +85,53 @@
 	return s.Awake()
 }
 
-// errSlowReading ends an attempt to load whose read-back is too old each time.
-var errSlowReading = errors.New("reading back what is staged takes too long for an order")
+// errReadBackTooSlow is returned when after each round some chunk was verified longer
+// than maxReadBackAge ago.
+var errReadBackTooSlow = errors.New("reading back the staged chunks takes too long for a load order")
 
-// readBack makes sure that every chunk lies whole at the engine, and returns the
-// moment of the oldest look. The process may stand still between two looks, or
-// the engine answer slowly: what turned bad meanwhile would be loaded, so that
-// what was seen too long ago is looked at again.
+// readBack verifies that the engine has every chunk, and returns when the chunk that was
+// verified first was verified. The process may be suspended, or the engine be slow,
+// between two chunks; a chunk that became corrupt meanwhile would be loaded. Chunks that
+// were verified too long ago are therefore verified again.
 func (s *Shelf) readBack(ctx context.Context, e *Edition, m chunk.Manifest) (time.Duration, error) {
-	looked := make([]time.Duration, len(m.Chunks))
-	for range readRounds {
-		oldest, err := s.renew(ctx, e, m, looked)
+	verifiedAt := make([]time.Duration, len(m.Chunks))
+	for range maxReadBackRounds {
+		oldest, err := s.verifyOutdated(ctx, e, m, verifiedAt)
 		if err != nil {
 			return 0, err
 		}
-		if s.now()-oldest <= mostAge {
+		if s.now()-oldest <= maxReadBackAge {
 			return oldest, nil
 		}
 	}
-	return 0, errSlowReading
+	return 0, errReadBackTooSlow
 }
 
-// renew looks at the chunks that were not looked at yet, or too long ago, and
-// returns the moment of the oldest look.
-func (s *Shelf) renew(ctx context.Context, e *Edition, m chunk.Manifest, looked []time.Duration) (time.Duration, error) {
+// verifyOutdated verifies the chunks that have not been verified yet, or too long ago,
+// and returns the earliest time of verification of all chunks. verifiedAt holds the time
+// of each chunk, 0 if it has none.
+func (s *Shelf) verifyOutdated(ctx context.Context, e *Edition, m chunk.Manifest, verifiedAt []time.Duration) (time.Duration, error) {
 	oldest := s.now()
 	for num, ref := range m.Chunks {
-		if looked[num] == 0 || s.now()-looked[num] > mostAge {
-			at, err := s.ensure(ctx, e, num, ref)
+		if verifiedAt[num] == 0 || s.now()-verifiedAt[num] > maxReadBackAge {
+			verified, err := s.ensureStaged(ctx, e, num, ref)
 			if err != nil {
 				return 0, err
 			}
-			looked[num] = at
+			verifiedAt[num] = verified
 		}
-		oldest = min(oldest, looked[num])
+		oldest = min(oldest, verifiedAt[num])
 	}
 	return oldest, nil
 }
 
-// noteLate writes down an order that may have been taken when what was read back
-// could have been bad for longer than lateOrder: the process stood still after it
-// had looked at its age, where nothing can stop the order any more.
-func (s *Shelf) noteLate(e *Edition, oldest time.Duration) {
+// logLateOrder logs an order that the engine may have accepted when some chunk had not
+// been verified for longer than corruptionGrace. This happens if the process is
+// suspended after the last check of the chunks' ages, when the order can no longer be
+// stopped, or if the engine does not answer the order.
+func (s *Shelf) logLateOrder(e *Edition, oldest time.Duration) {
 	age := s.now() - oldest
-	if age <= lateOrder {
+	if age <= corruptionGrace {
 		return
 	}
 	s.Log.Decide(trail.Decision{
@@ -132,43 +140,47 @@
 	})
 }
 
-// settle waits, after an order that was not answered, until the engine answers
-// again. If it does not, nothing is staged until it does: given up earlier, the
-// order could take what has been staged for the next version meanwhile.
-func (s *Shelf) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleWait)
+// awaitOrderSettled waits until no order can be on its way to the engine, for
+// settleTimeout at most. If the engine does not answer by then, nothing is staged until
+// it does: the engine could still read the order, and load chunks that were staged since
+// for the next version.
+func (s *Shelf) awaitOrderSettled(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
-		err := s.ask(ctx)
+		err := s.confirmNoOrderPending(ctx)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return fault.At("settle order", "engine", err)
-		case <-s.Clock.After(startRetry):
+			return fault.At("await unanswered order", "engine", err)
+		case <-s.Clock.After(enginePollInterval):
 		}
 	}
 }
 
-// ask makes sure that no order is on its way. The connection of one that was not
-// answered is closed by then, and what an engine had received on it is read
-// before it answers a later question.
-func (s *Shelf) ask(ctx context.Context) error {
-	if s.settled {
+// confirmNoOrderPending returns nil if no order can be on its way to the engine, which
+// any answer of the engine shows: the connection of an unanswered order is closed by
+// then, and the engine handles what it has received on it before it answers a later
+// request.
+func (s *Shelf) confirmNoOrderPending(ctx context.Context) error {
+	if s.noOrderPending {
 		return nil
 	}
 	if _, err := s.Engine.Report(ctx); err != nil {
 		return err
 	}
-	s.settled = true
+	s.noOrderPending = true
 	return nil
 }
 
-func (s *Shelf) edition(d chunk.Digest) *Edition {
+// versionByDigest returns the version whose manifest has the digest d, nil if there is
+// none.
+func (s *Shelf) versionByDigest(d chunk.Digest) *Edition {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.editions {
+	for _, e := range s.versions {
 		if e.Digest == d {
 			return e
 		}
@@ -176,32 +188,33 @@
 	return nil
 }
 
-// ensure puts one chunk back when the engine does not hold it whole, and returns
-// a moment from which it was whole there.
-func (s *Shelf) ensure(ctx context.Context, e *Edition, num int, ref chunk.Ref) (time.Duration, error) {
-	at := s.now()
-	there, err := s.Engine.Get(ctx, e.Model, num)
-	if err == nil && chunk.Sum(there) == ref.Digest {
-		return at, nil
-	}
-	b, ok := s.remembered(ref.Digest)
+// ensureStaged verifies one chunk at the engine, and stages it again if it is missing or
+// corrupt. It returns a time at which, or after which, the engine had the chunk
+// uncorrupted.
+func (s *Shelf) ensureStaged(ctx context.Context, e *Edition, num int, ref chunk.Ref) (time.Duration, error) {
+	verifiedAt := s.now()
+	staged, err := s.Engine.Get(ctx, e.Model, num)
+	if err == nil && chunk.Sum(staged) == ref.Digest {
+		return verifiedAt, nil
+	}
+	b, ok := s.cachedChunk(ref.Digest)
 	if !ok {
-		return 0, fault.Newf("order load", "engine", "chunk %d is spoilt and not at hand", num)
+		return 0, fault.Newf("order load", "engine", "chunk %d is corrupt or missing at the engine and not in memory", num)
 	}
 	s.Log.Decide(trail.Decision{
 		Area: trail.AreaTransfer, Action: "stageAgain", Subject: string(ref.Digest), Choice: strconv.Itoa(num),
-		Reason: "spoilt or missing at the engine",
+		Reason: "corrupt or missing at the engine",
 	})
 	if err := s.Engine.Put(ctx, e.Model, num, b); err != nil {
 		return 0, err
 	}
-	at = s.now()
-	again, err := s.Engine.Get(ctx, e.Model, num)
+	verifiedAt = s.now()
+	readBack, err := s.Engine.Get(ctx, e.Model, num)
 	if err != nil {
 		return 0, err
 	}
-	if !bytes.Equal(again, b) {
-		return 0, fault.Newf("order load", "engine", "chunk %d does not stay whole", num)
+	if !bytes.Equal(readBack, b) {
+		return 0, fault.Newf("order load", "engine", "chunk %d differs when read back after staging", num)
 	}
-	return at, nil
+	return verifiedAt, nil
 }
--- /dev/null
+++ b/io/version/shelf/staging.go
@@ -0,0 +1,168 @@
+package shelf
+
+import (
+	"context"
+	"strconv"
+
+	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/trail"
+	"hawthornferry/core/version/chunk"
+)
+
+// List returns the chunks of the latest version for whose numbers the engine has a
+// chunk, except where that chunk is known to be a different one. The others may be
+// different too: Get verifies them.
+func (s *Shelf) List(ctx context.Context) ([]chunk.Digest, error) {
+	s.mu.Lock()
+	if len(s.versions) == 0 {
+		s.mu.Unlock()
+		return nil, nil
+	}
+	e := s.versions[len(s.versions)-1]
+	s.mu.Unlock()
+	held, err := s.heldNumbers(ctx, e.Model)
+	if err != nil {
+		return nil, err
+	}
+	var out []chunk.Digest
+	for _, num := range held {
+		if num >= 0 && num < len(e.Manifest.Chunks) && s.mayHold(num, e.Manifest.Chunks[num].Digest) {
+			out = append(out, e.Manifest.Chunks[num].Digest)
+		}
+	}
+	return out, nil
+}
+
+// Put keeps a verified chunk in memory, and stages it at the engine if it belongs to the
+// newest version. If the engine does not accept it now, Load stages it before it gives
+// the order, and the chunk need not be fetched again.
+func (s *Shelf) Put(ctx context.Context, d chunk.Digest, b []byte) error {
+	positions := s.positionsOf(d)
+	if len(positions) == 0 {
+		return fault.At("stage chunk", "engine", errUnknownChunk)
+	}
+	s.cacheChunk(d, b)
+	if !s.stagingMu.TryLock() {
+		// A load is being ordered. Load stages this chunk before its version is ordered.
+		return nil
+	}
+	defer s.stagingMu.Unlock()
+	for _, p := range positions {
+		if !s.inNewestVersion(p) {
+			return nil
+		}
+		if err := s.stageChunk(ctx, p, b); err != nil {
+			s.Log.Decide(trail.Decision{
+				Area: trail.AreaTransfer, Action: "stageLater", Subject: string(d),
+				Choice: strconv.Itoa(p.num), Reason: err.Error(),
+			})
+		}
+	}
+	return nil
+}
+
+// stageChunk stages a chunk at the engine unless an order may still be on its way there:
+// the engine would load the chunk together with those of another version.
+func (s *Shelf) stageChunk(ctx context.Context, p position, b []byte) error {
+	if err := s.confirmNoOrderPending(ctx); err != nil {
+		return err
+	}
+	if err := s.Engine.Put(ctx, p.model, p.num, b); err != nil {
+		return err
+	}
+	s.recordSeen(p.num, chunk.Sum(b))
+	return nil
+}
+
+// recordSeen records that the engine has the chunk d at a number.
+func (s *Shelf) recordSeen(num int, d chunk.Digest) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.lastSeen == nil {
+		s.lastSeen = map[int]chunk.Digest{}
+	}
+	s.lastSeen[num] = d
+}
+
+// mayHold reports whether the engine may have the chunk d at a number: it does unless
+// this process last saw a different chunk there.
+func (s *Shelf) mayHold(num int, d chunk.Digest) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	seen, known := s.lastSeen[num]
+	return !known || seen == d
+}
+
+// inNewestVersion reports whether a position belongs to the newest known version.
+func (s *Shelf) inNewestVersion(p position) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.versions[len(s.versions)-1].Version == p.version
+}
+
+// heldNumbers lists the numbers for which the engine has a chunk. It waits for an engine
+// that has not started yet: if that were taken to have no chunks, every side of a fleet
+// that starts would fetch weights that its engine already has.
+func (s *Shelf) heldNumbers(ctx context.Context, model string) ([]int, error) {
+	ctx, cancel := context.WithTimeout(ctx, engineStartTimeout)
+	defer cancel()
+	for {
+		nums, err := s.Engine.Held(ctx, model)
+		if err == nil || ctx.Err() != nil {
+			return nums, err
+		}
+		select {
+		case <-ctx.Done():
+			return nil, err
+		case <-s.Clock.After(enginePollInterval):
+		}
+	}
+}
+
+// cacheChunk keeps a verified chunk in memory.
+func (s *Shelf) cacheChunk(d chunk.Digest, b []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.chunks == nil {
+		s.chunks = map[chunk.Digest][]byte{}
+	}
+	s.chunks[d] = b
+}
+
+// cachedChunk returns a chunk that is kept in memory.
+func (s *Shelf) cachedChunk(d chunk.Digest) ([]byte, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b, ok := s.chunks[d]
+	return b, ok
+}
+
+// Get returns a chunk from memory or from the engine. A chunk from the engine is
+// verified, and then kept in memory.
+func (s *Shelf) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
+	if b, ok := s.cachedChunk(d); ok {
+		return b, nil
+	}
+	positions := s.positionsOf(d)
+	if len(positions) == 0 {
+		return nil, fault.At("read chunk", "engine", errUnknownChunk)
+	}
+	b, err := s.Engine.Get(ctx, positions[0].model, positions[0].num)
+	if err != nil {
+		return nil, err
+	}
+	if got := chunk.Sum(b); got != d {
+		return nil, fault.Newf("read chunk", "engine", "digest %s, want %s", got, d)
+	}
+	s.recordSeen(positions[0].num, d)
+	s.cacheChunk(d, b)
+	return b, nil
+}
+
+// Delete drops a chunk from memory. At the engine the next version overwrites it.
+func (s *Shelf) Delete(_ context.Context, d chunk.Digest) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.chunks, d)
+	return nil
+}
--- a/io/version/shelf/state.go
+++ b/io/version/shelf/state.go
@@ -9,7 +9,8 @@
 	"hawthornferry/core/version/roll"
 )
 
-// State reports what the engine serves, in the terms of load orders.
+// State returns what the engine serves and loads, in the form that io/version/order
+// needs.
 func (s *Shelf) State(ctx context.Context) (roll.Target, error) {
 	r, err := s.Engine.Report(ctx)
 	if err != nil {
@@ -20,24 +21,25 @@
 		t.Serving = s.digestOf(r.Model, r.Serving)
 	}
 	if r.Loading {
-		t.Loading = loadingUnknown
+		t.Loading = unknownVersion
 	}
 	return t, nil
 }
 
-// bootOf names one start of an engine, empty when it does not tell.
-func bootOf(born time.Time) string {
-	if born.IsZero() {
+// bootOf identifies one run of an engine by its start time; it is empty if the engine
+// does not report that time.
+func bootOf(startedAt time.Time) string {
+	if startedAt.IsZero() {
 		return ""
 	}
-	return strconv.FormatInt(born.UnixMilli(), 10)
+	return strconv.FormatInt(startedAt.UnixMilli(), 10)
 }
 
-// loadingUnknown stands for a load whose version the engine does not tell.
-const loadingUnknown = chunk.Digest("loading")
+// unknownVersion stands for the version being loaded, which the engine does not report.
+const unknownVersion = chunk.Digest("loading")
 
-// digestOf names a version; one whose manifest is not known gets a name of its
-// own, which equals no manifest's.
+// digestOf returns the manifest digest of a version. For a version whose manifest is not
+// known it returns a string that equals no digest.
 func (s *Shelf) digestOf(model string, version uint64) chunk.Digest {
 	if e, ok := s.Find(model, version); ok {
 		return e.Digest
--- /dev/null
+++ b/io/version/shelf/versions.go
@@ -0,0 +1,202 @@
+// Package shelf connects engines and origins that identify chunks by model, version and
+// number with the distribution of weights, which identifies them by digest.
+// io/process/hosted builds a Shelf and a Library for the side, the process beside one
+// engine. io/version/swarm stages chunks through the Shelf and reads them from the
+// origin with it; io/version/order has it load a version. The Library reads the
+// manifests. Package platform implements Engine and Origin.
+//
+// The Shelf keeps the verified chunks of the version being distributed in memory, since
+// a staged chunk may become corrupt at the engine.
+package shelf
+
+import (
+	"cmp"
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/jonboulle/clockwork"
+
+	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/trail"
+	"hawthornferry/core/version/chunk"
+)
+
+// Limits of calls to the origin and the engine.
+const (
+	// originTimeout bounds the read of one chunk from the origin. About fifty sides may
+	// share a link on which one chunk alone takes tens of milliseconds.
+	originTimeout = 3 * time.Second
+	// engineStartTimeout bounds the wait for an engine that starts at the same time as
+	// its side.
+	engineStartTimeout = 4 * time.Second
+	// enginePollInterval is the pause between two requests to an engine that does not
+	// answer.
+	enginePollInterval = 50 * time.Millisecond
+	// maxCorruptChunks is after how many corrupt chunks from the origin the manifest
+	// rather than the chunks is taken to be corrupt.
+	maxCorruptChunks = 12
+)
+
+// Edition is one version of a model whose manifest is known. Digest is that of the
+// encoded manifest.
+type Edition struct {
+	Model    string
+	Version  uint64
+	Digest   chunk.Digest
+	Manifest chunk.Manifest
+	encoded  []byte
+}
+
+// Shelf adapts one engine and one origin to chunks that are identified by digest, for
+// the versions whose manifests have been added. Set the exported fields before the first
+// call.
+type Shelf struct {
+	Clock  clockwork.Clock
+	Log    trail.Log
+	Engine Engine
+	Origin Origin
+	// Awake is a clock that also counts the time in which the machine was suspended; a
+	// chunk may become corrupt in that time. Nil stands for awake.Now.
+	Awake func() time.Duration
+	// Loading, if set, is called with true before an order is given and with false
+	// afterwards.
+	Loading func(bool)
+
+	// stagingMu is held while the staged chunks must not change: an engine that is
+	// ordered to load takes the chunks that are staged when it accepts the order.
+	stagingMu sync.Mutex
+	// noOrderPending is set while no order can still be on its way to the engine;
+	// guarded by stagingMu. It is unset at the start, since the process does not know
+	// what its predecessor ordered.
+	noOrderPending bool
+
+	mu sync.Mutex
+	// versions is sorted by version.
+	versions []*Edition
+	// chunks are the verified chunks kept in memory.
+	chunks map[chunk.Digest][]byte
+	// lastSeen is the chunk that this process last staged or verified at each number of
+	// the engine.
+	lastSeen map[int]chunk.Digest
+	// corruptChunks counts the corrupt chunks from the origin since a manifest was last
+	// added.
+	corruptChunks int
+}
+
+// maxVersions bounds the known versions: the one served, the one being distributed and
+// the one announced meanwhile.
+const maxVersions = 4
+
+// Add adds the manifest of a version, or replaces it, and returns its edition. If there
+// are too many versions the lowest is dropped.
+func (s *Shelf) Add(m chunk.Manifest, model string, version uint64) (*Edition, error) {
+	raw, err := m.Encode()
+	if err != nil {
+		return nil, err
+	}
+	e := &Edition{Model: model, Version: version, Digest: chunk.Sum(raw), Manifest: m, encoded: raw}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.corruptChunks = 0
+	kept := s.versions[:0]
+	for _, old := range s.versions {
+		if old.Model != model || old.Version != version {
+			kept = append(kept, old)
+		}
+	}
+	s.versions = append(kept, e)
+	slices.SortFunc(s.versions, func(a, b *Edition) int { return cmp.Compare(a.Version, b.Version) })
+	if len(s.versions) > maxVersions {
+		s.versions = s.versions[1:]
+	}
+	return e, nil
+}
+
+// Find returns the edition of a version, if its manifest has been added.
+func (s *Shelf) Find(model string, version uint64) (*Edition, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, e := range s.versions {
+		if e.Model == model && e.Version == version {
+			return e, true
+		}
+	}
+	return nil, false
+}
+
+// Doubtful reports whether so many chunks from the origin did not match the manifests
+// that these may be corrupt and must be read again.
+func (s *Shelf) Doubtful() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.corruptChunks >= maxCorruptChunks
+}
+
+// position is the version and number under which an engine and an origin identify a
+// chunk.
+type position struct {
+	model   string
+	version uint64
+	num     int
+	size    int64
+}
+
+// positionsOf returns the positions of a chunk in the latest version that contains it. A
+// version may have the same bytes at several numbers.
+func (s *Shelf) positionsOf(d chunk.Digest) []position {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for i := len(s.versions) - 1; i >= 0; i-- {
+		var out []position
+		e := s.versions[i]
+		for num, ref := range e.Manifest.Chunks {
+			if ref.Digest == d {
+				out = append(out, position{model: e.Model, version: e.Version, num: num, size: ref.Size})
+			}
+		}
+		if len(out) > 0 {
+			return out
+		}
+	}
+	return nil
+}
+
+// errUnknownChunk is returned for a chunk that is in no known version.
+var errUnknownChunk = errors.New("no known version has the chunk")
+
+// Manifest returns the added manifest with digest d and its encoded form.
+func (s *Shelf) Manifest(_ context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, e := range s.versions {
+		if e.Digest == d {
+			return e.Manifest, e.encoded, nil
+		}
+	}
+	return chunk.Manifest{}, nil, fault.Newf("find manifest", "", "manifest %s has not been read", d)
+}
+
+// Chunk reads a chunk from the origin and verifies its digest.
+func (s *Shelf) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
+	positions := s.positionsOf(ref.Digest)
+	if len(positions) == 0 {
+		return nil, fault.At("read chunk", "origin", errUnknownChunk)
+	}
+	ctx, cancel := context.WithTimeout(ctx, originTimeout)
+	defer cancel()
+	p := positions[0]
+	b, err := s.Origin.Piece(ctx, p.model, p.version, p.num, ref.Size, progress)
+	if err != nil {
+		return nil, fault.At("read chunk", "origin", err)
+	}
+	if got := chunk.Sum(b); got != ref.Digest {
+		s.mu.Lock()
+		s.corruptChunks++
+		s.mu.Unlock()
+		return nil, fault.Newf("verify chunk", "origin", "digest %s, want %s", got, ref.Digest)
+	}
+	return b, nil
+}
