--- a/io/version/order/orderer_test.go
+++ b/io/version/order/controller_test.go
@@ -23,28 +23,29 @@
 	"hawthornferry/io/process/awake"
 )
 
-// zone counts the engines of one zone that serve at each moment.
-type zone struct {
+// servingCounter counts the engines of a zone that serve. lowest is the lowest count so
+// far.
+type servingCounter struct {
 	mu      sync.Mutex
 	serving int
-	least   int
+	lowest  int
 }
 
-func (z *zone) add(n int) {
+func (z *servingCounter) add(n int) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.serving += n
-	z.least = min(z.least, z.serving)
+	z.lowest = min(z.lowest, z.serving)
 }
 
-// fakeEngine loads at once but shows the load until its state has been read
-// readsToLoad times.
+// fakeEngine has loaded a version at once, but still reports it as loading until its
+// state has been read readsToLoad times.
 type fakeEngine struct {
-	mu      sync.Mutex
-	state   state
-	reads   int
-	zone    *zone
-	numbers []uint64
+	mu             sync.Mutex
+	engineState    engineState
+	reads          int
+	servingCounter *servingCounter
+	orderNumbers   []uint64
 }
 
 const readsToLoad = 3
@@ -53,33 +54,33 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Method == http.MethodPost {
-		e.order(w, r)
+		e.acceptOrder(w, r)
 		return
 	}
 	e.reads++
-	if e.state.Loading != "" && e.reads >= readsToLoad {
-		e.state.Manifest = e.state.Loading
-		e.state.Loading = ""
-		e.zone.add(1)
+	if e.engineState.Loading != "" && e.reads >= readsToLoad {
+		e.engineState.Manifest = e.engineState.Loading
+		e.engineState.Loading = ""
+		e.servingCounter.add(1)
 	}
-	_ = json.NewEncoder(w).Encode(e.state)
+	_ = json.NewEncoder(w).Encode(e.engineState)
 }
 
-func (e *fakeEngine) order(w http.ResponseWriter, r *http.Request) {
-	var l load
+func (e *fakeEngine) acceptOrder(w http.ResponseWriter, r *http.Request) {
+	var l loadOrder
 	if err := json.NewDecoder(r.Body).Decode(&l); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if l.Number <= e.state.LastOrder {
+	if l.Number <= e.engineState.LastOrder {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	e.numbers = append(e.numbers, l.Number)
-	e.state.LastOrder = l.Number
-	e.state.Loading = l.Manifest
+	e.orderNumbers = append(e.orderNumbers, l.Number)
+	e.engineState.LastOrder = l.Number
+	e.engineState.Loading = l.Manifest
 	e.reads = 0
-	e.zone.add(-1)
+	e.servingCounter.add(-1)
 	w.WriteHeader(http.StatusAccepted)
 }
 
@@ -97,12 +98,12 @@
 	return l, netip.MustParseAddrPort(l.Addr().String())
 }
 
-// Callers of a zone of three with a floor of two see fewer than two replicas
-// if sides load side by side: all three have the new weights at the same
-// moment and all of them ask. Each must get its turn and none may be lost.
-func TestZoneNeverBelowFloor(t *testing.T) {
+// Guards against fewer than two replicas that serve, in a zone of three with a floor of
+// two, because sides load at the same time: all three get the new weights at the same
+// moment and ask each other. Every replica must get to load.
+func TestZoneKeepsMinServingDuringRollout(t *testing.T) {
 	const replicas, floor = 3, 2
-	z := &zone{serving: replicas, least: replicas}
+	z := &servingCounter{serving: replicas, lowest: replicas}
 	wanted := chunk.Sum([]byte("new"))
 	v := view.View{Document: &envdoc.Document{
 		Revision: 2,
@@ -128,7 +129,7 @@
 	var wg sync.WaitGroup
 	var orderers []*Orderer
 	for i, vm := range v.VMs {
-		e := &fakeEngine{zone: z, state: state{Boot: "boot", Manifest: chunk.Sum([]byte("old")), LastOrder: 7}}
+		e := &fakeEngine{servingCounter: z, engineState: engineState{Boot: "boot", Manifest: chunk.Sum([]byte("old")), LastOrder: 7}}
 		srv := httptest.NewServer(e)
 		t.Cleanup(srv.Close)
 		self := &link.Self{VM: vm, Boot: vm.Name}
@@ -149,13 +150,13 @@
 	}
 	cancel()
 	wg.Wait()
-	if diff := cmp.Diff(floor, z.least); diff != "" {
+	if diff := cmp.Diff(floor, z.lowest); diff != "" {
 		t.Errorf("least replicas serving (-want +got):\n%s", diff)
 	}
 }
 
-// waitServing returns once o's target serves d; a rollout that never ends
-// ends with the test's own timeout.
+// waitServing returns once o's target serves d. If that never happens the test's own
+// timeout ends it.
 func waitServing(t *testing.T, o *Orderer, d chunk.Digest) {
 	t.Helper()
 	for t.Context().Err() == nil {
--- a/io/version/order/engine.go
+++ b/io/version/order/engine.go
@@ -1,5 +1,8 @@
-// Package order makes a target load the version that the document names, when
-// the replicas of its zone permit it.
+// Package order makes a target load the version that the configuration document names,
+// when the other replicas of its zone permit it. The side, the process beside one
+// target, runs an Orderer; io/process/side and io/process/hosted build it.
+// core/version/roll makes the decisions, and this package reads the facts, asks the
+// other replicas and gives the orders.
 package order
 
 import (
@@ -18,64 +21,68 @@
 	"hawthornferry/core/version/roll"
 )
 
-// Bounds of one exchange with an engine.
+// Limits of one request to an engine.
 const (
-	engineTimeout = 2 * time.Second
-	maxStateBytes = 64 << 10
+	engineTimeout  = 2 * time.Second
+	maxAnswerBytes = 64 << 10
 )
 
-// ErrOldNumber is returned when an engine refuses an order for its number.
-var ErrOldNumber = errors.New("engine has taken a later order")
+// errStaleOrder is returned when an engine refuses an order because of its number.
+var errStaleOrder = errors.New("engine has already accepted an order with this number or a higher one")
 
-// Engine is the control interface of one engine.
+// Engine is a client of the control interface of one engine.
 type Engine struct {
 	Address netip.AddrPort
 	Client  *http.Client
 }
 
-// state is the engine's answer; see docs/PLATFORM.md.
-type state struct {
+// engineState is the state that an engine reports; see docs/PLATFORM.md.
+type engineState struct {
 	Boot      string       `json:"boot"`
 	Manifest  chunk.Digest `json:"manifest"`
 	Loading   chunk.Digest `json:"loading"`
 	LastOrder uint64       `json:"lastOrder"`
 }
 
-// load is the order to load a version.
-type load struct {
+// loadOrder orders an engine to load a version.
+type loadOrder struct {
 	Number   uint64         `json:"number"`
 	Action   string         `json:"action"`
 	Manifest chunk.Digest   `json:"manifest"`
 	Body     chunk.Manifest `json:"body"`
 }
 
+// actionLoad is the Action of a loadOrder.
 const actionLoad = "load"
 
-// State asks the engine what it serves.
+// State returns what the engine serves and loads.
 func (e *Engine) State(ctx context.Context) (roll.Target, error) {
-	body, err := e.do(ctx, http.MethodGet, "/v1/state", nil, http.StatusOK)
+	body, err := e.call(ctx, http.MethodGet, "/v1/state", nil, http.StatusOK)
 	if err != nil {
 		return roll.Target{}, fault.At("read engine state", e.Address.String(), err)
 	}
-	var s state
+	var s engineState
 	if err := json.Unmarshal(body, &s); err != nil {
 		return roll.Target{}, fault.At("decode engine state", e.Address.String(), err)
 	}
 	return roll.Target{Boot: s.Boot, Serving: s.Manifest, Loading: s.Loading, LastOrder: s.LastOrder}, nil
 }
 
-// Load orders the engine to load m, pinned by digest, under number. The load
-// goes on after the engine has accepted it.
+// Load orders the engine to load the version with manifest m, whose digest is digest,
+// under number. It returns once the engine has accepted the order; the load itself goes
+// on.
 func (e *Engine) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
-	b, err := json.Marshal(load{Number: number, Action: actionLoad, Manifest: digest, Body: m})
+	b, err := json.Marshal(loadOrder{Number: number, Action: actionLoad, Manifest: digest, Body: m})
 	if err != nil {
 		return fault.At("encode order", e.Address.String(), err)
 	}
-	_, err = e.do(ctx, http.MethodPost, "/v1/orders", b, http.StatusAccepted)
+	_, err = e.call(ctx, http.MethodPost, "/v1/orders", b, http.StatusAccepted)
 	return fault.At("order load", e.Address.String(), err)
 }
 
-func (e *Engine) do(ctx context.Context, method, path string, body []byte, want int) ([]byte, error) {
+// call sends one request to the engine and returns the body of a response with status
+// want.
+func (e *Engine) call(ctx context.Context, method, path string, body []byte, want int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.Address.String()+path, bytes.NewReader(body))
@@ -87,12 +94,12 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxStateBytes))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode == http.StatusConflict {
-		return nil, ErrOldNumber
+		return nil, errStaleOrder
 	}
 	if resp.StatusCode != want {
 		return nil, errors.Newf("status %d, want %d", resp.StatusCode, want)
--- /dev/null
+++ b/io/version/order/peers.go
@@ -0,0 +1,117 @@
+package order
+
+import (
+	"context"
+	"sync"
+
+	"github.com/cockroachdb/errors"
+
+	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/version/roll"
+	"hawthornferry/io/conn/frame"
+	"hawthornferry/io/conn/link"
+)
+
+// maxConnections bounds the connections that one request to all peers holds open at a
+// time.
+const maxConnections = 16
+
+// statusRequest asks another replica of the service for its status, before a load.
+type statusRequest struct {
+	Service string `msgpack:"service"`
+}
+
+// Kind returns the name of the message on the wire.
+func (*statusRequest) Kind() frame.Kind { return "loadAsk" }
+
+// Check returns an error for the first invalid field.
+func (r *statusRequest) Check() error {
+	if r.Service == "" {
+		return errors.New("loadAsk: service is empty")
+	}
+	return nil
+}
+
+// replicaStatus is the reply to a statusRequest: the status of the replica that sends
+// it.
+type replicaStatus struct {
+	roll.Status `msgpack:",inline"`
+}
+
+// Kind returns the name of the message on the wire.
+func (*replicaStatus) Kind() frame.Kind { return "loadStatus" }
+
+// Check returns an error for the first invalid field.
+func (r *replicaStatus) Check() error {
+	if r.Name == "" {
+		return errors.New("loadStatus: name is empty")
+	}
+	switch r.Phase {
+	case roll.PhaseIdle, roll.PhaseAsking, roll.PhaseLoading:
+		return nil
+	}
+	return errors.Newf("loadStatus: unknown phase %q", r.Phase)
+}
+
+// messageKinds lists the messages of a connection between two replicas.
+func messageKinds() frame.Kinds {
+	k := frame.Kinds{}
+	k.Register(func() frame.Message { return &statusRequest{} })
+	k.Register(func() frame.Message { return &replicaStatus{} })
+	return k
+}
+
+// Handler answers the status requests of other replicas.
+func (o *Orderer) Handler() link.Handler {
+	return link.Handler{Kinds: messageKinds(), Serve: o.serveStatus}
+}
+
+func (o *Orderer) serveStatus(_ context.Context, c *link.Conn) {
+	m, err := c.Receive()
+	if err != nil {
+		return
+	}
+	if _, ok := m.(*statusRequest); !ok {
+		return
+	}
+	s := o.replicaStatus()
+	// A peer that gets no reply counts this replica as not serving, which is safe: the
+	// peer then loads only if the floor holds without this replica.
+	_ = c.Send(&replicaStatus{Status: s})
+}
+
+// requestStatuses asks all peers and returns the replies that arrived before ctx ended.
+func (o *Orderer) requestStatuses(ctx context.Context, service string, peers []fleet.VM) []roll.Status {
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	var answers []roll.Status
+	slots := make(chan struct{}, maxConnections)
+	for _, peer := range peers {
+		slots <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			s, err := o.requestStatus(ctx, service, peer)
+			if err != nil {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			answers = append(answers, s)
+		})
+	}
+	wg.Wait()
+	return answers
+}
+
+// requestStatus asks one peer for its status.
+func (o *Orderer) requestStatus(ctx context.Context, service string, peer fleet.VM) (roll.Status, error) {
+	m, err := link.Ask(ctx, o.Self, peer.Address, link.PurposeOrders, messageKinds(), &statusRequest{Service: service})
+	if err != nil {
+		return roll.Status{}, err
+	}
+	s, ok := m.(*replicaStatus)
+	if !ok || s.Name != peer.Name {
+		return roll.Status{}, errors.Newf("reply %s is not the status of %s", m.Kind(), peer.Name)
+	}
+	return s.Status, nil
+}
--- a/io/version/order/rest_test.go
+++ b/io/version/order/polling_test.go
@@ -19,9 +19,10 @@
 	"hawthornferry/io/process/awake"
 )
 
-// Guards against sides that ask their engines five times a second for nothing, and
-// against an engine that has lost its weights and waits for the next question.
-func TestServingEngineIsAskedSeldom(t *testing.T) {
+// Guards against sides that poll their engines five times a second although these serve
+// the wanted version, and against an engine that lost its weights and is not ordered to
+// load until the next poll.
+func TestServingEngineIsPolledRarely(t *testing.T) {
 	wanted := chunk.Sum([]byte("wanted"))
 	vm := fleet.VM{Name: "a", Role: fleet.RoleSide, Zone: "z", Region: "r", Service: "helper", State: fleet.StateLive}
 	v := view.View{VMs: []fleet.VM{vm}, Document: &envdoc.Document{
@@ -30,7 +31,7 @@
 			Name: "helper", Kind: envdoc.KindEngine, Model: "m", Replicas: []envdoc.Placement{{Zone: "z", Replicas: 1}},
 		}},
 	}}
-	e := &fakeEngine{zone: &zone{}, state: state{Boot: "boot", Manifest: wanted}}
+	e := &fakeEngine{servingCounter: &servingCounter{}, engineState: engineState{Boot: "boot", Manifest: wanted}}
 	srv := httptest.NewServer(e)
 	t.Cleanup(srv.Close)
 	o := &Orderer{
@@ -48,22 +49,22 @@
 	const span = 3 * time.Second
 	time.Sleep(span)
 	e.mu.Lock()
-	asked := e.reads
-	e.state.Manifest = ""
+	polls := e.reads
+	e.engineState.Manifest = ""
 	e.mu.Unlock()
-	if most := int(span/restEvery) + 2; asked > most {
-		t.Errorf("asked %d times in %s, want %d at most", asked, span, most)
+	if maxPolls := int(span/idleInterval) + 2; polls > maxPolls {
+		t.Errorf("asked %d times in %s, want %d at most", polls, span, maxPolls)
 	}
 	o.Notice()
-	for end := time.Now().Add(restEvery / 2); e.orders() == 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(idleInterval / 2); e.orderCount() == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("an engine without weights was not ordered to load within %s", restEvery/2)
+			t.Fatalf("an engine without weights was not ordered to load within %s", idleInterval/2)
 		}
 	}
 }
 
-func (e *fakeEngine) orders() int {
+func (e *fakeEngine) orderCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.numbers)
+	return len(e.orderNumbers)
 }
