--- a/io/version/stage/client.go
+++ b/io/version/stage/client.go
@@ -1,4 +1,7 @@
-// Package stage keeps chunks in the staging area of a model engine.
+// Package stage stores chunks of weights in the staging area of an engine, from which
+// the engine loads a version. io/process/side gives a Client to io/version/swarm, which
+// stages the chunks that it has verified and reads them back for its peers. Memory
+// replaces the engine in tests and in bench/burst.
 package stage
 
 import (
@@ -16,30 +19,31 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Timeout bounds one call to the engine.
-const Timeout = 30 * time.Second
+// callTimeout bounds one request to the engine.
+const callTimeout = 30 * time.Second
 
-// maxList bounds the answer of the engine's list of chunks.
-const maxList = 16 << 20
+// maxListBytes bounds the engine's answer that lists its chunks.
+const maxListBytes = 16 << 20
 
-// Client is the staging area of the engine at Engine. Set the fields before
-// the first call; it is safe for concurrent use.
+// Client accesses the staging area of the engine at address Engine. Set the fields
+// before the first call. It is safe for concurrent use.
 type Client struct {
 	Engine netip.AddrPort
 	HTTP   http.Client
 }
 
-type listing struct {
+// stagingList is the engine's list of its staged chunks.
+type stagingList struct {
 	Chunks []chunk.Digest `json:"chunks"`
 }
 
-// List returns the digests of the chunks that the engine holds.
+// List returns the digests of the staged chunks.
 func (c *Client) List(ctx context.Context) ([]chunk.Digest, error) {
-	b, err := c.call(ctx, http.MethodGet, "/v1/staging", nil, maxList, http.StatusOK)
+	b, err := c.call(ctx, http.MethodGet, "/v1/staging", nil, maxListBytes, http.StatusOK)
 	if err != nil {
 		return nil, err
 	}
-	var l listing
+	var l stagingList
 	if err := json.Unmarshal(b, &l); err != nil {
 		return nil, fault.At("list staging", c.Engine.String(), err)
 	}
@@ -51,46 +55,48 @@
 	return l.Chunks, nil
 }
 
-// Put hands a chunk to the engine.
+// Put stages a chunk under its digest. It does not verify the digest.
 func (c *Client) Put(ctx context.Context, d chunk.Digest, b []byte) error {
 	_, err := c.call(ctx, http.MethodPut, "/v1/staging/"+string(d), b, 0, http.StatusNoContent)
 	return err
 }
 
-// Get returns a chunk that the engine holds.
+// Get reads a staged chunk. It does not verify the digest.
 func (c *Client) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
 	return c.call(ctx, http.MethodGet, "/v1/staging/"+string(d), nil, chunk.MaxChunkSize, http.StatusOK)
 }
 
-// Delete has the engine drop a chunk.
+// Delete removes a staged chunk.
 func (c *Client) Delete(ctx context.Context, d chunk.Digest) error {
 	_, err := c.call(ctx, http.MethodDelete, "/v1/staging/"+string(d), nil, 0, http.StatusNoContent)
 	return err
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, limit int64, want int) ([]byte, error) {
-	step := "staging " + method
-	ctx, cancel := context.WithTimeout(ctx, Timeout)
+// call sends one request to the engine. It returns the body of a response with status
+// want, and an error if that is longer than maxBytes.
+func (c *Client) call(ctx context.Context, method, path string, body []byte, maxBytes int64, want int) ([]byte, error) {
+	op := "staging " + method
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	url := "http://" + c.Engine.String() + path
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, fault.At(step, c.Engine.String(), err)
+		return nil, fault.At(op, c.Engine.String(), err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return nil, fault.At(step, c.Engine.String(), err)
+		return nil, fault.At(op, c.Engine.String(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != want {
-		return nil, fault.Newf(step, c.Engine.String(), "status %d, want %d", resp.StatusCode, want)
+		return nil, fault.Newf(op, c.Engine.String(), "status %d, want %d", resp.StatusCode, want)
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err != nil {
-		return nil, fault.At(step, c.Engine.String(), err)
+		return nil, fault.At(op, c.Engine.String(), err)
 	}
-	if int64(len(b)) > limit {
-		return nil, fault.At(step, c.Engine.String(), errors.Newf("answer is longer than %d bytes", limit))
+	if int64(len(b)) > maxBytes {
+		return nil, fault.At(op, c.Engine.String(), errors.Newf("answer is longer than %d bytes", maxBytes))
 	}
 	return b, nil
 }
--- a/io/version/stage/memory.go
+++ b/io/version/stage/memory.go
@@ -10,14 +10,14 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Memory is a staging area in memory, for tests and the load tool. The zero
-// value is ready.
+// Memory is a staging area in memory, for tests and bench/burst. The zero value is ready
+// for use.
 type Memory struct {
 	mu     sync.Mutex
 	chunks map[chunk.Digest][]byte
 }
 
-// List returns the digests of the chunks held.
+// List returns the digests of the staged chunks, sorted.
 func (m *Memory) List(context.Context) ([]chunk.Digest, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -29,7 +29,7 @@
 	return out, nil
 }
 
-// Put keeps b, which must not be changed afterwards.
+// Put stages b, which must not be changed afterwards.
 func (m *Memory) Put(_ context.Context, d chunk.Digest, b []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Get returns a chunk's bytes.
+// Get returns a staged chunk.
 func (m *Memory) Get(_ context.Context, d chunk.Digest) ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -51,7 +51,7 @@
 	return b, nil
 }
 
-// Delete drops a chunk.
+// Delete removes a staged chunk.
 func (m *Memory) Delete(_ context.Context, d chunk.Digest) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
