--- /dev/null
+++ b/io/request/direct/attempts.go
@@ -0,0 +1,220 @@
+package direct
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"hawthornferry/core/request/place"
+	"hawthornferry/core/request/resend"
+	"hawthornferry/core/request/table"
+)
+
+// placeResults maps the outcome of an attempt to what the placer is told of the target.
+var placeResults = map[resend.Outcome]place.Result{
+	resend.Relayed:   place.ResultDone,
+	resend.Failure:   place.ResultDone,
+	resend.NotRun:    place.ResultTurned,
+	resend.Unsent:    place.ResultUnreached,
+	resend.Broken:    place.ResultFailed,
+	resend.Caller:    place.ResultLeft,
+	resend.LateReply: place.ResultFailed,
+	resend.Moved:     place.ResultFailed,
+	resend.Dropped:   place.ResultLeft,
+}
+
+// responseRelay passes the responses of targets on to the caller. It is used for all
+// attempts at one request, of which a later one may continue what an earlier one broke
+// off.
+type responseRelay interface {
+	// readResponse reads the response of one attempt and tells the watchdog of each
+	// part. The error is the reason if the entry itself aborted the attempt.
+	readResponse(ctx context.Context, x *exchange, g *watchdog) (resend.Outcome, error)
+	// responseBegun reports whether the caller has a part of a response.
+	responseBegun() bool
+	// sendHeldFailure sends a failure response of a target that was held back because
+	// another attempt might succeed. It returns false if there is none.
+	sendHeldFailure() bool
+}
+
+// placeResultOf returns what the end of an attempt says about its target. An attempt
+// that was moved because its target waits to load does not count as a failure.
+func placeResultOf(o resend.Outcome, err error) place.Result {
+	if errors.Is(err, errLoading) {
+		return place.ResultLeft
+	}
+	return placeResults[o]
+}
+
+// runAttempts makes attempts until the caller has its response or no further attempt is
+// allowed.
+func (s *Server) runAttempts(ctx context.Context, w http.ResponseWriter, q *request) {
+	out := s.newRelay(w, q)
+	q.tries = resend.Tries{Repeatable: q.route.Repeatable(), Most: q.route.Attempts}
+	for {
+		v, ok := s.waitForTarget(ctx, w, q, out)
+		if !ok {
+			return
+		}
+		o, err := s.attempt(ctx, q, v, out)
+		s.dispatcher.done(q.placementID, placeResultOf(o, err))
+		s.reportOutcome(q, q.progress.verdict.Target, o, err)
+		s.recordAttempt(ctx, q, o, err, out.responseBegun())
+		if o == resend.Relayed {
+			s.finish(q, string(o), q.progress.status)
+			return
+		}
+		if ctx.Err() != nil || o == resend.Caller {
+			s.giveUp(w, q, out)
+			return
+		}
+		if !s.mayRetry(q, o) {
+			s.fail(w, q, out, failedTargetsRetryAfter)
+			return
+		}
+		q.failedTargets = append(q.failedTargets, q.targetID)
+		q.responseBegun = out.responseBegun()
+	}
+}
+
+// waitForTarget waits until the placer assigns a target. It returns false if there is
+// none; it has then ended the request.
+func (s *Server) waitForTarget(ctx context.Context, w http.ResponseWriter, q *request, out responseRelay) (place.Verdict, bool) {
+	for {
+		if wait, blocked := s.blocked(q); blocked {
+			q.reason = reasonCrashesTargets
+			s.fail(w, q, out, wait)
+			return place.Verdict{}, false
+		}
+		v, ok := s.dispatcher.place(ctx, s.placerWork(q))
+		if !ok {
+			s.giveUp(w, q, out)
+			return v, false
+		}
+		q.beginAttempt(s.Clock.Now(), v)
+		if v.Decision == place.Refused {
+			q.reason = string(v.Reason)
+			s.fail(w, q, out, v.RetryAfter)
+			return v, false
+		}
+		// While the request waited, the target's version may have become too old (an
+		// idle engine would begin at once), or the request may have been found to crash
+		// targets. If so, the loop offers it again or refuses it.
+		if _, blocked := s.blocked(q); !blocked && !s.versionTooOld(q, v.Serving) {
+			return v, true
+		}
+		s.dispatcher.done(v.ID, place.ResultLeft)
+	}
+}
+
+// attempt sends the request to one target and relays the response.
+func (s *Server) attempt(ctx context.Context, q *request, v place.Verdict, out responseRelay) (resend.Outcome, error) {
+	q.targetID, q.placementID = v.Target.ID, v.ID
+	req := s.targetRequest(ctx, q, v)
+	x, err := s.connector.connect(ctx, v.Target)
+	if err != nil {
+		return resend.Unsent, err
+	}
+	defer x.close()
+	q.tries.Sent()
+	wd := s.guard(q, x, v, q.tries.Left() > 0)
+	defer wd.stop()
+	if o, err := s.sendAndCheck(q, x, req); o != "" {
+		return o, err
+	}
+	return out.readResponse(ctx, x, wd)
+}
+
+// sendAndCheck sends the request and reads and checks the head of the response. It
+// returns the outcome of the attempt if the response cannot be used, otherwise "".
+func (s *Server) sendAndCheck(q *request, x *exchange, req *http.Request) (resend.Outcome, error) {
+	if err := x.roundTrip(req, q.body); err != nil {
+		return resend.Broken, errors.CombineErrors(err, x.abortReason())
+	}
+	reply := s.Dialect.Reply(x.resp.StatusCode, x.resp.Header)
+	if reply.NotRun {
+		return resend.NotRun, errors.Newf("status %d", x.resp.StatusCode)
+	}
+	if reply.Call != "" && reply.Call != q.call.ID {
+		return resend.LateReply, errors.Newf("response is for request %q", reply.Call)
+	}
+	if x.resp.StatusCode < http.StatusMultipleChoices && !reply.Signed {
+		return resend.Broken, errors.New("response is not signed by the target")
+	}
+	return "", nil
+}
+
+// mayRetry reports whether another attempt may follow one with the given outcome, and
+// counts it in the retry budget. An attempt that reached no target is not counted.
+func (s *Server) mayRetry(q *request, o resend.Outcome) bool {
+	if !q.tries.After(o) {
+		return false
+	}
+	if o == resend.Unsent || q.retryCounted.CompareAndSwap(true, false) {
+		return true
+	}
+	if !s.takeRetry(q.service.Name) {
+		q.reason = "retryBudget"
+		return false
+	}
+	return true
+}
+
+// giveUp ends a request whose deadline has passed or whose caller has
+// disconnected.
+func (s *Server) giveUp(w http.ResponseWriter, q *request, out responseRelay) {
+	if q.incoming.Context().Err() != nil {
+		s.finish(q, "callerGone", 0)
+		panic(http.ErrAbortHandler)
+	}
+	q.reason = "deadline"
+	if out.responseBegun() {
+		s.breakOff(q)
+	}
+	s.answer(w, q, errorResponse{status: http.StatusGatewayTimeout, reason: q.reason})
+}
+
+// fail ends a request for which no further attempt is made. Only a caller whose request
+// has not run is told to retry.
+func (s *Server) fail(w http.ResponseWriter, q *request, out responseRelay, retryAfter time.Duration) {
+	if out.responseBegun() {
+		s.breakOff(q)
+	}
+	if out.sendHeldFailure() {
+		s.finish(q, "failureOfTarget", q.progress.status)
+		return
+	}
+	if !q.tries.MayRefuse() {
+		s.answer(w, q, errorResponse{status: http.StatusBadGateway, reason: orDefault(q.reason, outcomeBrokenOff)})
+		return
+	}
+	s.answer(w, q, errorResponse{status: http.StatusServiceUnavailable, reason: orDefault(q.reason, "notRun"), retryAfter: retryAfter})
+}
+
+// breakOff ends a response that the caller has a part of. It closes the connection
+// in the middle, so that the caller does not take the response for complete.
+func (s *Server) breakOff(q *request) {
+	s.metrics.countBrokenOff(q.progress.endCause)
+	s.endCounts.countBrokenOff(q.progress.endCause)
+	s.finish(q, outcomeBrokenOff, 0)
+	panic(http.ErrAbortHandler)
+}
+
+// newRelay returns the relay for the route's kind of response.
+func (s *Server) newRelay(w http.ResponseWriter, q *request) responseRelay {
+	caller := callerWriter{w: w, rc: http.NewResponseController(w)}
+	if q.route.Repeat == table.RepeatStream {
+		return &streamRelay{server: s, q: q, caller: caller}
+	}
+	return &bufferedRelay{q: q, caller: caller}
+}
+
+// orDefault returns v, or def if v is empty.
+func orDefault(v, def string) string {
+	if v == "" {
+		return def
+	}
+	return v
+}
--- a/io/request/direct/ways_test.go
+++ b/io/request/direct/dialtimes_test.go
@@ -12,44 +12,43 @@
 	"hawthornferry/core/process/facts"
 )
 
-// farAway is a network on which a connection takes as long as away says, by the
-// zone that stands for the address.
-func farAway(clock *clockwork.FakeClock, away map[string]time.Duration) func(context.Context, string, string) (net.Conn, error) {
+// delayedDial returns a dial function of a simulated network: a connection takes the
+// time given for its address, and fails if that exceeds the deadline.
+func delayedDial(clock *clockwork.FakeClock, delays map[string]time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		began := time.Now()
 		deadline, _ := ctx.Deadline()
-		if takes := away[address]; deadline.Sub(began) > takes {
-			clock.Advance(takes)
-			near, far := net.Pipe()
-			far.Close()
-			return near, nil
+		if delay := delays[address]; deadline.Sub(began) > delay {
+			clock.Advance(delay)
+			local, remote := net.Pipe()
+			remote.Close()
+			return local, nil
 		}
 		return nil, context.DeadlineExceeded
 	}
 }
 
-// Callers come to an entry in a zone without engines; the nearest ones are a round
-// trip of 180 ms away. A connection was given 150 ms wherever it led, so that every
-// attempt ended unsent, each engine was paused as failing, and no caller of the zone
-// was ever served.
-func TestTargetsFarAwayAreReached(t *testing.T) {
+// Guards against a fixed dial timeout. With one of 150 ms, an entry in a zone whose
+// nearest engines were a round trip of 180 ms away reached none of them, paused them
+// all as failing and served no caller.
+func TestDistantTargetsAreReached(t *testing.T) {
 	tests := []struct {
 		name    string
-		away    time.Duration
+		delay   time.Duration
 		reached bool
 	}{
 		{"same zone", 200 * time.Microsecond, true},
 		{"next region", 6 * time.Millisecond, true},
 		{"other continent", 180 * time.Millisecond, true},
 		{"other side of the globe", 320 * time.Millisecond, true},
-		{"dark", time.Hour, false},
+		{"unreachable", time.Hour, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
 			target := facts.Target{ID: "t", Zone: "z"}
-			s := newSender(clock)
-			s.dial = farAway(clock, map[string]time.Duration{target.Address.String(): tc.away})
+			s := newConnector(clock)
+			s.dial = delayedDial(clock, map[string]time.Duration{target.Address.String(): tc.delay})
 			for try := range 3 {
 				x, err := s.connect(context.Background(), target)
 				if err == nil {
@@ -63,12 +62,11 @@
 	}
 }
 
-// A link chokes, or a machine goes dark, in a zone to which connections were made
-// before. What is sent over a link that takes seconds arrives after its caller has
-// gone, so the wait must stay close to what the way takes, however long one
-// connection took meanwhile; a way that has become longer for good must be found
-// again.
-func TestWaitFollowsTheLeastTime(t *testing.T) {
+// When a link is congested or a machine unreachable, the timeout must stay close to the
+// shortest measured time: a request sent over a link that takes seconds arrives after
+// its caller has gone. But when a network path has become longer for good, the timeout
+// must follow.
+func TestDialTimeoutFollowsShortestTime(t *testing.T) {
 	type step struct {
 		after, took time.Duration
 		want        time.Duration
@@ -79,15 +77,15 @@
 	}{
 		{"near", []step{{0, 2 * time.Millisecond, 152 * time.Millisecond}}},
 		{"far", []step{{0, 180 * time.Millisecond, 330 * time.Millisecond}}},
-		{"choked", []step{
+		{"congested", []step{
 			{0, 2 * time.Millisecond, 152 * time.Millisecond},
 			{time.Second, 140 * time.Millisecond, 152 * time.Millisecond},
 		}},
-		{"choked at first", []step{
+		{"congested at first", []step{
 			{0, 500 * time.Millisecond, 650 * time.Millisecond},
 			{time.Second, 2 * time.Millisecond, 152 * time.Millisecond},
 		}},
-		{"longer for good", []step{
+		{"permanently longer", []step{
 			{0, 2 * time.Millisecond, 152 * time.Millisecond},
 			{2 * time.Minute, 180 * time.Millisecond, 330 * time.Millisecond},
 		}},
@@ -95,13 +93,13 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			clock := clockwork.NewFakeClock()
-			w := ways{clock: clock}
-			if diff := cmp.Diff(unknownDial, w.timeout("z")); diff != "" {
+			w := dialTimes{clock: clock}
+			if diff := cmp.Diff(defaultDialTimeout, w.timeout("z")); diff != "" {
 				t.Errorf("before any connection (-want +got):\n%s", diff)
 			}
 			for _, s := range tc.steps {
 				clock.Advance(s.after)
-				w.note("z", s.took)
+				w.record("z", s.took)
 				if diff := cmp.Diff(s.want, w.timeout("z")); diff != "" {
 					t.Errorf("after %s (-want +got):\n%s", s.took, diff)
 				}
@@ -110,23 +108,23 @@
 	}
 }
 
-// An entry starts beside its targets, which answer slowly at first. The choice of
-// targets must not take the near zone for a far one then: it would send nothing
-// there that shows how near it is.
-func TestTheWayIsToldWhenItIsKnown(t *testing.T) {
-	type told struct {
+// Targets that have just started respond slowly. The time must not be reported from the
+// first connections, or a near zone would seem far away and get no requests that show
+// otherwise.
+func TestDialTimeIsReportedOnceKnown(t *testing.T) {
+	type report struct {
 		Zone  string
 		Takes time.Duration
 	}
-	var got []told
-	w := ways{clock: clockwork.NewFakeClock(), learnt: func(zone string, takes time.Duration) {
-		got = append(got, told{zone, takes})
+	var got []report
+	w := dialTimes{clock: clockwork.NewFakeClock(), onChange: func(zone string, delay time.Duration) {
+		got = append(got, report{zone, delay})
 	}}
 	for _, ms := range []int{300, 120, 4, 9, 5, 6, 3, 3, 8} {
-		w.note("z", time.Duration(ms)*time.Millisecond)
+		w.record("z", time.Duration(ms)*time.Millisecond)
 	}
-	want := []told{{"z", 4 * time.Millisecond}, {"z", 3 * time.Millisecond}}
+	want := []report{{"z", 4 * time.Millisecond}, {"z", 3 * time.Millisecond}}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("told (-want +got):\n%s", diff)
+		t.Errorf("reported times (-want +got):\n%s", diff)
 	}
 }
--- /dev/null
+++ b/io/request/direct/dispatcher.go
@@ -0,0 +1,160 @@
+package direct
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/jonboulle/clockwork"
+
+	"hawthornferry/core/process/facts"
+	"hawthornferry/core/request/place"
+	"hawthornferry/io/request/await"
+)
+
+// dispatcher makes a place.Placer safe for concurrent use and delivers its verdicts to
+// the requests that wait for them.
+type dispatcher struct {
+	clock  clockwork.Clock
+	placer *place.Placer
+	await.Desk[place.Verdict]
+}
+
+func newDispatcher(clock clockwork.Clock, p *place.Placer) *dispatcher {
+	d := &dispatcher{clock: clock, placer: p}
+	d.ID = func(v place.Verdict) string { return v.ID }
+	return d
+}
+
+// run calls Placer.Tick at regular intervals until ctx ends. Ticks are skipped while no
+// request waits.
+func (d *dispatcher) run(ctx context.Context) {
+	tick := d.clock.NewTicker(place.TickEvery)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-tick.Chan():
+			d.Tick(func() []place.Verdict { return d.placer.Tick(d.clock.Now()) })
+		}
+	}
+}
+
+// place offers w to the placer and waits for the verdict on it. It returns false
+// if ctx ends first; the place is then given back or the request withdrawn.
+func (d *dispatcher) place(ctx context.Context, w place.Work) (place.Verdict, bool) {
+	offer := func() []place.Verdict { return d.placer.Offer(d.clock.Now(), w) }
+	return d.Await(ctx, w.ID, offer, func(v *place.Verdict) []place.Verdict {
+		if v != nil && v.Decision == place.Placed {
+			return d.placer.Done(d.clock.Now(), w.ID, place.ResultLeft)
+		}
+		d.placer.Withdraw(w.ID, w.Service)
+		return nil
+	})
+}
+
+// responseBegan tells the placer that the target has sent the first part of a response.
+func (d *dispatcher) responseBegan(id string) {
+	d.Do(func() []place.Verdict { return d.placer.Began(d.clock.Now(), id) })
+}
+
+// done tells the placer how an attempt ended, which frees its place.
+func (d *dispatcher) done(id string, r place.Result) {
+	d.Do(func() []place.Verdict { return d.placer.Done(d.clock.Now(), id, r) })
+}
+
+// otherHasRoom reports whether any target of the service except the given one can take
+// a request now.
+func (d *dispatcher) otherHasRoom(service, target string) (ok bool) {
+	d.Do(func() []place.Verdict {
+		ok = d.placer.Other(d.clock.Now(), service, target)
+		return nil
+	})
+	return ok
+}
+
+// placeHandover places a response under way at another target. If its present target is
+// silent, any target with room will do; otherwise only one that has ample room and is
+// expected to continue within the given time. It does not wait for a place.
+func (d *dispatcher) placeHandover(w place.Work, cause error, within time.Duration) (v place.Verdict, ok bool) {
+	d.Do(func() []place.Verdict {
+		if errors.Is(cause, errSilent) {
+			v, ok = d.placer.Replace(d.clock.Now(), w)
+		} else {
+			v, ok = d.placer.Relocate(d.clock.Now(), w, within)
+		}
+		return nil
+	})
+	return v, ok
+}
+
+// fewRequestsLeft reports whether a target that is waiting to load a version has few
+// requests left.
+func (d *dispatcher) fewRequestsLeft(target string, r place.Report) (ok bool) {
+	d.Do(func() []place.Verdict {
+		ok = d.placer.FewLeft(target, r)
+		return nil
+	})
+	return ok
+}
+
+// served returns the model version that each engine target serves.
+func (d *dispatcher) served() (out []place.Served) {
+	d.Do(func() []place.Verdict {
+		out = d.placer.Served(d.clock.Now())
+		return nil
+	})
+	return out
+}
+
+// update hands new facts to the placer.
+func (d *dispatcher) update(f *facts.Facts) {
+	d.Do(func() []place.Verdict { return d.placer.Update(d.clock.Now(), f) })
+}
+
+// setRoundTrip tells the placer the shortest measured round trip to the targets of a
+// zone.
+func (d *dispatcher) setRoundTrip(zone string, roundTrip time.Duration) {
+	d.Do(func() []place.Verdict {
+		d.placer.Way(zone, roundTrip)
+		return nil
+	})
+}
+
+// report hands a target's report of its own load to the placer.
+func (d *dispatcher) report(target string, r place.Report) {
+	d.Do(func() []place.Verdict { return d.placer.Report(d.clock.Now(), target, r) })
+}
+
+// minFirstShare is the fraction of a route's longest deadline from which on a deadline
+// is taken for that of a first request. It allows for callers that wait for different
+// times. A caller that was told to retry after a second has less left: of a deadline of
+// a few seconds, a second is more than the remaining 15%. A caller that merely sets a
+// short deadline is mistaken for one that retries; its request only yields to others.
+const minFirstShare = 0.85
+
+// callerDeadlines keeps the longest deadline that the callers of each route have set. A
+// caller that retries after a refusal sets what remains of its original deadline, so
+// the difference tells when it first asked.
+type callerDeadlines struct {
+	mu      sync.Mutex
+	longest map[string]time.Duration
+}
+
+// sinceFirstRequest estimates how long ago a caller with the given deadline sent its
+// first request; 0 if this is the first one.
+func (c *callerDeadlines) sinceFirstRequest(route string, deadline time.Duration) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.longest == nil {
+		c.longest = map[string]time.Duration{}
+	}
+	longest := max(c.longest[route], deadline)
+	c.longest[route] = longest
+	if float64(deadline) >= minFirstShare*float64(longest) {
+		return 0
+	}
+	return time.Duration((1+minFirstShare)/2*float64(longest)) - deadline
+}
--- /dev/null
+++ b/io/request/direct/exchange.go
@@ -0,0 +1,139 @@
+package direct
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+
+	"github.com/cockroachdb/errors"
+	"github.com/jonboulle/clockwork"
+
+	"hawthornferry/core/process/facts"
+	"hawthornferry/core/process/fault"
+)
+
+// readBuffer is the size in bytes of the buffers for requests and responses.
+const readBuffer = 4 << 10
+
+// connector opens a new connection to a target for each request. A kept connection
+// could deliver a late second response, or bytes after a response, that would be taken
+// for the next response; and if it had silently died, it would swallow a request that
+// may not be sent twice. A new connection costs a target a millisecond.
+type connector struct {
+	clock     clockwork.Clock
+	dialTimes dialTimes
+	dial      func(ctx context.Context, network, address string) (net.Conn, error)
+}
+
+func newConnector(clock clockwork.Clock) *connector {
+	return &connector{clock: clock, dialTimes: dialTimes{clock: clock}, dial: (&net.Dialer{}).DialContext}
+}
+
+// exchange is one request to one target over its own connection, with the response.
+type exchange struct {
+	conn net.Conn
+	resp *http.Response
+	// stopAfterFunc stops the function that closes conn when the context ends.
+	stopAfterFunc func() bool
+	// closed is closed by close.
+	closed    chan struct{}
+	closeOnce sync.Once
+	// abortErr is the reason if the entry itself aborted the exchange.
+	abortErr atomic.Pointer[error]
+}
+
+// abort closes the connection and records why.
+func (x *exchange) abort(cause error) {
+	x.abortErr.Store(&cause)
+	x.conn.Close()
+}
+
+// abortReason returns why the entry aborted the exchange, nil if it did not.
+func (x *exchange) abortReason() error {
+	if cause := x.abortErr.Load(); cause != nil {
+		return *cause
+	}
+	return nil
+}
+
+// close ends the exchange. A target stops its work when the connection closes.
+func (x *exchange) close() {
+	x.closeOnce.Do(func() { close(x.closed) })
+	x.stopAfterFunc()
+	x.conn.Close()
+}
+
+// streamItem is an event of a stream, or the error with which the stream ended.
+type streamItem struct {
+	event event
+	err   error
+}
+
+// readEvents reads the events of the response in the background and sends them on the
+// returned channel, until the response ends or the exchange is closed.
+func (x *exchange) readEvents() <-chan streamItem {
+	out := make(chan streamItem)
+	in := bufio.NewReaderSize(x.resp.Body, readBuffer)
+	go func() {
+		for {
+			e, err := readEvent(in)
+			select {
+			case out <- streamItem{e, err}:
+			case <-x.closed:
+				return
+			}
+			if err != nil {
+				return
+			}
+		}
+	}()
+	return out
+}
+
+// connect opens a connection to a target. After an error, the target has not seen the
+// request. The connection is closed when ctx ends.
+func (c *connector) connect(ctx context.Context, t facts.Target) (*exchange, error) {
+	dialCtx, cancel := context.WithTimeout(ctx, c.dialTimes.timeout(t.Zone))
+	defer cancel()
+	began := c.clock.Now()
+	conn, err := c.dial(dialCtx, "tcp", t.Address.String())
+	if err != nil {
+		return nil, fault.At("connect to target", t.Address.String(), err)
+	}
+	c.dialTimes.record(t.Zone, c.clock.Since(began))
+	x := &exchange{conn: conn, closed: make(chan struct{})}
+	x.stopAfterFunc = context.AfterFunc(ctx, func() { conn.Close() })
+	return x, nil
+}
+
+// roundTrip writes the request and reads the head of the response. A target may respond
+// and reset the connection before it has read a long body; a write error is ignored if
+// there is a response.
+func (x *exchange) roundTrip(req *http.Request, body []byte) error {
+	req.Body = io.NopCloser(bytes.NewReader(body))
+	req.ContentLength = int64(len(body))
+	if len(body) == 0 {
+		req.Body = http.NoBody
+	}
+	w := bufio.NewWriterSize(x.conn, readBuffer)
+	writeErr := req.Write(w)
+	if writeErr == nil {
+		writeErr = w.Flush()
+	}
+	r := bufio.NewReaderSize(x.conn, readBuffer)
+	for {
+		resp, err := http.ReadResponse(r, req)
+		if err != nil {
+			return errors.CombineErrors(err, writeErr)
+		}
+		if resp.StatusCode >= http.StatusOK {
+			x.resp = resp
+			return nil
+		}
+	}
+}
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -22,65 +22,69 @@
 	"hawthornferry/io/request/gate"
 )
 
-// What refused callers are told to wait.
+// What refused callers are told to wait before they retry.
 const (
-	// settleWait is for a belief that is not there yet or too old: peers are
-	// asked three times a second.
-	settleWait = 400 * time.Millisecond
-	// unservedWait is for a service whose targets all fail: they are tried
-	// anew after pauses of this order.
-	unservedWait = 800 * time.Millisecond
-	// elsewhereWait is for a caller that any other entry can serve now.
-	elsewhereWait = 50 * time.Millisecond
+	// staleFactsRetryAfter is for facts that are missing or too old: peers are polled
+	// three times a second, so newer ones arrive soon.
+	staleFactsRetryAfter = 400 * time.Millisecond
+	// failedTargetsRetryAfter is for a service whose targets all fail: they are tried
+	// again after pauses of this order.
+	failedTargetsRetryAfter = 800 * time.Millisecond
+	// drainRetryAfter is for a caller that any other entry can serve at once.
+	drainRetryAfter = 50 * time.Millisecond
 )
 
-// request is one request of a caller on its way.
+// request is the state of one caller's request.
 type request struct {
-	in       *http.Request
-	call     Call
-	body     []byte
-	facts    *facts.Facts
-	age      facts.Age
-	route    table.Route
-	service  table.Service
-	customer string
-	story    story
-	arrived  time.Time
-	// asked is when the caller first asked, as far as its deadline tells.
-	asked    time.Time
-	deadline time.Time
+	incoming  *http.Request
+	call      Call
+	body      []byte
+	facts     *facts.Facts
+	factsAge  facts.Age
+	route     table.Route
+	service   table.Service
+	customer  string
+	progress  progress
+	arrivedAt time.Time
+	// firstAskedAt is when the caller sent its first request, estimated from its
+	// deadline; earlier than arrivedAt for a retry after a refusal.
+	firstAskedAt time.Time
+	deadline     time.Time
 
 	tries resend.Tries
-	// failed are the targets to avoid.
-	failed []string
-	// prepaid is set when the next attempt is already counted as a repeat.
-	prepaid atomic.Bool
-	// lastEvent is the last event that the caller has.
-	lastEvent string
-	begun     bool
-	// target is where the request is, and placementID the id under which its place
-	// there is counted.
-	target      string
+	// failedTargets are the IDs of targets that must not get the request again.
+	failedTargets []string
+	// retryCounted is set if the next attempt has already been counted in the retry
+	// budget.
+	retryCounted atomic.Bool
+	// lastEventID is the ID of the last event that the caller has.
+	lastEventID string
+	// responseBegun is set if the caller has a part of the response.
+	responseBegun bool
+	// targetID is the target that has the request, and placementID the ID under which
+	// the placer counts it there.
+	targetID    string
 	placementID string
-	reason      string
-	// key is the fingerprint once keyed is set.
-	key   poison.Key
-	keyed bool
+	// reason says in logs and in an errorResponse why the request failed.
+	reason string
+	// key caches the fingerprint; it is valid if hasKey is set.
+	key    poison.Key
+	hasKey bool
 }
 
-// fingerprint returns what the repeats of the request have in common. It reads the
-// whole body, and most requests never need it.
+// fingerprint returns what all repeats of the request have in common. It is computed on
+// first use, because it hashes the whole body and most requests never need it.
 func (q *request) fingerprint() poison.Key {
-	if !q.keyed {
-		q.keyed = true
+	if !q.hasKey {
+		q.hasKey = true
 		q.key = poison.Request{
-			Method: q.in.Method, Host: hostOf(q.in), URI: q.in.RequestURI, Caller: q.customer, Body: q.body,
+			Method: q.incoming.Method, Host: hostOf(q.incoming), URI: q.incoming.RequestURI, Caller: q.customer, Body: q.body,
 		}.Key()
 	}
 	return q.key
 }
 
-// hostOf is the host that a request is for, without a port.
+// hostOf returns the host that a request is for, in lower case and without a port.
 func hostOf(r *http.Request) string {
 	host := r.Host
 	if h, _, err := net.SplitHostPort(host); err == nil {
@@ -89,61 +93,62 @@
 	return strings.ToLower(host)
 }
 
-// serve is the way of each request.
+// serve handles one request from arrival to end.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	q := &request{in: r, arrived: s.Clock.Now()}
-	if a, ok := s.prepare(w, q); !ok {
-		s.answer(w, q, a)
+	q := &request{incoming: r, arrivedAt: s.Clock.Now()}
+	if e, ok := s.prepare(w, q); !ok {
+		s.answer(w, q, e)
 		return
 	}
 	ctx, cancel := clockwork.WithDeadline(r.Context(), s.Clock, q.deadline)
 	defer cancel()
-	s.earn(q.service.Name)
-	s.run(ctx, w, q)
+	s.countForRetries(q.service.Name)
+	s.runAttempts(ctx, w, q)
 }
 
-// prepare reads a request and finds out what serves it, or why it is not
-// served.
-func (s *Server) prepare(w http.ResponseWriter, q *request) (answer, bool) {
+// prepare reads a request and determines its route, service, customer and deadline. It
+// returns false and the error response if the request cannot be served.
+func (s *Server) prepare(w http.ResponseWriter, q *request) (errorResponse, bool) {
 	var err error
-	if q.call, err = s.Dialect.Call(q.in); err != nil {
-		return answer{status: http.StatusBadRequest, reason: err.Error()}, false
+	if q.call, err = s.Dialect.Call(q.incoming); err != nil {
+		return errorResponse{status: http.StatusBadRequest, reason: err.Error()}, false
 	}
-	s.believe(q)
+	s.snapshotFacts(q)
 	if q.facts.Table == nil {
-		return answer{status: http.StatusServiceUnavailable, reason: "noConfiguration", retryAfter: settleWait}, false
+		return errorResponse{status: http.StatusServiceUnavailable, reason: "noConfiguration", retryAfter: staleFactsRetryAfter}, false
 	}
-	if a, ok := s.find(q); !ok {
-		return a, false
+	if e, ok := s.matchRoute(q); !ok {
+		return e, false
 	}
-	if a, ok := s.identify(q); !ok {
-		return a, false
+	if e, ok := s.identifyCustomer(q); !ok {
+		return e, false
 	}
-	if a, ok := s.readBody(w, q); !ok {
-		return a, false
+	if e, ok := s.readBody(w, q); !ok {
+		return e, false
 	}
 	s.setDeadline(q)
-	if s.leavesBefore(q) {
-		return answer{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: elsewhereWait}, false
+	if s.mayStopBefore(q) {
+		return errorResponse{status: http.StatusServiceUnavailable, reason: "stopping", retryAfter: drainRetryAfter}, false
 	}
-	return answer{}, true
+	return errorResponse{}, true
 }
 
-// believe takes the belief that the request is served by, and its age. Time that
-// passes later need not count: the bounds run until the request was sent, and that
-// was before.
-func (s *Server) believe(q *request) {
-	q.facts, q.age = facts.Take(s.Source)
+// snapshotFacts stores the facts that the request is served by, and their age. The age
+// need not be updated later: the limits on it apply up to when the caller sent the
+// request, which was before.
+func (s *Server) snapshotFacts(q *request) {
+	q.facts, q.factsAge = facts.Take(s.Source)
 }
 
-func (s *Server) find(q *request) (answer, bool) {
-	path, _, _ := strings.Cut(q.in.RequestURI, "?")
-	route, ok := q.facts.Table.Match(hostOf(q.in), path)
+// matchRoute finds the route of the request and picks its service.
+func (s *Server) matchRoute(q *request) (errorResponse, bool) {
+	path, _, _ := strings.Cut(q.incoming.RequestURI, "?")
+	route, ok := q.facts.Table.Match(hostOf(q.incoming), path)
 	if !ok {
-		return s.denied(q, http.StatusNotFound, "noRoute"), false
+		return s.notFoundError(q, http.StatusNotFound, "noRoute"), false
 	}
 	q.route = route
 	name := pickService(route.Shares, q.call.ID)
@@ -151,21 +156,22 @@
 	if !ok {
 		q.service = table.Service{Name: name}
 	}
-	return answer{}, true
+	return errorResponse{}, true
 }
 
-// denied tells a caller that what it names does not exist, or to come back
-// when this process does not know for sure: a configuration that brings it
-// may just not have come here.
-func (s *Server) denied(q *request, status int, reason string) answer {
-	if q.age.OlderThan(s.Rules.TableAge) {
-		return answer{status: http.StatusServiceUnavailable, reason: reason + "ByOldBelief", retryAfter: settleWait}
-	}
-	return answer{status: status, reason: reason}
+// notFoundError returns the response for a route or key that does not exist according
+// to the facts. If these are too old to be sure, the caller is told to retry: a
+// configuration that adds the route or key may not have reached this process yet.
+func (s *Server) notFoundError(q *request, status int, reason string) errorResponse {
+	if q.factsAge.OlderThan(s.Rules.TableAge) {
+		return errorResponse{status: http.StatusServiceUnavailable, reason: reason + "ByOldBelief", retryAfter: staleFactsRetryAfter}
+	}
+	return errorResponse{status: status, reason: reason}
 }
 
-// pickService shares a route's requests between its services by a hash of the
-// request.
+// pickService picks one of a route's services with probability proportional to its
+// weight. It uses a hash of the request ID, so that a repeat with the same ID gets the
+// same service.
 func pickService(shares []table.Share, id string) string {
 	if len(shares) == 1 {
 		return shares[0].Service
@@ -185,76 +191,78 @@
 	return shares[len(shares)-1].Service
 }
 
-// identify finds the customer. A key that was revoked must not be honoured by
-// a process that has not heard of it: past KeyAge the belief cannot vouch for
-// any key, and the caller has to turn to another entry.
-func (s *Server) identify(q *request) (answer, bool) {
+// identifyCustomer determines the customer by the API key. A process that has not
+// learned that a key was revoked must not accept it. So if the facts are older than
+// KeyAge, no key is accepted and the caller has to try another entry.
+func (s *Server) identifyCustomer(q *request) (errorResponse, bool) {
 	if !q.facts.Table.Keyed() || q.route.Anonymous {
-		return answer{}, true
+		return errorResponse{}, true
 	}
-	if s.Rules.KeyAge > 0 && q.age.OlderThan(s.Rules.KeyAge) {
-		return answer{status: http.StatusServiceUnavailable, reason: "keysTooOld", retryAfter: settleWait}, false
+	if s.Rules.KeyAge > 0 && q.factsAge.OlderThan(s.Rules.KeyAge) {
+		return errorResponse{status: http.StatusServiceUnavailable, reason: "keysTooOld", retryAfter: staleFactsRetryAfter}, false
 	}
 	c, ok := q.facts.Table.CustomerOf(q.call.Key)
 	if !ok {
-		return s.denied(q, http.StatusUnauthorized, "unknownKey"), false
+		return s.notFoundError(q, http.StatusUnauthorized, "unknownKey"), false
 	}
 	q.customer = c.Name
 	if c.Priority != nil {
 		q.route.Priority = *c.Priority
 	}
-	return answer{}, true
+	return errorResponse{}, true
 }
 
-func (s *Server) readBody(w http.ResponseWriter, q *request) (answer, bool) {
+// readBody reads the whole body within bodyTimeout and the configured size limit.
+func (s *Server) readBody(w http.ResponseWriter, q *request) (errorResponse, bool) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
 	limit := q.facts.Table.Limits.MaxBody
-	body := io.Reader(q.in.Body)
+	body := io.Reader(q.incoming.Body)
 	if limit > 0 {
-		body = http.MaxBytesReader(w, q.in.Body, limit)
+		body = http.MaxBytesReader(w, q.incoming.Body, limit)
 	}
 	b, err := io.ReadAll(body)
 	_ = rc.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return answer{status: http.StatusRequestEntityTooLarge, reason: "bodyTooLarge"}, false
+		return errorResponse{status: http.StatusRequestEntityTooLarge, reason: "bodyTooLarge"}, false
 	case err != nil:
-		return answer{status: http.StatusBadRequest, reason: "bodyUnreadable", closing: true}, false
+		return errorResponse{status: http.StatusBadRequest, reason: "bodyUnreadable", closeConn: true}, false
 	}
 	q.body = b
-	return answer{}, true
+	return errorResponse{}, true
 }
 
-// setDeadline bounds the request by what its caller, its route and a stop of
-// this process leave.
+// setDeadline sets the deadline to the shorter of the route's timeout and the caller's
+// deadline, and estimates when the caller first asked.
 func (s *Server) setDeadline(q *request) {
 	d := q.route.Timeout
 	if q.call.Deadline > 0 {
 		d = min(d, q.call.Deadline)
-		q.asked = q.arrived.Add(-s.patience.spent(q.route.Name, q.call.Deadline))
+		q.firstAskedAt = q.arrivedAt.Add(-s.callerDeadlines.sinceFirstRequest(q.route.Name, q.call.Deadline))
 	} else {
-		q.asked = q.arrived
+		q.firstAskedAt = q.arrivedAt
 	}
-	q.deadline = q.arrived.Add(d)
-	q.lastEvent = q.call.LastEvent
+	q.deadline = q.arrivedAt.Add(d)
+	q.lastEventID = q.call.LastEvent
 }
 
-// work is what the placer is told of a request.
-func (s *Server) work(q *request) place.Work {
+// placerWork returns the request in the form that the placer takes.
+func (s *Server) placerWork(q *request) place.Work {
 	answerTokens := q.call.Hint
 	if answerTokens <= 0 {
 		answerTokens = q.call.Answer
 	}
 	return place.Work{
 		ID: q.call.ID, Service: q.service.Name, Kind: q.route.Name, Prompt: q.call.Prompt, Answer: answerTokens,
-		Asked: q.asked, Objective: q.route.Objective, Deadline: q.deadline, Priority: q.route.Priority,
-		Limits: s.versionLimits(q), Newest: s.newest(q), Avoid: q.failed, Begun: q.begun,
+		Asked: q.firstAskedAt, Objective: q.route.Objective, Deadline: q.deadline, Priority: q.route.Priority,
+		Limits: s.versionLimits(q), Newest: s.newestVersion(q), Avoid: q.failedTargets, Begun: q.responseBegun,
 	}
 }
 
-// versionLimits are until when the request may begin on replaced versions.
+// versionLimits returns, for each announced version of the service's model, until when
+// the request may begin on an older one.
 func (s *Server) versionLimits(q *request) []place.VersionLimit {
 	e := q.service.Engine
 	if e == nil || s.Rules.Version <= 0 {
@@ -262,28 +270,28 @@
 	}
 	var out []place.VersionLimit
 	for _, v := range s.Source.Current().Named(e.Model) {
-		out = append(out, place.VersionLimit{Version: v.Version, Until: v.Since.Add(s.Rules.Version - beginReserve)})
+		out = append(out, place.VersionLimit{Version: v.Version, Until: v.Since.Add(s.Rules.Version - beginMargin)})
 	}
 	return out
 }
 
-// demanded is the least version that the request may begin on now, 0 for any.
-func (s *Server) demanded(q *request) uint64 {
+// minVersion returns the oldest version that the request may begin on now, 0 for any.
+func (s *Server) minVersion(q *request) uint64 {
 	e := q.service.Engine
 	if e == nil || s.Rules.Version <= 0 {
 		return 0
 	}
-	v, ok := s.Source.Current().Due(e.Model, s.Clock.Now().Add(beginReserve-s.Rules.Version))
+	v, ok := s.Source.Current().Due(e.Model, s.Clock.Now().Add(beginMargin-s.Rules.Version))
 	if ok {
-		s.noteDemanded(v)
+		s.logMinVersion(v)
 	}
 	return v.Version
 }
 
-// noteDemanded writes down once from when a version is demanded, and how long
-// ago this process takes it to have been named.
-func (s *Server) noteDemanded(v facts.Named) {
-	if last, loaded := s.demandedNow.Swap(v.Model, v.Version); loaded && last == v.Version {
+// logMinVersion logs, once for each minimum version, when it came into force and how
+// long ago it was announced as far as this process knows.
+func (s *Server) logMinVersion(v facts.Named) {
+	if last, loaded := s.loggedVersions.Swap(v.Model, v.Version); loaded && last == v.Version {
 		return
 	}
 	s.Log.Decide(trail.Decision{
@@ -292,8 +300,9 @@
 	})
 }
 
-// newest is the newest version that is named of the service's model.
-func (s *Server) newest(q *request) uint64 {
+// newestVersion returns the newest announced version of the service's model, 0 if there
+// is none.
+func (s *Server) newestVersion(q *request) uint64 {
 	if q.service.Engine == nil {
 		return 0
 	}
@@ -301,35 +310,36 @@
 	return v.Version
 }
 
-// expected is the version that the target must serve as the request begins, 0 for any.
-// A target that goes back to older weights, as after a restart, must not answer by
-// them. While others still load the newest version, a target that has it can only go
-// back.
-func (s *Server) expected(q *request, serving uint64) uint64 {
-	q.story.demanded = s.demanded(q)
-	newest := s.newest(q)
-	if q.story.demanded > 0 || newest > 0 && serving >= newest {
+// expectedVersion returns the version that the target must serve when the request
+// begins, 0 for any. It prevents a target that has gone back to older weights, as after
+// a restart, from answering with them. It applies once there is a minimum version, and
+// to a target that has the newest version: while others are still loading that one,
+// such a target can only go back.
+func (s *Server) expectedVersion(q *request, serving uint64) uint64 {
+	q.progress.minVersion = s.minVersion(q)
+	newestVersion := s.newestVersion(q)
+	if q.progress.minVersion > 0 || newestVersion > 0 && serving >= newestVersion {
 		return serving
 	}
 	return 0
 }
 
-// outgoing makes the request for a target.
-func (s *Server) outgoing(ctx context.Context, q *request, v place.Verdict) *http.Request {
-	h := q.in.Header.Clone()
+// targetRequest returns the HTTP request to send to the target of v.
+func (s *Server) targetRequest(ctx context.Context, q *request, v place.Verdict) *http.Request {
+	h := q.incoming.Header.Clone()
 	gate.StripHops(h)
 	if h.Get("User-Agent") == "" {
-		// An empty value keeps the library from writing its own.
+		// An empty value keeps net/http from adding its own User-Agent.
 		h.Set("User-Agent", "")
 	}
 	s.Dialect.Forward(h, Forward{
 		Target: v.Target.ID, Left: q.deadline.Sub(s.Clock.Now()), Customer: q.customer,
-		LastEvent: q.lastEvent, Version: s.expected(q, v.Serving),
+		LastEvent: q.lastEventID, Version: s.expectedVersion(q, v.Serving),
 	})
-	out := (&http.Request{Method: q.in.Method, Host: q.in.Host, Header: h, Close: true}).WithContext(ctx)
-	u := *q.in.URL
-	u.Scheme, u.Host, u.RawQuery, u.ForceQuery = "http", q.in.Host, "", false
-	u.Opaque = q.in.RequestURI
+	out := (&http.Request{Method: q.incoming.Method, Host: q.incoming.Host, Header: h, Close: true}).WithContext(ctx)
+	u := *q.incoming.URL
+	u.Scheme, u.Host, u.RawQuery, u.ForceQuery = "http", q.incoming.Host, "", false
+	u.Opaque = q.incoming.RequestURI
 	out.URL = &u
 	return out
 }
--- a/io/request/direct/handle_test.go
+++ b/io/request/direct/handle_test.go
@@ -13,38 +13,39 @@
 	"hawthornferry/core/request/table"
 )
 
-// shifting is a source whose belief is replaced by a new one after some calls.
-type shifting struct {
+// changingSource is a Source whose facts change from before to after following the
+// given number of calls. age is that of before.
+type changingSource struct {
 	before, after *facts.Facts
 	age           time.Duration
 	calls         int
 }
 
-func (s *shifting) replaced() bool {
+func (s *changingSource) replaced() bool {
 	s.calls--
 	return s.calls < 0
 }
 
-func (s *shifting) Changed() <-chan struct{} { return nil }
+func (s *changingSource) Changed() <-chan struct{} { return nil }
 
-func (s *shifting) Current() *facts.Facts {
+func (s *changingSource) Current() *facts.Facts {
 	if s.replaced() {
 		return s.after
 	}
 	return s.before
 }
 
-func (s *shifting) Age() (time.Duration, bool) {
+func (s *changingSource) Age() (time.Duration, bool) {
 	if s.replaced() {
 		return 0, true
 	}
 	return s.age, true
 }
 
-// keyed reads the key and nothing else.
-type keyed struct{ Dialect }
+// keyDialect reads the key from the headers and nothing else.
+type keyDialect struct{ Dialect }
 
-func (keyed) Call(r *http.Request) (Call, error) {
+func (keyDialect) Call(r *http.Request) (Call, error) {
 	return Call{ID: "1", Key: r.Header.Get("Key")}, nil
 }
 
@@ -58,16 +59,16 @@
 	return &facts.Facts{Table: t}
 }
 
-// An entry that was cut off gets a new belief while it handles a request. It
-// took the old table and then read the age, which was the new belief's: a key
-// that had been revoked long ago passed, and a caller was told that a key or a
-// route that had been there for long did not exist. Whenever the belief changes,
-// such a request is refused for now, or served by the new belief.
-func TestBeliefChangesWhileARequestIsPrepared(t *testing.T) {
+// Guards against combining old facts with the age of new ones, when an entry that was
+// partitioned receives new facts while it prepares a request. Then a key that was
+// revoked long ago was accepted, and callers were told that a key or route that had
+// long existed did not exist. Whenever the facts change, the request must be refused
+// for now or served by the new facts.
+func TestFactsChangeDuringPrepare(t *testing.T) {
 	tests := []struct {
 		name          string
 		before, after *facts.Facts
-		// served is the status by the new belief, 0 for a request that goes on.
+		// served is the status by the new facts, 0 if the request is served.
 		served int
 	}{
 		{"key revoked", keyedFacts("/", "k"), keyedFacts("/", "other"), http.StatusUnauthorized},
@@ -78,16 +79,16 @@
 		t.Run(tc.name, func(t *testing.T) {
 			for calls := range 6 {
 				s := &Server{
-					Clock: clockwork.NewFakeClock(), Dialect: keyed{}, Rules: Rules{KeyAge: 4 * time.Second, TableAge: 2 * time.Second},
-					Source: &shifting{before: tc.before, after: tc.after, age: 10 * time.Second, calls: calls},
+					Clock: clockwork.NewFakeClock(), Dialect: keyDialect{}, Rules: Rules{KeyAge: 4 * time.Second, TableAge: 2 * time.Second},
+					Source: &changingSource{before: tc.before, after: tc.after, age: 10 * time.Second, calls: calls},
 				}
 				r := httptest.NewRequest(http.MethodGet, "/", nil)
 				r.Host = "h"
 				r.Header.Set("Key", "k")
-				got, _ := s.prepare(httptest.NewRecorder(), &request{in: r, arrived: s.Clock.Now()})
+				got, _ := s.prepare(httptest.NewRecorder(), &request{incoming: r, arrivedAt: s.Clock.Now()})
 				want := []int{tc.served, http.StatusServiceUnavailable}
 				if !slices.Contains(want, got.status) {
-					t.Errorf("replaced after %d calls: status %d (%s), want one of %v", calls, got.status, got.reason, want)
+					t.Errorf("facts replaced after %d calls: status %d (%s), want one of %v", calls, got.status, got.reason, want)
 				}
 			}
 		})
--- a/io/request/direct/handover.go
+++ b/io/request/direct/handover.go
@@ -12,14 +12,15 @@
 	"hawthornferry/core/request/resend"
 )
 
-// maxBuffering bounds for how long a caller gets no events while an answer is moved, and
-// bufferingShare is the part of the route's gap that bounds it too.
+// Limits on how long the caller gets no events because a stream is being handed over:
+// maxBuffering, and bufferingShare as a fraction of the route's gap objective.
 const (
 	maxBuffering   = 500 * time.Millisecond
 	bufferingShare = 0.9
 )
 
-// bufferingTime is for how long after its last event a caller may get none.
+// bufferingTime returns how long after the last event the caller may get none because
+// of a handover.
 func bufferingTime(gap time.Duration) time.Duration {
 	if gap <= 0 {
 		return maxBuffering
@@ -27,119 +28,122 @@
 	return min(maxBuffering, time.Duration(bufferingShare*float64(gap)))
 }
 
-// errNoRest is returned for an answer that is not the rest of a stream.
+// errNoRest is returned if a successor's response is not an event stream.
 var errNoRest = errors.New("no stream in place of the rest of one")
 
-// handover moves an answer under way to another target. The first one is kept until
-// the other has written the next event: it may turn the answer away, or fail, and what
-// the caller has would be lost.
+// handover moves a response under way to another target. The present target is kept
+// until the other one, the successor, has sent the next event: the successor may reject
+// the request or fail, and the response would be lost.
 type handover struct {
-	why     error
-	verdict place.Verdict
-	began   time.Time
-	cancel  context.CancelFunc
-	// result brings one successor.
+	cause     error
+	verdict   place.Verdict
+	startedAt time.Time
+	cancel    context.CancelFunc
+	// result receives the successor, once.
 	result chan successor
 
-	// buffered is what the first target has written meanwhile, and expired is closed
-	// once that may wait no longer.
-	buffered []event
-	expired  chan struct{}
-	timer    clockwork.Timer
+	// buffered holds the events that the present target has sent during the handover.
+	// bufferExpired is closed when they may wait no longer.
+	buffered      []event
+	bufferExpired chan struct{}
+	bufferTimer   clockwork.Timer
 }
 
-// successor is the attempt at the other target once it has written the next event; if
-// it ended before, outcome tells how.
+// successor is the attempt at the other target, up to its first event. If it ended
+// before that, outcome says how.
 type successor struct {
-	x       *exchange
-	guard   *guard
-	events  <-chan message
-	first   event
-	sent    bool
-	outcome resend.Outcome
-	err     error
+	x        *exchange
+	watchdog *watchdog
+	events   <-chan streamItem
+	first    event
+	sent     bool
+	outcome  resend.Outcome
+	err      error
 }
 
-func (n *successor) ready() bool { return n.outcome == "" }
+// ready reports whether the successor has sent its first event.
+func (succ *successor) ready() bool { return succ.outcome == "" }
 
-func (n *successor) fail(o resend.Outcome, err error) successor {
-	n.outcome, n.err = o, err
-	return *n
+// fail sets how the attempt ended and returns a copy.
+func (succ *successor) fail(o resend.Outcome, err error) successor {
+	succ.outcome, succ.err = o, err
+	return *succ
 }
 
-// close ends the attempt.
-func (n *successor) close() {
-	if n.x == nil {
+// close closes the exchange, if there is one, and stops its watchdog.
+func (succ *successor) close() {
+	if succ.x == nil {
 		return
 	}
-	n.guard.stop()
-	n.x.close()
+	succ.watchdog.stop()
+	succ.x.close()
 }
 
-// beginHandover places an answer under way at another target and begins an attempt there. It
-// returns nil when there is no place or the request may not be sent once more.
-func (s *Server) beginHandover(ctx context.Context, q *request, why error) *handover {
+// beginHandover places a response under way at another target and starts an attempt
+// there. It returns nil if no target has room, the request is blocked, or it may not be
+// sent again.
+func (s *Server) beginHandover(ctx context.Context, q *request, cause error) *handover {
 	left := q.tries.Left()
 	if _, blocked := s.blocked(q); blocked || left == 0 {
 		return nil
 	}
-	w := s.work(q)
+	w := s.placerWork(q)
 	w.ID, w.Begun = q.placementID+"+", true
-	w.Avoid = append(w.Avoid[:len(w.Avoid):len(w.Avoid)], q.target)
-	v, ok := s.desk.move(w, why, bufferingTime(q.route.Gap))
+	w.Avoid = append(w.Avoid[:len(w.Avoid):len(w.Avoid)], q.targetID)
+	v, ok := s.dispatcher.placeHandover(w, cause, bufferingTime(q.route.Gap))
 	if !ok {
 		return nil
 	}
-	if !s.retry(q.service.Name) {
-		s.desk.done(v.ID, place.ResultLeft)
+	if !s.takeRetry(q.service.Name) {
+		s.dispatcher.done(v.ID, place.ResultLeft)
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	h := &handover{
-		why: why, verdict: v, began: s.Clock.Now(), cancel: cancel,
-		result: make(chan successor, 1), expired: make(chan struct{}),
+		cause: cause, verdict: v, startedAt: s.Clock.Now(), cancel: cancel,
+		result: make(chan successor, 1), bufferExpired: make(chan struct{}),
 	}
-	req := s.outgoing(ctx, q, v)
+	req := s.targetRequest(ctx, q, v)
 	go func() { h.result <- s.attemptSuccessor(ctx, q, v, req, left > 1) }()
 	return h
 }
 
-// attemptSuccessor makes the attempt at the other target up to its first event. Movable is set
-// when the answer may leave that target, too.
+// attemptSuccessor makes the attempt at the other target up to its first event. movable
+// tells whether the response may later be handed over from that target, too.
 func (s *Server) attemptSuccessor(ctx context.Context, q *request, v place.Verdict, req *http.Request, movable bool) successor {
-	n := successor{}
-	x, err := s.sender.connect(ctx, v.Target)
+	succ := successor{}
+	x, err := s.connector.connect(ctx, v.Target)
 	if err != nil {
-		return n.fail(resend.Unsent, err)
+		return succ.fail(resend.Unsent, err)
 	}
-	n.x, n.sent, n.guard = x, true, s.guard(q, x, v, movable)
-	if o, err := s.ask(q, x, req); o != "" {
-		return n.fail(o, err)
+	succ.x, succ.sent, succ.watchdog = x, true, s.guard(q, x, v, movable)
+	if o, err := s.sendAndCheck(q, x, req); o != "" {
+		return succ.fail(o, err)
 	}
 	if !isStream(x.resp) {
-		return n.fail(resend.Broken, errNoRest)
+		return succ.fail(resend.Broken, errNoRest)
 	}
-	n.events = x.messages()
-	m := <-n.events
-	if m.err != nil {
-		return n.fail(resend.Broken, errors.CombineErrors(x.reason(), m.err))
+	succ.events = x.readEvents()
+	item := <-succ.events
+	if item.err != nil {
+		return succ.fail(resend.Broken, errors.CombineErrors(x.abortReason(), item.err))
 	}
-	n.first = m.event
-	return n
+	succ.first = item.event
+	return succ
 }
 
-// buffer keeps back an event of the first target until the given time at the most.
+// buffer keeps an event of the present target. With the first event, it starts the
+// timer that expires the handover at the given time.
 func (h *handover) buffer(clock clockwork.Clock, e event, until time.Time) {
 	h.buffered = append(h.buffered, e)
-	if h.timer != nil {
+	if h.bufferTimer != nil {
 		return
 	}
-	h.timer = clock.AfterFunc(until.Sub(clock.Now()), func() { close(h.expired) })
+	h.bufferTimer = clock.AfterFunc(until.Sub(clock.Now()), func() { close(h.bufferExpired) })
 }
 
-// stop ends the watch over the time for which events are buffered.
-func (h *handover) stop() {
-	if h.timer != nil {
-		h.timer.Stop()
+func (h *handover) stopBufferTimer() {
+	if h.bufferTimer != nil {
+		h.bufferTimer.Stop()
 	}
 }
--- a/io/request/direct/handover_test.go
+++ b/io/request/direct/handover_test.go
@@ -28,25 +28,25 @@
 
 // The headers of testDialect.
 const (
-	testHeaderID     = "Test-Id"
-	testHeaderNotRun = "Test-Not-Run"
-	testHeaderAfter  = "Test-After"
+	testHeaderID        = "Test-Id"
+	testHeaderNotRun    = "Test-Not-Run"
+	testHeaderLastEvent = "Test-After"
 )
 
-// testDialect names a request, tells where a stream goes on, and that it was not run.
+// testDialect transmits the request ID, the last event ID and whether the request ran.
 type testDialect struct{}
 
 func (testDialect) Call(r *http.Request) (Call, error) {
 	return Call{ID: r.Header.Get(testHeaderID), Prompt: 100}, nil
 }
 
-func (testDialect) Forward(h http.Header, f Forward) { h.Set(testHeaderAfter, f.LastEvent) }
+func (testDialect) Forward(h http.Header, f Forward) { h.Set(testHeaderLastEvent, f.LastEvent) }
 
 func (testDialect) Reply(_ int, h http.Header) Reply {
 	return Reply{Signed: true, NotRun: h.Get(testHeaderNotRun) != ""}
 }
 
-// streamEvents is how many events a whole stream has.
+// streamEvents is the number of events in a complete stream.
 const streamEvents = 6
 
 func writeEvent(w http.ResponseWriter, n int) {
@@ -54,68 +54,70 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
-// read takes a request's body before it is served: only then does the server notice
-// that the caller leaves.
-func read(next http.Handler) http.Handler {
+// readBodyFirst reads the request body before it calls next: the server notices that
+// the caller disconnects only after that.
+func readBodyFirst(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// slowEngine writes an event of a stream whenever it is allowed one. Left is closed
-// when the stream is taken from it; it crashes once crash is closed.
-type slowEngine struct {
-	next  chan struct{}
-	left  chan struct{}
-	crash chan struct{}
+// steppedEngine sends an event of a stream for each value received from next. It closes
+// cancelled when the caller disconnects, and crashes once crash is closed.
+type steppedEngine struct {
+	next      chan struct{}
+	cancelled chan struct{}
+	crash     chan struct{}
 }
 
-func (e *slowEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	w.Header().Set("Content-Type", eventStream)
+func (e *steppedEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	w.Header().Set("Content-Type", eventStreamType)
 	for n := 1; n <= streamEvents; n++ {
 		select {
 		case <-e.next:
 		case <-e.crash:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
-			close(e.left)
+			close(e.cancelled)
 			return
 		}
 		writeEvent(w, n)
 	}
 }
 
-// moving is an entry with a stream under way at engine a, which is asked to load,
-// and another engine b.
-type moving struct {
-	t      *testing.T
-	server *Server
-	engine *slowEngine
-	entry  string
+// handoverTest is an entry with two engines, a and b. Streams start at a, and can be
+// handed over to b.
+type handoverTest struct {
+	t            *testing.T
+	server       *Server
+	engine       *steppedEngine
+	entryAddress string
 }
 
-func startMoving(t *testing.T, other http.HandlerFunc) *moving {
+// newHandoverTest starts the entry and the engines. other handles the requests to b,
+// which is busy at first.
+func newHandoverTest(t *testing.T, other http.HandlerFunc) *handoverTest {
 	t.Helper()
-	m := &moving{t: t, engine: &slowEngine{next: make(chan struct{}, streamEvents), left: make(chan struct{}), crash: make(chan struct{})}}
-	a, b := httptest.NewServer(read(m.engine)), httptest.NewServer(read(other))
+	m := &handoverTest{t: t, engine: &steppedEngine{next: make(chan struct{}, streamEvents), cancelled: make(chan struct{}), crash: make(chan struct{})}}
+	a, b := httptest.NewServer(readBodyFirst(m.engine)), httptest.NewServer(readBodyFirst(other))
 	t.Cleanup(a.Close)
 	t.Cleanup(b.Close)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.entry = nl.Addr().String()
-	known := withStreams(engines("a", "b"))
+	m.entryAddress = nl.Addr().String()
+	known := withStreams(idleEngines("a", "b"))
 	known.Targets[0].Address, known.Targets[1].Address = addressOf(a), addressOf(b)
 	m.server = &Server{
 		Net: nl, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Dialect: testDialect{},
 		Placer: &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))},
 		Rules:  Rules{Retry: spend.Budget{Ratio: 1, Slack: 100, Window: time.Second}},
 	}
-	m.server.Source = &belief{facts: known}
+	m.server.Source = &testSource{facts: known}
 	m.server.init()
-	m.server.desk.update(known)
+	m.server.dispatcher.update(known)
 	m.server.Report("b", place.Report{Alive: true, Busy: true, Serving: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -129,16 +131,18 @@
 	return m
 }
 
-// load has engine a wait to load, with a request left, while b is at rest.
-func (m *moving) load() {
+// requestLoad reports that a waits to load a version, with one request left, and that b
+// is idle.
+func (m *handoverTest) requestLoad() {
 	m.server.Report("b", place.Report{Alive: true, Serving: 1})
 	m.server.Report("a", place.Report{Alive: true, Busy: true, Active: 1, Serving: 1})
 }
 
-// stream sends a request and returns its answer once its first event is there.
-func (m *moving) stream() (*http.Response, *bufio.Reader) {
+// startStream sends a request and returns the response once its first event has
+// arrived.
+func (m *handoverTest) startStream() (*http.Response, *bufio.Reader) {
 	m.t.Helper()
-	req, err := http.NewRequestWithContext(m.t.Context(), http.MethodPost, "http://"+m.entry+"/", strings.NewReader("text"))
+	req, err := http.NewRequestWithContext(m.t.Context(), http.MethodPost, "http://"+m.entryAddress+"/", strings.NewReader("text"))
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -161,7 +165,7 @@
 	return netip.MustParseAddrPort(s.Listener.Addr().String())
 }
 
-// withStreams adds a route of streams that two targets may be asked for.
+// withStreams adds a route for streams that allows attempts at two targets.
 func withStreams(f *facts.Facts) *facts.Facts {
 	f.Table.Routes = []table.Route{{
 		Name: "r", Host: "h", Prefix: "/", Repeat: table.RepeatStream, Resume: true, Attempts: 2,
@@ -172,17 +176,17 @@
 	return f
 }
 
-// goOn writes what a caller lacks of a stream.
-func goOn(w http.ResponseWriter, r *http.Request) {
-	after, _ := strconv.Atoi(r.Header.Get(testHeaderAfter))
-	w.Header().Set("Content-Type", eventStream)
+// resumeStream sends the events that the caller does not have yet.
+func resumeStream(w http.ResponseWriter, r *http.Request) {
+	after, _ := strconv.Atoi(r.Header.Get(testHeaderLastEvent))
+	w.Header().Set("Content-Type", eventStreamType)
 	for n := after + 1; n <= streamEvents; n++ {
 		writeEvent(w, n)
 	}
 }
 
-// rest reads a stream to its end and returns the events.
-func rest(t *testing.T, in *bufio.Reader) []uint64 {
+// readRest reads a stream to its end and returns the IDs of its events.
+func readRest(t *testing.T, in *bufio.Reader) []uint64 {
 	t.Helper()
 	var got []uint64
 	for {
@@ -198,129 +202,130 @@
 	}
 }
 
-// Guards against a stream that is given up at a target which writes it, for another
-// one that then does not take it.
-func TestMovedStreamIsWholeWhateverTheOtherTargetDoes(t *testing.T) {
+// A stream must not be given up at the target that is sending it before the new target
+// has taken it over.
+func TestStreamIsCompleteWhateverTheNewTargetDoes(t *testing.T) {
 	tests := []struct {
 		name  string
 		other http.HandlerFunc
 	}{
-		{"turns it away", func(w http.ResponseWriter, _ *http.Request) {
+		{"rejects the request", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(testHeaderNotRun, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}},
 		{"breaks off before its first event", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Type", eventStream)
+			w.Header().Set("Content-Type", eventStreamType)
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}},
-		{"goes on at another event", func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Type", eventStream)
+		{"continues at the wrong event", func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set("Content-Type", eventStreamType)
 			writeEvent(w, 5)
 		}},
 		{"fails", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }},
-		{"is silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
-		{"takes it", goOn},
+		{"does not respond", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }},
+		{"takes the stream over", resumeStream},
 	}
 	want := []uint64{2, 3, 4, 5, 6}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			m := startMoving(t, tc.other)
-			_, in := m.stream()
-			m.load()
+			m := newHandoverTest(t, tc.other)
+			_, in := m.startStream()
+			m.requestLoad()
 			go func() {
 				for range streamEvents - 1 {
 					time.Sleep(20 * time.Millisecond)
 					m.engine.next <- struct{}{}
 				}
 			}()
-			if diff := cmp.Diff(want, rest(t, in)); diff != "" {
+			if diff := cmp.Diff(want, readRest(t, in)); diff != "" {
 				t.Errorf("events (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Guards against an engine that stands empty until its last stream has ended, though
-// another one has taken the stream over.
-func TestMovedStreamLeavesItsTargetOnceTheOtherOneWritesIt(t *testing.T) {
-	m := startMoving(t, goOn)
-	_, in := m.stream()
-	m.load()
-	if diff := cmp.Diff([]uint64{2, 3, 4, 5, 6}, rest(t, in)); diff != "" {
+// The first target must stop the stream once the new one has taken it over. Otherwise
+// the engine could not load until the stream has ended.
+func TestHandoverEndsTheStreamAtTheFirstTarget(t *testing.T) {
+	m := newHandoverTest(t, resumeStream)
+	_, in := m.startStream()
+	m.requestLoad()
+	if diff := cmp.Diff([]uint64{2, 3, 4, 5, 6}, readRest(t, in)); diff != "" {
 		t.Errorf("events (-want +got):\n%s", diff)
 	}
 	select {
-	case <-m.engine.left:
+	case <-m.engine.cancelled:
 	case <-time.After(5 * time.Second):
-		t.Error("the first target still has the stream")
+		t.Error("the first target was not disconnected")
 	}
 }
 
-// Guards against events that wait for as long as the other target is silent.
-func TestEventsAreHeldBriefly(t *testing.T) {
-	m := startMoving(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	_, in := m.stream()
-	m.load()
+// Events must not be held back for as long as the new target is silent.
+func TestEventsAreBufferedBriefly(t *testing.T) {
+	m := newHandoverTest(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
+	_, in := m.startStream()
+	m.requestLoad()
 	began := time.Now()
 	m.engine.next <- struct{}{}
 	if e, err := readEvent(in); err != nil || e.id != 2 {
 		t.Fatalf("event %d: %v", e.id, err)
 	}
 	if took := time.Since(began); took > 2*maxBuffering {
-		t.Errorf("the event came after %s, want %s at most", took, maxBuffering)
+		t.Errorf("event received after %s, want %s at most", took, maxBuffering)
 	}
 	for range streamEvents - 2 {
 		m.engine.next <- struct{}{}
 	}
-	if diff := cmp.Diff([]uint64{3, 4, 5, 6}, rest(t, in)); diff != "" {
+	if diff := cmp.Diff([]uint64{3, 4, 5, 6}, readRest(t, in)); diff != "" {
 		t.Errorf("events (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against a target that is asked again by a request which it has turned away.
-func TestTargetThatTurnedAStreamAwayIsNotAskedAgain(t *testing.T) {
-	var asked atomic.Int32
-	m := startMoving(t, func(w http.ResponseWriter, _ *http.Request) {
-		asked.Add(1)
+// A target that has rejected the handover of a request must not be asked to take over
+// the same request again.
+func TestTargetThatRejectedHandoverIsNotRetried(t *testing.T) {
+	var requests atomic.Int32
+	m := newHandoverTest(t, func(w http.ResponseWriter, _ *http.Request) {
+		requests.Add(1)
 		w.Header().Set(testHeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
 	m.server.Source.Current().Table.Routes[0].Attempts = 4
-	_, in := m.stream()
+	_, in := m.startStream()
 	for range streamEvents - 1 {
-		m.load()
+		m.requestLoad()
 		time.Sleep(150 * time.Millisecond)
 		m.engine.next <- struct{}{}
 	}
-	if diff := cmp.Diff([]uint64{2, 3, 4, 5, 6}, rest(t, in)); diff != "" {
+	if diff := cmp.Diff([]uint64{2, 3, 4, 5, 6}, readRest(t, in)); diff != "" {
 		t.Errorf("events (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(int32(1), asked.Load()); diff != "" {
-		t.Errorf("times the other target was asked (-want +got):\n%s", diff)
+	if diff := cmp.Diff(int32(1), requests.Load()); diff != "" {
+		t.Errorf("requests to the new target (-want +got):\n%s", diff)
 	}
 }
 
-// Guards against a stream that is given up at a target which pauses, for another one
-// that then does not take it.
-func TestStreamOfSilentTargetIsKept(t *testing.T) {
-	asked := make(chan struct{}, 1)
-	m := startMoving(t, func(w http.ResponseWriter, _ *http.Request) {
+// A stream must not be given up at a target that pauses if the new target then rejects
+// it.
+func TestStreamOfSilentTargetIsKeptWhenHandoverFails(t *testing.T) {
+	requests := make(chan struct{}, 1)
+	m := newHandoverTest(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testHeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
-		asked <- struct{}{}
+		requests <- struct{}{}
 	})
-	_, in := m.stream()
+	_, in := m.startStream()
 	m.server.Report("b", place.Report{Alive: true, Serving: 1})
 	select {
-	case <-asked:
+	case <-requests:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the other target was not asked")
+		t.Fatal("no request to the new target")
 	}
 	for range streamEvents - 1 {
 		m.engine.next <- struct{}{}
 	}
-	if diff := cmp.Diff([]uint64{2, 3, 4, 5, 6}, rest(t, in)); diff != "" {
+	if diff := cmp.Diff([]uint64{2, 3, 4, 5, 6}, readRest(t, in)); diff != "" {
 		t.Errorf("events (-want +got):\n%s", diff)
 	}
 }
--- /dev/null
+++ b/io/request/direct/server.go
@@ -0,0 +1,257 @@
+package direct
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/jonboulle/clockwork"
+	"github.com/uber-go/tally/v4"
+
+	"hawthornferry/core/process/facts"
+	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/trail"
+	"hawthornferry/core/request/place"
+	"hawthornferry/core/request/spend"
+)
+
+// Source provides the facts that requests are served by: the process's view of the
+// configuration, targets and model versions. Changed returns a channel that is closed
+// when the facts change.
+type Source interface {
+	facts.Source
+	Changed() <-chan struct{}
+}
+
+// Rules are the operator's limits on how requests are served.
+type Rules struct {
+	// KeyAge is the maximum age of the facts by which an API key may be accepted, zero
+	// for any age. TableAge is the maximum age by which a caller may be told that a
+	// route or a key does not exist.
+	KeyAge   time.Duration
+	TableAge time.Duration
+	// Grace is the grace period of a stop: the time from the request to stop until the
+	// process is killed.
+	Grace time.Duration
+	// Version is how long after the announcement of a model version requests may still
+	// begin on older ones.
+	Version time.Duration
+	// Retry limits the retries that are sent to each service.
+	Retry spend.Budget
+}
+
+// Timeouts and size limits of the HTTP server.
+const (
+	headerTimeout = 3 * time.Second
+	bodyTimeout   = 5 * time.Second
+	// idleTimeout exceeds the idle time that any configuration allows callers. If the
+	// entry closed a connection just when a caller reuses it, that request would fail.
+	idleTimeout = 90 * time.Second
+	// maxHeaderBytes limits the header of a request. Callers may send 16 KiB; the rest
+	// is a margin, because http.Server does not count only the bytes of the header.
+	maxHeaderBytes = 64 << 10
+	// writeTimeout limits one write to a caller that does not read.
+	writeTimeout = 10 * time.Second
+)
+
+// Server accepts requests from callers and serves them. Set the exported fields before
+// Run.
+type Server struct {
+	Net     net.Listener
+	Clock   clockwork.Clock
+	Log     trail.Log
+	Metrics tally.Scope
+	Source  Source
+	Dialect Dialect
+	Placer  *place.Placer
+	Rules   Rules
+	// Suspects tells which requests may crash targets. If it is nil, no request is
+	// blocked.
+	Suspects Suspects
+
+	initOnce   sync.Once
+	dispatcher *dispatcher
+	connector  *connector
+	server     *http.Server
+	metrics    requestMetrics
+	draining   atomic.Bool
+	// drainTimes is set once a drain with a deadline has begun.
+	drainTimes atomic.Pointer[drainTimes]
+
+	budgetMu     sync.Mutex
+	retryBudgets map[string]*spend.Budget
+	// maxEntries is the highest number of entries that a report has told of. It is
+	// guarded by budgetMu.
+	maxEntries      int
+	callerDeadlines callerDeadlines
+	watchdogs       watchdogSet
+	endCounts       endCounts
+	// loggedVersions holds, by model, the minimum version that was last logged.
+	loggedVersions sync.Map
+}
+
+// init sets up the unexported fields on the first call.
+func (s *Server) init() {
+	s.initOnce.Do(func() {
+		if s.Metrics == nil {
+			s.Metrics = tally.NoopScope
+		}
+		if s.Suspects == nil {
+			s.Suspects = noSuspects{}
+		}
+		s.metrics = newRequestMetrics(s.Metrics)
+		s.dispatcher = newDispatcher(s.Clock, s.Placer)
+		s.connector = newConnector(s.Clock)
+		s.connector.dialTimes.onChange = s.dispatcher.setRoundTrip
+		s.retryBudgets = map[string]*spend.Budget{}
+		s.server = &http.Server{
+			Handler:           http.HandlerFunc(s.serve),
+			ReadHeaderTimeout: headerTimeout,
+			IdleTimeout:       idleTimeout,
+			MaxHeaderBytes:    maxHeaderBytes,
+		}
+	})
+}
+
+// Run serves callers until ctx ends.
+func (s *Server) Run(ctx context.Context) error {
+	s.init()
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	wg.Go(func() { s.dispatcher.run(ctx) })
+	wg.Go(func() { s.followFacts(ctx) })
+	stop := context.AfterFunc(ctx, func() { s.server.Close() })
+	defer stop()
+	err := s.server.Serve(s.Net)
+	if !errors.Is(err, http.ErrServerClosed) {
+		return fault.At("serve callers", s.Net.Addr().String(), err)
+	}
+	<-ctx.Done()
+	return nil
+}
+
+// followFacts hands the current facts to the placer, and again after each change.
+func (s *Server) followFacts(ctx context.Context) {
+	for {
+		changed := s.Source.Changed()
+		if f := s.Source.Current(); f.Table != nil {
+			s.dispatcher.update(f)
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-changed:
+		}
+	}
+}
+
+// Report handles a target's report of its own load.
+func (s *Server) Report(target string, r place.Report) {
+	s.init()
+	s.noteEntryCount(r.Fleet)
+	s.dispatcher.report(target, r)
+	s.moveLastStreams(target, r)
+}
+
+// noteEntryCount updates the highest number of entries heard of, by which the slack of
+// the retry budgets is divided. The number never goes down, because targets that have
+// lost contact with some entries report too few.
+func (s *Server) noteEntryCount(n int) {
+	s.budgetMu.Lock()
+	defer s.budgetMu.Unlock()
+	s.maxEntries = max(s.maxEntries, n)
+}
+
+// Served returns the model version that each engine target serves.
+func (s *Server) Served() []place.Served {
+	s.init()
+	return s.dispatcher.served()
+}
+
+// Ready returns nil if the load balancer may send callers to this entry, otherwise an
+// error with the reason.
+func (s *Server) Ready() error {
+	if s.draining.Load() {
+		return errors.New("draining")
+	}
+	if s.Source.Current().Table == nil {
+		return errors.New("no configuration yet")
+	}
+	return nil
+}
+
+// Times of a drain.
+const (
+	// maxDrainNotice is the maximum time for which a draining entry still accepts new
+	// requests. The load balancer checks readiness once a second and takes an entry out
+	// after two failed checks, so callers keep coming for up to three seconds.
+	// drainNoticeShare limits the time to that fraction of the grace period, since
+	// requests in flight need the rest.
+	maxDrainNotice   = 3500 * time.Millisecond
+	drainNoticeShare = 0.45
+	// lateDrainStart is how long after the start of a drain the entry begins to refuse
+	// requests whose deadline is after the end of the process, however short they may
+	// turn out. By then two readiness checks have failed and callers have been sent to
+	// other entries, and a stream that begins now may be cut off.
+	lateDrainStart = 2900 * time.Millisecond
+)
+
+// drainTimes holds the start of a drain and the time by which the process ends.
+type drainTimes struct {
+	start time.Time
+	end   time.Time
+}
+
+// mayStopBefore reports whether a request came late in a drain and has a deadline after
+// the end of the process.
+func (s *Server) mayStopBefore(q *request) bool {
+	l := s.drainTimes.Load()
+	return l != nil && q.arrivedAt.Sub(l.start) > lateDrainStart && q.deadline.After(l.end)
+}
+
+// Drain makes the entry not ready, keeps serving until the load balancer has had time
+// to take it out, and then returns once the requests in flight have ended or ctx ends.
+func (s *Server) Drain(ctx context.Context) error {
+	s.init()
+	if end, ok := ctx.Deadline(); ok {
+		s.drainTimes.Store(&drainTimes{start: s.Clock.Now(), end: end})
+	}
+	s.draining.Store(true)
+	select {
+	case <-s.Clock.After(min(maxDrainNotice, time.Duration(drainNoticeShare*float64(s.Rules.Grace)))):
+	case <-ctx.Done():
+	}
+	return fault.At("drain", "", s.server.Shutdown(ctx))
+}
+
+// takeRetry reports whether the retry budget of a service allows another attempt, and
+// counts it if so.
+func (s *Server) takeRetry(service string) bool {
+	s.budgetMu.Lock()
+	defer s.budgetMu.Unlock()
+	return s.retryBudget(service).Take(s.Clock.Now())
+}
+
+// countForRetries counts a caller's request; the retry budget is a fraction of these.
+func (s *Server) countForRetries(service string) {
+	s.budgetMu.Lock()
+	defer s.budgetMu.Unlock()
+	s.retryBudget(service).Earn(s.Clock.Now())
+}
+
+// retryBudget returns the budget of a service. The caller must hold budgetMu.
+func (s *Server) retryBudget(service string) *spend.Budget {
+	b, ok := s.retryBudgets[service]
+	if !ok {
+		b = &spend.Budget{Ratio: s.Rules.Retry.Ratio, Slack: s.Rules.Retry.Slack, Window: s.Rules.Retry.Window}
+		s.retryBudgets[service] = b
+	}
+	b.Entries = s.maxEntries
+	return b
+}
--- a/io/request/direct/stream.go
+++ b/io/request/direct/stream.go
@@ -15,25 +15,25 @@
 	"hawthornferry/core/request/resend"
 )
 
-// eventStream is the media type of a stream of events.
-const eventStream = "text/event-stream"
+// eventStreamType is the media type of a stream of server-sent events.
+const eventStreamType = "text/event-stream"
 
-// maxEvent bounds one event, in bytes.
-const maxEvent = 1 << 20
+// maxEventSize is the maximum size of one event, in bytes.
+const maxEventSize = 1 << 20
 
-// errOrder is returned for an event that does not follow the last one.
+// errOrder is returned for an event whose ID does not follow the last one.
 var errOrder = errors.New("event out of order")
 
-// event is one event of a stream: its bytes, the blank line included, and its
-// id where it has one.
+// event is one event of a stream. raw holds all its bytes, including the final blank
+// line.
 type event struct {
 	raw   []byte
 	id    uint64
 	hasID bool
 }
 
-// readEvent reads one whole event. It returns io.EOF at the end of a stream,
-// and io.ErrUnexpectedEOF when the stream ended in the middle of one.
+// readEvent reads one complete event. It returns io.EOF at the end of the stream, and
+// io.ErrUnexpectedEOF if the stream ended within an event.
 func readEvent(r *bufio.Reader) (event, error) {
 	var e event
 	for {
@@ -45,8 +45,8 @@
 			return event{}, err
 		}
 		e.raw = append(e.raw, line...)
-		if len(e.raw) > maxEvent {
-			return event{}, errors.Newf("event is over %d bytes", maxEvent)
+		if len(e.raw) > maxEventSize {
+			return event{}, errors.Newf("event is over %d bytes", maxEventSize)
 		}
 		text := strings.TrimRight(string(line), "\r\n")
 		if text == "" {
@@ -65,95 +65,102 @@
 	}
 }
 
-// streamRelay passes events on as they come. The head of the first answer is
-// written with its first event, so that a target that fails before it can be
-// replaced unseen.
+// streamRelay forwards the events of a stream as they arrive. It sends the response
+// head together with the first event, so that a target that fails before that can be
+// replaced without the caller noticing.
 type streamRelay struct {
 	server *Server
 	q      *request
-	out    callerWriter
-
-	started bool
-	// fresh is set until the present target has sent its first event.
-	fresh   bool
-	last    uint64
-	hasLast bool
-	// handed is when the caller was last sent an event.
-	handed time.Time
-	// whole takes an answer that is not a stream.
-	whole *wholeRelay
+	caller callerWriter
+
+	headSent bool
+	// awaitingFirst is set until the present target has sent its first event.
+	awaitingFirst bool
+	lastID        uint64
+	hasLastID     bool
+	// lastSentAt is when the caller was last sent an event.
+	lastSentAt time.Time
+	// nonStream handles a response that is not a stream; nil until there is one.
+	nonStream *bufferedRelay
 }
 
-func (r *streamRelay) take(ctx context.Context, x *exchange, g *guard) (resend.Outcome, error) {
+func (r *streamRelay) readResponse(ctx context.Context, x *exchange, g *watchdog) (resend.Outcome, error) {
 	if !isStream(x.resp) {
-		return r.takeWhole(ctx, x, g)
+		return r.readNonStream(ctx, x, g)
 	}
-	r.q.story.status = x.resp.StatusCode
-	r.fresh = true
-	f := &flow{streamRelay: r, ctx: ctx, x: x, guard: g, events: x.messages()}
+	r.q.progress.status = x.resp.StatusCode
+	r.awaitingFirst = true
+	f := &streamForwarder{streamRelay: r, ctx: ctx, x: x, watchdog: g, events: x.readEvents()}
 	return f.run()
 }
 
-// isStream reports whether an answer is a stream of events.
+// isStream reports whether a response is a stream of events.
 func isStream(resp *http.Response) bool {
-	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream)
+	return resp.StatusCode == http.StatusOK && strings.HasPrefix(resp.Header.Get("Content-Type"), eventStreamType)
 }
 
-// follows reports whether an event is the next one after those that the caller has and
-// as many more.
-func (r *streamRelay) follows(e event, more int) bool {
-	if !e.hasID || !r.hasLast {
+// isNext reports whether e is the next event after those that the caller has and the
+// given number of buffered ones. Events without an ID always are.
+func (r *streamRelay) isNext(e event, buffered int) bool {
+	if !e.hasID || !r.hasLastID {
 		return true
 	}
-	return e.id == r.last+uint64(more)+1
+	return e.id == r.lastID+uint64(buffered)+1
 }
 
+// pass sends an event to the caller, preceded by the response head if need be.
 func (r *streamRelay) pass(x *exchange, e event) error {
-	if r.fresh {
-		r.fresh = false
-		r.server.desk.began(r.q.placementID)
+	if r.awaitingFirst {
+		r.awaitingFirst = false
+		r.server.dispatcher.responseBegan(r.q.placementID)
 	}
-	if !r.started {
-		r.started = true
-		r.q.story.first = r.server.Clock.Since(r.q.arrived)
-		r.server.meter.first(r.q.story.first)
-		r.out.head(x.resp, -1)
+	if !r.headSent {
+		r.headSent = true
+		r.q.progress.timeToFirstEvent = r.server.Clock.Since(r.q.arrivedAt)
+		r.server.metrics.recordFirstEvent(r.q.progress.timeToFirstEvent)
+		r.caller.writeHead(x.resp, -1)
 	}
 	if e.hasID {
-		if r.q.story.began.IsZero() {
-			r.q.story.began = r.server.Clock.Now()
+		if r.q.progress.firstEventAt.IsZero() {
+			r.q.progress.firstEventAt = r.server.Clock.Now()
 		}
-		r.last, r.hasLast = e.id, true
-		r.q.lastEvent = strconv.FormatUint(e.id, 10)
+		r.lastID, r.hasLastID = e.id, true
+		r.q.lastEventID = strconv.FormatUint(e.id, 10)
 	}
-	if err := r.out.send(e.raw); err != nil {
+	if err := r.caller.write(e.raw); err != nil {
 		return err
 	}
-	r.handed = r.server.Clock.Now()
-	return r.out.rc.Flush()
+	r.lastSentAt = r.server.Clock.Now()
+	return r.caller.rc.Flush()
 }
 
-// end takes the end of a stream that its target marked as complete.
-func (r *streamRelay) end(x *exchange) resend.Outcome {
-	if !r.started {
-		r.out.head(x.resp, -1)
-		r.started = true
+// finishStream handles a stream that its target has ended properly. It sends the
+// response head of a stream without events.
+func (r *streamRelay) finishStream(x *exchange) resend.Outcome {
+	if !r.headSent {
+		r.caller.writeHead(x.resp, -1)
+		r.headSent = true
 	}
 	return resend.Relayed
 }
 
-// takeWhole takes an answer that is not a stream of events: a failure.
-func (r *streamRelay) takeWhole(ctx context.Context, x *exchange, g *guard) (resend.Outcome, error) {
-	if r.started {
-		r.q.story.cut = errors.Newf("status %d in place of the rest of a stream", x.resp.StatusCode)
-		return resend.Broken, x.reason()
+// readNonStream handles a response that is not a stream, such as a failure. If the
+// caller already has a part of the stream, the attempt counts as broken.
+func (r *streamRelay) readNonStream(ctx context.Context, x *exchange, g *watchdog) (resend.Outcome, error) {
+	if r.headSent {
+		r.q.progress.responseErr = errors.Newf("status %d instead of the rest of the stream", x.resp.StatusCode)
+		return resend.Broken, x.abortReason()
 	}
-	if r.whole == nil {
-		r.whole = &wholeRelay{q: r.q, out: r.out}
+	if r.nonStream == nil {
+		r.nonStream = &bufferedRelay{q: r.q, caller: r.caller}
 	}
-	return r.whole.take(ctx, x, g)
+	return r.nonStream.readResponse(ctx, x, g)
 }
 
-func (r *streamRelay) begun() bool { return r.started || (r.whole != nil && r.whole.passed) }
+func (r *streamRelay) responseBegun() bool {
+	return r.headSent || (r.nonStream != nil && r.nonStream.sent)
+}
 
-func (r *streamRelay) final() bool { return r.whole != nil && !r.started && r.whole.final() }
+func (r *streamRelay) sendHeldFailure() bool {
+	return r.nonStream != nil && !r.headSent && r.nonStream.sendHeldFailure()
+}
--- a/io/request/direct/stream_test.go
+++ b/io/request/direct/stream_test.go
@@ -10,18 +10,18 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Callers get whole events only: a target may stop in the middle of one.
+// Callers must get complete events only, although a target may break off within one.
 func TestReadEvent(t *testing.T) {
 	tests := []struct {
 		name, in string
 		want     []string
-		end      error
+		wantErr  error
 	}{
 		{"whole", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, io.EOF},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\n", []string{"id: 1\r\ndata: a\r\n\r\n"}, io.EOF},
-		{"cut in an event", "id: 1\ndata: a\n\nid: 2\ndata", []string{"id: 1\ndata: a\n\n"}, io.ErrUnexpectedEOF},
-		{"cut before its end", "id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
-		{"nothing", "", nil, io.EOF},
+		{"broken off within an event", "id: 1\ndata: a\n\nid: 2\ndata", []string{"id: 1\ndata: a\n\n"}, io.ErrUnexpectedEOF},
+		{"broken off before the blank line", "id: 1\ndata: a\n", nil, io.ErrUnexpectedEOF},
+		{"empty", "", nil, io.EOF},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -30,8 +30,8 @@
 			for {
 				e, err := readEvent(r)
 				if err != nil {
-					if !errors.Is(err, tc.end) {
-						t.Errorf("ends with %v, want %v", err, tc.end)
+					if !errors.Is(err, tc.wantErr) {
+						t.Errorf("error %v, want %v", err, tc.wantErr)
 					}
 					break
 				}
@@ -44,18 +44,19 @@
 	}
 }
 
-// A caller's stream must miss no event and have none twice, whatever a target
-// that takes over sends.
-func TestEventsFollowEachOther(t *testing.T) {
-	r := &streamRelay{last: 4, hasLast: true}
+// A stream must neither skip nor repeat an event, whatever a target that takes it over
+// sends.
+func TestOnlyNextEventIDIsAccepted(t *testing.T) {
+	r := &streamRelay{lastID: 4, hasLastID: true}
 	for id, want := range map[uint64]bool{4: false, 5: true, 6: false} {
-		if got := r.follows(event{id: id, hasID: true}, 0); got != want {
-			t.Errorf("event %d after 4 follows: %t, want %t", id, got, want)
+		if got := r.isNext(event{id: id, hasID: true}, 0); got != want {
+			t.Errorf("event %d is next after 4: %t, want %t", id, got, want)
 		}
 	}
 }
 
-// FuzzReadEvent reads what any target may send: what is passed on is what came.
+// FuzzReadEvent checks that whatever a target sends, no more bytes are passed on than
+// were received.
 func FuzzReadEvent(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\n"))
 	f.Add([]byte("\n\nid:x\n\n"))
@@ -70,7 +71,7 @@
 			out.Write(e.raw)
 		}
 		if out.Len() > len(in) {
-			t.Errorf("%d bytes came, %d were passed on", len(in), out.Len())
+			t.Errorf("received %d bytes, passed on %d", len(in), out.Len())
 		}
 	})
 }
--- a/io/request/direct/suspects.go
+++ b/io/request/direct/suspects.go
@@ -13,22 +13,26 @@
 	"hawthornferry/core/request/resend"
 )
 
-// Suspects knows the requests that may crash the targets which run them.
+// Suspects keeps track of requests that may crash the targets that run them. Package
+// alert implements it.
 type Suspects interface {
-	// Any reports whether anything is known of any request. It must be cheap.
+	// Any reports whether anything is recorded about any request. It is called for each
+	// request and must be cheap.
 	Any() bool
-	// Blocked reports whether a request is refused, and after what time its caller may
-	// come back.
+	// Blocked reports whether a request must be refused, and after what time its caller
+	// may retry.
 	Blocked(k poison.Key) (time.Duration, bool)
-	// Struck takes that an attempt broke off whose answer had gone on for ran.
+	// Struck records that the target start at dropped the connection during an attempt.
+	// ran is how long the response had been under way.
 	Struck(k poison.Key, at poison.Start, ran time.Duration)
-	// Succeeded takes that a request ended well.
+	// Succeeded records that a request completed without crashing its target.
 	Succeeded(k poison.Key)
-	// Answered takes that a target has answered a request that was sent at began.
+	// Answered records that the target start at has answered a request that was sent at
+	// began.
 	Answered(began time.Time, at poison.Start)
 }
 
-// noSuspects lets all requests through.
+// noSuspects blocks no request.
 type noSuspects struct{}
 
 func (noSuspects) Any() bool                                      { return false }
@@ -37,11 +41,12 @@
 func (noSuspects) Succeeded(poison.Key)                           {}
 func (noSuspects) Answered(time.Time, poison.Start)               {}
 
-// reasonCrashes is the reason of a refusal of a request that crashes its targets.
-const reasonCrashes = "crashesTargets"
+// reasonCrashesTargets is the reason given when a request is refused because it crashes
+// targets.
+const reasonCrashesTargets = "crashesTargets"
 
-// blocked reports whether a request must not be sent to any target, and after what
-// time its caller may come back.
+// blocked reports whether a request must not be sent to any target, and after what time
+// its caller may retry.
 func (s *Server) blocked(q *request) (time.Duration, bool) {
 	if !s.Suspects.Any() {
 		return 0, false
@@ -49,24 +54,25 @@
 	return s.Suspects.Blocked(q.fingerprint())
 }
 
-// noteOutcome takes what the end of an attempt tells of its request and its target.
-func (s *Server) noteOutcome(q *request, t facts.Target, o resend.Outcome, err error) {
+// reportOutcome tells Suspects what the end of an attempt says about the request and
+// its target.
+func (s *Server) reportOutcome(q *request, t facts.Target, o resend.Outcome, err error) {
 	at := poison.StartOf(t.ID, t.Born)
 	switch {
-	case o == resend.Broken && (lostConnection(err) || lostConnection(q.story.cut)):
-		s.Suspects.Struck(q.fingerprint(), at, q.story.ran(s.Clock.Now()))
+	case o == resend.Broken && (lostConnection(err) || lostConnection(q.progress.responseErr)):
+		s.Suspects.Struck(q.fingerprint(), at, q.progress.responseDuration(s.Clock.Now()))
 	case !s.Suspects.Any():
 	case o == resend.Relayed || o == resend.Failure:
-		s.Suspects.Answered(q.story.tried, at)
-		// One that its target declined may not have run.
-		if q.story.status < http.StatusBadRequest {
+		s.Suspects.Answered(q.progress.attemptStart, at)
+		// With an error status, the request may not have run.
+		if q.progress.status < http.StatusBadRequest {
 			s.Suspects.Succeeded(q.fingerprint())
 		}
 	}
 }
 
-// lostConnection reports whether a connection was ended by its target, as by one that
-// crashes. One that the entry itself has ended gives another error.
+// lostConnection reports whether err shows that the target ended the connection, as a
+// crash does. A connection that the entry closed gives other errors.
 func lostConnection(err error) bool {
 	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE)
 }
--- a/io/request/direct/suspects_test.go
+++ b/io/request/direct/suspects_test.go
@@ -20,116 +20,116 @@
 	"hawthornferry/core/request/resend"
 )
 
-// suspectsRecorder writes down what it is told.
+// suspectsRecorder records the calls of Suspects.
 type suspectsRecorder struct {
 	noSuspects
-	told []string
+	calls []string
 }
 
-func (h *suspectsRecorder) Any() bool { return true }
+func (r *suspectsRecorder) Any() bool { return true }
 
-func (h *suspectsRecorder) Struck(_ poison.Key, at poison.Start, ran time.Duration) {
-	h.told = append(h.told, "struck "+at.Target+" after "+ran.String())
+func (r *suspectsRecorder) Struck(_ poison.Key, at poison.Start, ran time.Duration) {
+	r.calls = append(r.calls, "struck "+at.Target+" after "+ran.String())
 }
-func (h *suspectsRecorder) Succeeded(poison.Key) { h.told = append(h.told, "succeeded") }
-func (h *suspectsRecorder) Answered(_ time.Time, at poison.Start) {
-	h.told = append(h.told, "answered "+at.Target)
+func (r *suspectsRecorder) Succeeded(poison.Key) { r.calls = append(r.calls, "succeeded") }
+func (r *suspectsRecorder) Answered(_ time.Time, at poison.Start) {
+	r.calls = append(r.calls, "answered "+at.Target)
 }
 
-// Guards against a request that crashes targets unseen while its answer is moved.
-func TestCrashDuringAHandoverCounts(t *testing.T) {
+// A crash during a handover must be reported, whichever of the two targets crashes.
+func TestCrashDuringHandoverIsReported(t *testing.T) {
 	tests := []struct {
 		name  string
-		other func(m *moving) http.HandlerFunc
+		other func(m *handoverTest) http.HandlerFunc
 		want  []string
 	}{
-		{"the other target crashes", func(*moving) http.HandlerFunc {
+		{"the other target crashes", func(*handoverTest) http.HandlerFunc {
 			return func(w http.ResponseWriter, _ *http.Request) {
-				w.Header().Set("Content-Type", eventStream)
+				w.Header().Set("Content-Type", eventStreamType)
 				_ = http.NewResponseController(w).Flush()
 				panic(http.ErrAbortHandler)
 			}
 		}, []string{"struck b", "answered a", "succeeded"}},
-		{"the first target crashes", func(m *moving) http.HandlerFunc {
+		{"the first target crashes", func(m *handoverTest) http.HandlerFunc {
 			return func(w http.ResponseWriter, r *http.Request) {
 				close(m.engine.crash)
 				time.Sleep(50 * time.Millisecond)
-				goOn(w, r)
+				resumeStream(w, r)
 			}
 		}, []string{"struck a", "answered b", "succeeded"}},
-		{"neither crashes", func(*moving) http.HandlerFunc { return goOn }, []string{"answered b", "succeeded"}},
+		{"neither crashes", func(*handoverTest) http.HandlerFunc { return resumeStream }, []string{"answered b", "succeeded"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			var m *moving
-			m = startMoving(t, func(w http.ResponseWriter, r *http.Request) { tc.other(m)(w, r) })
-			heard := &suspectsRecorder{}
-			m.server.Suspects = heard
-			_, in := m.stream()
-			m.load()
+			var m *handoverTest
+			m = newHandoverTest(t, func(w http.ResponseWriter, r *http.Request) { tc.other(m)(w, r) })
+			recorder := &suspectsRecorder{}
+			m.server.Suspects = recorder
+			_, in := m.startStream()
+			m.requestLoad()
 			go func() {
 				time.Sleep(200 * time.Millisecond)
 				for range streamEvents - 1 {
 					m.engine.next <- struct{}{}
 				}
 			}()
-			rest(t, in)
+			readRest(t, in)
 			var got []string
-			for _, s := range heard.told {
+			for _, s := range recorder.calls {
 				s, _, _ = strings.Cut(s, " after")
 				got = append(got, s)
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
-				t.Errorf("told (-want +got):\n%s", diff)
+				t.Errorf("calls of Suspects (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A request must be blamed for the end of a target only where its connection was lost
-// after it was sent: one that the entry itself gave up, that was turned away or that
-// got a bad answer has crashed nothing.
-func TestWhatIsToldOfAttempts(t *testing.T) {
+// A request may be blamed for the crash of a target only if the connection was lost
+// after the request was sent. A request that the entry aborted, that the target
+// rejected, or that got an invalid response has crashed nothing.
+func TestReportOutcome(t *testing.T) {
 	eof := fault.At("read stream", "", io.ErrUnexpectedEOF)
 	reset := &net.OpError{Op: "read", Err: syscall.ECONNRESET}
 	closed := &net.OpError{Op: "read", Err: net.ErrClosed}
 	tests := []struct {
-		name    string
-		outcome resend.Outcome
-		err     error
-		cut     error
-		status  int
-		ran     time.Duration
-		want    []string
+		name        string
+		outcome     resend.Outcome
+		err         error
+		responseErr error
+		status      int
+		duration    time.Duration
+		want        []string
 	}{
-		{"ends before its answer", resend.Broken, io.ErrUnexpectedEOF, nil, 0, 0, []string{"struck i-1 after 0s"}},
-		{"resets", resend.Broken, errors.CombineErrors(reset, errSilent), nil, 0, 0, []string{"struck i-1 after 0s"}},
-		{"ends in its answer", resend.Broken, nil, eof, 200, time.Second, []string{"struck i-1 after 1s"}},
+		{"connection ends before the response", resend.Broken, io.ErrUnexpectedEOF, nil, 0, 0, []string{"struck i-1 after 0s"}},
+		{"connection reset", resend.Broken, errors.CombineErrors(reset, errSilent), nil, 0, 0, []string{"struck i-1 after 0s"}},
+		{"connection ends within the response", resend.Broken, nil, eof, 200, time.Second, []string{"struck i-1 after 1s"}},
 		{"moved by the entry", resend.Broken, errLoading, closed, 200, time.Second, nil},
-		{"silent", resend.Broken, errors.CombineErrors(closed, errSilent), nil, 0, 0, nil},
+		{"target silent", resend.Broken, errors.CombineErrors(closed, errSilent), nil, 0, 0, nil},
 		{"events out of order", resend.Broken, nil, errOrder, 200, 0, nil},
-		{"not signed", resend.Broken, errors.New("the answer is not signed"), nil, 200, 0, nil},
-		{"not reached", resend.Unsent, reset, nil, 0, 0, nil},
-		{"turned away", resend.NotRun, errors.New("status 503"), nil, 0, 0, nil},
-		{"answer to another", resend.LateReply, errors.New("another"), nil, 0, 0, nil},
-		{"caller left", resend.Caller, nil, nil, 200, 0, nil},
-		{"well", resend.Relayed, nil, nil, 200, 0, []string{"answered i-1", "succeeded"}},
-		{"declined", resend.Relayed, nil, nil, 404, 0, []string{"answered i-1"}},
-		{"fails", resend.Failure, nil, nil, 500, 0, []string{"answered i-1"}},
+		{"not signed", resend.Broken, errors.New("response is not signed by the target"), nil, 200, 0, nil},
+		{"target not reached", resend.Unsent, reset, nil, 0, 0, nil},
+		{"rejected by the target", resend.NotRun, errors.New("status 503"), nil, 0, 0, nil},
+		{"response to another request", resend.LateReply, errors.New("another"), nil, 0, 0, nil},
+		{"caller disconnected", resend.Caller, nil, nil, 200, 0, nil},
+		{"success", resend.Relayed, nil, nil, 200, 0, []string{"answered i-1", "succeeded"}},
+		{"client error", resend.Relayed, nil, nil, 404, 0, []string{"answered i-1"}},
+		{"server error", resend.Failure, nil, nil, 500, 0, []string{"answered i-1"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			heard := &suspectsRecorder{}
+			recorder := &suspectsRecorder{}
 			clock := clockwork.NewFakeClock()
-			s := &Server{Clock: clock, Suspects: heard}
-			q := &request{in: httptest.NewRequest(http.MethodPost, "/x", nil)}
-			q.story.status, q.story.cut = tc.status, tc.cut
-			if tc.ran > 0 {
-				q.story.began = clock.Now().Add(-tc.ran)
+			s := &Server{Clock: clock, Suspects: recorder}
+			q := &request{incoming: httptest.NewRequest(http.MethodPost, "/x", nil)}
+			q.progress.status, q.progress.responseErr = tc.status, tc.responseErr
+			if tc.duration > 0 {
+				q.progress.firstEventAt = clock.Now().Add(-tc.duration)
 			}
-			s.noteOutcome(q, facts.Target{ID: "i-1"}, tc.outcome, tc.err)
-			if diff := cmp.Diff(tc.want, heard.told); diff != "" {
-				t.Errorf("told (-want +got):\n%s", diff)
+			s.reportOutcome(q, facts.Target{ID: "i-1"}, tc.outcome, tc.err)
+			if diff := cmp.Diff(tc.want, recorder.calls); diff != "" {
+				t.Errorf("calls of Suspects (-want +got):\n%s", diff)
 			}
 		})
 	}
--- a/io/request/direct/move_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -16,10 +16,10 @@
 	"hawthornferry/core/request/table"
 )
 
-// Guards against an engine that stands empty for a second before it loads, but for
-// one long stream that could go on elsewhere.
-func TestLastStreamsLeaveATargetThatWaitsToLoad(t *testing.T) {
-	waits := place.Report{Alive: true, Busy: true, Active: 1, Serving: 1}
+// Guards against an engine that stays almost empty for a second before it loads a
+// version, because of one long stream that could continue elsewhere.
+func TestLastStreamsMoveFromTargetWaitingToLoad(t *testing.T) {
+	waitingToLoad := place.Report{Alive: true, Busy: true, Active: 1, Serving: 1}
 	tests := []struct {
 		name       string
 		repeatable bool
@@ -27,10 +27,10 @@
 		report     place.Report
 		want       bool
 	}{
-		{"stream under way", true, true, waits, true},
-		{"not begun", true, false, waits, false},
-		{"must not run again", false, true, waits, false},
-		{"no load", true, true, place.Report{Alive: true, Active: 1, Serving: 1}, false},
+		{"stream under way", true, true, waitingToLoad, true},
+		{"response not begun", true, false, waitingToLoad, false},
+		{"not repeatable", false, true, waitingToLoad, false},
+		{"not waiting to load", true, true, place.Report{Alive: true, Active: 1, Serving: 1}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,29 +38,29 @@
 			w.server.Placer = &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))}
 			w.server.Rules.Retry = spend.Budget{Ratio: 1, Slack: 100, Window: time.Second}
 			w.server.init()
-			w.server.desk.update(engines("a", "b"))
-			w.q.target = "a"
+			w.server.dispatcher.update(idleEngines("a", "b"))
+			w.q.targetID = "a"
 			w.q.tries = resend.Tries{Repeatable: tc.repeatable, Most: 2}
 			w.q.tries.Sent()
 			w.send()
 			if tc.begun {
-				w.guard.heard()
+				w.watchdog.received()
 			}
 			w.server.Report("a", tc.report)
-			var why error
+			var cause error
 			select {
-			case why = <-w.guard.moves:
+			case cause = <-w.watchdog.handoverRequests:
 			default:
 			}
-			if diff := cmp.Diff(tc.want, errors.Is(why, errLoading)); diff != "" {
-				t.Errorf("to be moved (-want +got):\n%s", diff)
+			if diff := cmp.Diff(tc.want, errors.Is(cause, errLoading)); diff != "" {
+				t.Errorf("handover requested (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// engines are idle engines that serve version 1.
-func engines(ids ...string) *facts.Facts {
+// idleEngines returns facts with idle engines that serve version 1.
+func idleEngines(ids ...string) *facts.Facts {
 	t := &table.Table{Services: []table.Service{{Name: "svc", Engine: &table.Engine{Model: "m", Slots: 16, ReadRate: 1000, Stride: 1}}}}
 	t.Index()
 	f := &facts.Facts{Table: t}
