--- a/io/request/direct/attempts.go
+++ b/io/request/direct/attempts.go
@@ -63,11 +63,11 @@
 		s.reportOutcome(q, q.progress.verdict.Target, o, err)
 		s.recordAttempt(ctx, q, o, err, out.responseBegun())
 		if o == resend.Relayed {
-			s.finish(q, string(o), q.progress.status)
+			s.finishRequest(q, string(o), q.progress.status)
 			return
 		}
 		if ctx.Err() != nil || o == resend.Caller {
-			s.giveUp(w, q, out)
+			s.endUnanswered(w, q, out)
 			return
 		}
 		if !s.mayRetry(q, o) {
@@ -90,7 +90,7 @@
 		}
 		v, ok := s.dispatcher.place(ctx, s.placerWork(q))
 		if !ok {
-			s.giveUp(w, q, out)
+			s.endUnanswered(w, q, out)
 			return v, false
 		}
 		q.beginAttempt(s.Clock.Now(), v)
@@ -99,9 +99,10 @@
 			s.fail(w, q, out, v.RetryAfter)
 			return v, false
 		}
-		// While the request waited, the target's version may have become too old (an
-		// idle engine would begin at once), or the request may have been found to crash
-		// targets. If so, the loop offers it again or refuses it.
+		// While the request waited, the target's version may have become too old. Then
+		// it must not be sent, because an idle engine would begin it at once. Or the
+		// request may have been found to crash targets. The next iteration offers it
+		// again or refuses it.
 		if _, blocked := s.blocked(q); !blocked && !s.versionTooOld(q, v.Serving) {
 			return v, true
 		}
@@ -119,7 +120,7 @@
 	}
 	defer x.close()
 	q.tries.Sent()
-	wd := s.guard(q, x, v, q.tries.Left() > 0)
+	wd := s.startWatchdog(q, x, v, q.tries.Left() > 0)
 	defer wd.stop()
 	if o, err := s.sendAndCheck(q, x, req); o != "" {
 		return o, err
@@ -162,43 +163,43 @@
 	return true
 }
 
-// giveUp ends a request whose deadline has passed or whose caller has
+// endUnanswered ends a request whose deadline has passed or whose caller has
 // disconnected.
-func (s *Server) giveUp(w http.ResponseWriter, q *request, out responseRelay) {
+func (s *Server) endUnanswered(w http.ResponseWriter, q *request, out responseRelay) {
 	if q.incoming.Context().Err() != nil {
-		s.finish(q, "callerGone", 0)
+		s.finishRequest(q, "callerGone", 0)
 		panic(http.ErrAbortHandler)
 	}
 	q.reason = "deadline"
 	if out.responseBegun() {
-		s.breakOff(q)
+		s.abortResponse(q)
 	}
-	s.answer(w, q, errorResponse{status: http.StatusGatewayTimeout, reason: q.reason})
+	s.sendError(w, q, errorResponse{status: http.StatusGatewayTimeout, reason: q.reason})
 }
 
 // fail ends a request for which no further attempt is made. Only a caller whose request
 // has not run is told to retry.
 func (s *Server) fail(w http.ResponseWriter, q *request, out responseRelay, retryAfter time.Duration) {
 	if out.responseBegun() {
-		s.breakOff(q)
+		s.abortResponse(q)
 	}
 	if out.sendHeldFailure() {
-		s.finish(q, "failureOfTarget", q.progress.status)
+		s.finishRequest(q, "failureOfTarget", q.progress.status)
 		return
 	}
 	if !q.tries.MayRefuse() {
-		s.answer(w, q, errorResponse{status: http.StatusBadGateway, reason: orDefault(q.reason, outcomeBrokenOff)})
+		s.sendError(w, q, errorResponse{status: http.StatusBadGateway, reason: orDefault(q.reason, outcomeBrokenOff)})
 		return
 	}
-	s.answer(w, q, errorResponse{status: http.StatusServiceUnavailable, reason: orDefault(q.reason, "notRun"), retryAfter: retryAfter})
+	s.sendError(w, q, errorResponse{status: http.StatusServiceUnavailable, reason: orDefault(q.reason, "notRun"), retryAfter: retryAfter})
 }
 
-// breakOff ends a response that the caller has a part of. It closes the connection
+// abortResponse ends a response that the caller has a part of. It closes the connection
 // in the middle, so that the caller does not take the response for complete.
-func (s *Server) breakOff(q *request) {
+func (s *Server) abortResponse(q *request) {
 	s.metrics.countBrokenOff(q.progress.endCause)
 	s.endCounts.countBrokenOff(q.progress.endCause)
-	s.finish(q, outcomeBrokenOff, 0)
+	s.finishRequest(q, outcomeBrokenOff, 0)
 	panic(http.ErrAbortHandler)
 }
 
--- a/io/request/direct/dialect.go
+++ b/io/request/direct/dialect.go
@@ -13,48 +13,55 @@
 	"time"
 )
 
-// Call holds what the headers of a caller's request say. ID identifies the request, and
-// Key is the customer's API key. Deadline is how long the caller waits, zero if it does
-// not say. Prompt, Answer and Hint are numbers of tokens: the length of the prompt, the
-// maximum length of the answer, and the length of the answer that the caller expects.
-// LastEvent is the ID of the last event that the caller has of a stream that it
-// resumes.
+// Call holds what the headers of a caller's request say.
 type Call struct {
-	ID        string
-	Key       string
-	Deadline  time.Duration
-	Prompt    int
-	Answer    int
-	Hint      int
+	// ID identifies the request.
+	ID string
+	// Key is the customer's API key.
+	Key string
+	// Deadline is how long the caller waits, zero if it does not say.
+	Deadline time.Duration
+	// Prompt is the length of the prompt, in tokens.
+	Prompt int
+	// Answer is the maximum length of the answer, in tokens.
+	Answer int
+	// Hint is the length of the answer that the caller expects, in tokens.
+	Hint int
+	// LastEvent is the ID of the last event that the caller has of a stream that it
+	// resumes.
 	LastEvent string
 }
 
-// Forward holds what the entry adds to a request that it sends to a target. Target is
-// the ID of the target, and Left the time until the caller's deadline. LastEvent is the
-// ID of the last event that the caller has. Version is the model version that the
-// target must serve, zero for any.
+// Forward holds what the entry adds to a request that it sends to a target.
 type Forward struct {
-	Target    string
-	Left      time.Duration
-	Customer  string
+	// Target is the ID of the target.
+	Target string
+	// Left is the time until the deadline of the request.
+	Left     time.Duration
+	Customer string
+	// LastEvent is the ID of the last event that the caller has.
 	LastEvent string
-	Version   uint64
+	// Version is the model version that the target must serve, zero for any.
+	Version uint64
 }
 
-// Reply holds what the headers of a target's response say. Signed is set if the
-// response was produced by a target and not by something in between, NotRun if the
-// target says that the request did not run. Call is the ID of the request that was
-// answered, empty if the headers do not say.
+// Reply holds what the headers of a target's response say.
 type Reply struct {
+	// Signed is set if the response was produced by a target and not by something in
+	// between.
 	Signed bool
+	// NotRun is set if the target says that the request did not run.
 	NotRun bool
-	Call   string
+	// Call is the ID of the request that was answered, empty if the headers do not say.
+	Call string
 }
 
-// Dialect reads and writes the headers that callers and targets use. Call returns an
-// error if the request must be rejected.
+// Dialect reads and writes the headers that callers and targets use.
 type Dialect interface {
+	// Call reads the headers of a caller's request. An error rejects the request.
 	Call(r *http.Request) (Call, error)
+	// Forward writes the headers of a request to a target.
 	Forward(h http.Header, f Forward)
+	// Reply reads the headers of a target's response.
 	Reply(status int, h http.Header) Reply
 }
--- a/io/request/direct/errorresponse.go
+++ b/io/request/direct/errorresponse.go
@@ -25,10 +25,10 @@
 	RequestID string `json:"requestId"`
 }
 
-// answer ends a request with a response of the entry's own.
-func (s *Server) answer(w http.ResponseWriter, q *request, e errorResponse) {
+// sendError ends a request with a response of the entry's own.
+func (s *Server) sendError(w http.ResponseWriter, q *request, e errorResponse) {
 	q.reason = e.reason
-	s.finish(q, "ownAnswer", e.status)
+	s.finishRequest(q, "ownAnswer", e.status)
 	s.metrics.countErrorResponse(metricReason(e), e.status)
 	h := w.Header()
 	h.Set("Content-Type", "application/problem+json")
--- a/io/request/direct/forwarder.go
+++ b/io/request/direct/forwarder.go
@@ -107,7 +107,7 @@
 
 // forward sends one event to the caller.
 func (f *streamForwarder) forward(x *exchange, e event) resend.Outcome {
-	if f.pass(x, e) != nil {
+	if f.sendEvent(x, e) != nil {
 		return resend.Caller
 	}
 	return ""
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -100,7 +100,7 @@
 	}
 	q := &request{incoming: r, arrivedAt: s.Clock.Now()}
 	if e, ok := s.prepare(w, q); !ok {
-		s.answer(w, q, e)
+		s.sendError(w, q, e)
 		return
 	}
 	ctx, cancel := clockwork.WithDeadline(r.Context(), s.Clock, q.deadline)
@@ -288,8 +288,8 @@
 	return v.Version
 }
 
-// logMinVersion logs, once for each minimum version, when it came into force and how
-// long ago it was announced as far as this process knows.
+// logMinVersion logs a new minimum version once, with how long ago it was announced as
+// far as this process knows.
 func (s *Server) logMinVersion(v facts.Named) {
 	if last, loaded := s.loggedVersions.Swap(v.Model, v.Version); loaded && last == v.Version {
 		return
--- a/io/request/direct/handover.go
+++ b/io/request/direct/handover.go
@@ -28,8 +28,8 @@
 	return min(maxBuffering, time.Duration(bufferingShare*float64(gap)))
 }
 
-// errNoRest is returned if a successor's response is not an event stream.
-var errNoRest = errors.New("no stream in place of the rest of one")
+// errNotStream is returned if a successor's response is not an event stream.
+var errNotStream = errors.New("response is not an event stream")
 
 // handover moves a response under way to another target. The present target is kept
 // until the other one, the successor, has sent the next event: the successor may reject
@@ -116,12 +116,12 @@
 	if err != nil {
 		return succ.fail(resend.Unsent, err)
 	}
-	succ.x, succ.sent, succ.watchdog = x, true, s.guard(q, x, v, movable)
+	succ.x, succ.sent, succ.watchdog = x, true, s.startWatchdog(q, x, v, movable)
 	if o, err := s.sendAndCheck(q, x, req); o != "" {
 		return succ.fail(o, err)
 	}
 	if !isStream(x.resp) {
-		return succ.fail(resend.Broken, errNoRest)
+		return succ.fail(resend.Broken, errNotStream)
 	}
 	succ.events = x.readEvents()
 	item := <-succ.events
--- a/io/request/direct/progress.go
+++ b/io/request/direct/progress.go
@@ -170,8 +170,8 @@
 	q.progress = saved
 }
 
-// finish counts and logs the end of a request.
-func (s *Server) finish(q *request, outcome string, status int) {
+// finishRequest counts and logs the end of a request.
+func (s *Server) finishRequest(q *request, outcome string, status int) {
 	took := s.Clock.Since(q.arrivedAt)
 	s.metrics.countRequest(q.route.Name, outcome, status, took)
 	d := q.newDecision(actionAnswer)
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -30,9 +30,10 @@
 // Rules are the operator's limits on how requests are served.
 type Rules struct {
 	// KeyAge is the maximum age of the facts by which an API key may be accepted, zero
-	// for any age. TableAge is the maximum age by which a caller may be told that a
+	// for any age.
+	KeyAge time.Duration
+	// TableAge is the maximum age of the facts by which a caller may be told that a
 	// route or a key does not exist.
-	KeyAge   time.Duration
 	TableAge time.Duration
 	// Grace is the grace period of a stop: the time from the request to stop until the
 	// process is killed.
--- a/io/request/direct/stream.go
+++ b/io/request/direct/stream.go
@@ -108,8 +108,8 @@
 	return e.id == r.lastID+uint64(buffered)+1
 }
 
-// pass sends an event to the caller, preceded by the response head if need be.
-func (r *streamRelay) pass(x *exchange, e event) error {
+// sendEvent sends an event to the caller, preceded by the response head if need be.
+func (r *streamRelay) sendEvent(x *exchange, e event) error {
 	if r.awaitingFirst {
 		r.awaitingFirst = false
 		r.server.dispatcher.responseBegan(r.q.placementID)
--- a/io/request/direct/suspects.go
+++ b/io/request/direct/suspects.go
@@ -22,13 +22,14 @@
 	// Blocked reports whether a request must be refused, and after what time its caller
 	// may retry.
 	Blocked(k poison.Key) (time.Duration, bool)
-	// Struck records that the target start at dropped the connection during an attempt.
-	// ran is how long the response had been under way.
+	// Struck records that a target dropped the connection during an attempt. at
+	// identifies the start of that target, and ran is how long the response had been
+	// under way.
 	Struck(k poison.Key, at poison.Start, ran time.Duration)
 	// Succeeded records that a request completed without crashing its target.
 	Succeeded(k poison.Key)
-	// Answered records that the target start at has answered a request that was sent at
-	// began.
+	// Answered records that a target has answered a request that was sent at began. at
+	// identifies the start of that target.
 	Answered(began time.Time, at poison.Start)
 }
 
--- a/io/request/direct/watchdog.go
+++ b/io/request/direct/watchdog.go
@@ -61,14 +61,14 @@
 // errVersionTooOld is for a request that has not begun when its target's model version
 // becomes too old to begin on.
 var (
-	errVersionTooOld = errors.New("not begun before its version is too old")
-	errSilent        = errors.New("target is silent")
-	errLoading       = errors.New("target waits to load")
+	errVersionTooOld = errors.New("request not begun before its model version became too old")
+	errSilent        = errors.New("target sent no data in time")
+	errLoading       = errors.New("target is waiting to load a version")
 )
 
-// guard starts the watchdog of an exchange with the target of v. movable tells
+// startWatchdog starts the watchdog of an exchange with the target of v. movable tells
 // whether another target may take the request over.
-func (s *Server) guard(q *request, x *exchange, v place.Verdict, movable bool) *watchdog {
+func (s *Server) startWatchdog(q *request, x *exchange, v place.Verdict, movable bool) *watchdog {
 	g := &watchdog{
 		server: s, q: q, x: x, targetID: v.Target.ID, servingVersion: v.Serving,
 		movable: movable, handoverRequests: make(chan error, 1),
--- a/io/request/direct/watchdog_test.go
+++ b/io/request/direct/watchdog_test.go
@@ -29,9 +29,9 @@
 	s.facts = next
 }
 
-// guarded is a request under way at an engine that serves version 1. After a newer
+// watchdogTest is a request under way at an engine that serves version 1. After a newer
 // version is announced, requests may begin on version 1 for another 8 seconds.
-type guarded struct {
+type watchdogTest struct {
 	t          *testing.T
 	clock      *clockwork.FakeClock
 	testSource *testSource
@@ -41,11 +41,11 @@
 	watchdog   *watchdog
 }
 
-func newGuarded(t *testing.T) *guarded {
+func newWatchdogTest(t *testing.T) *watchdogTest {
 	t.Helper()
 	entry, engine := net.Pipe()
 	t.Cleanup(func() { engine.Close() })
-	w := &guarded{t: t, clock: clockwork.NewFakeClock(), testSource: &testSource{facts: &facts.Facts{}}}
+	w := &watchdogTest{t: t, clock: clockwork.NewFakeClock(), testSource: &testSource{facts: &facts.Facts{}}}
 	w.server = &Server{Clock: w.clock, Source: w.testSource, Rules: Rules{Version: 8 * time.Second}}
 	w.q = &request{service: table.Service{Name: "svc", Engine: &table.Engine{Model: "m"}}, deadline: w.clock.Now().Add(time.Hour)}
 	w.x = &exchange{conn: entry, closed: make(chan struct{}), stopAfterFunc: func() bool { return true }}
@@ -53,14 +53,14 @@
 	return w
 }
 
-func (w *guarded) send() {
-	w.watchdog = w.server.guard(w.q, w.x, place.Verdict{Target: facts.Target{ID: w.q.targetID}, Serving: 1}, w.q.tries.Left() > 0)
+func (w *watchdogTest) start() {
+	w.watchdog = w.server.startWatchdog(w.q, w.x, place.Verdict{Target: facts.Target{ID: w.q.targetID}, Serving: 1}, w.q.tries.Left() > 0)
 	w.t.Cleanup(w.watchdog.stop)
 }
 
 // advance moves the clock on in small steps, so that timers that are set again in
 // between fire as well.
-func (w *guarded) advance(d time.Duration) {
+func (w *watchdogTest) advance(d time.Duration) {
 	for step := versionCheckInterval / 4; d > 0; d -= step {
 		w.clock.Advance(step)
 		time.Sleep(time.Millisecond)
@@ -70,27 +70,27 @@
 // A request that has not begun must be aborted before its engine's version becomes too
 // old, also if the entry learns only after it has sent the request that a newer version
 // was announced, or that it was announced earlier than known until then.
-func TestNamingThatComesToLightAfterTheSend(t *testing.T) {
+func TestVersionAnnouncedAfterSendEndsRequest(t *testing.T) {
 	tests := []struct {
 		name  string
-		learn func(w *guarded)
+		learn func(w *watchdogTest)
 	}{
-		{"announced after the request was sent", func(w *guarded) { w.testSource.announce(2, w.clock.Now()) }},
-		{"announced before the request was sent, learned of after it", func(w *guarded) { w.testSource.announce(2, w.clock.Now().Add(-2*time.Second)) }},
-		{"older of two versions learned of last", func(w *guarded) {
+		{"announced after the request was sent", func(w *watchdogTest) { w.testSource.announce(2, w.clock.Now()) }},
+		{"announced before the request was sent, learned of after it", func(w *watchdogTest) { w.testSource.announce(2, w.clock.Now().Add(-2*time.Second)) }},
+		{"older of two versions learned of last", func(w *watchdogTest) {
 			w.testSource.announce(3, w.clock.Now())
 			w.advance(time.Second)
 			w.testSource.announce(2, w.clock.Now().Add(-2*time.Second))
 		}},
-		{"newest may have been announced first", func(w *guarded) {
+		{"newest may have been announced first", func(w *watchdogTest) {
 			w.testSource.announce(2, w.clock.Now())
 			w.testSource.announce(3, w.clock.Now().Add(-2*time.Second))
 		}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newGuarded(t)
-			w.send()
+			w := newWatchdogTest(t)
+			w.start()
 			w.advance(time.Second)
 			tc.learn(w)
 			announced := w.testSource.facts.Versions[0].Since
@@ -105,10 +105,10 @@
 // A stream that began in time must not be aborted when newer versions are announced: it
 // would have to be generated again from the start elsewhere.
 func TestBegunStreamIsNotAborted(t *testing.T) {
-	w := newGuarded(t)
+	w := newWatchdogTest(t)
 	w.testSource.announce(2, w.clock.Now())
 	w.testSource.announce(3, w.clock.Now())
-	w.send()
+	w.start()
 	w.watchdog.received()
 	w.advance(2 * w.server.Rules.Version)
 	if diff := cmp.Diff(nil, w.x.abortReason()); diff != "" {
@@ -118,10 +118,10 @@
 
 // The version becomes too old while a buffered response is being read. The request has
 // run by then, so the response must not be aborted.
-func TestWholeAnswerIsNotCut(t *testing.T) {
-	w := newGuarded(t)
+func TestBufferedResponseIsNotAborted(t *testing.T) {
+	w := newWatchdogTest(t)
 	w.testSource.announce(2, w.clock.Now())
-	w.send()
+	w.start()
 	body := &callbackBody{onRead: func() { w.advance(2 * w.server.Rules.Version) }}
 	w.x.resp = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(body)}
 	rec := httptest.NewRecorder()
@@ -143,7 +143,7 @@
 // A request may have waited for its place until the target's version became too old. It
 // must not be sent there, because an idle engine would begin it at once.
 func TestVersionTooOldAtDeadline(t *testing.T) {
-	w := newGuarded(t)
+	w := newWatchdogTest(t)
 	w.testSource.announce(2, w.clock.Now())
 	w.clock.Advance(w.server.Rules.Version - beginMargin - time.Millisecond)
 	if w.server.versionTooOld(w.q, 1) {
--- a/io/request/direct/watchdogset_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -34,7 +34,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			w := newGuarded(t)
+			w := newWatchdogTest(t)
 			w.server.Placer = &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))}
 			w.server.Rules.Retry = spend.Budget{Ratio: 1, Slack: 100, Window: time.Second}
 			w.server.init()
@@ -42,7 +42,7 @@
 			w.q.targetID = "a"
 			w.q.tries = resend.Tries{Repeatable: tc.repeatable, Most: 2}
 			w.q.tries.Sent()
-			w.send()
+			w.start()
 			if tc.begun {
 				w.watchdog.received()
 			}
