--- a/io/request/await/await.go
+++ b/io/request/await/await.go
@@ -1,5 +1,7 @@
-// Package await joins a policy, which is a plain value, with the requests that
-// wait for its verdicts.
+// Package await lets concurrent requests wait for the verdicts of a policy. A policy,
+// such as a place.Placer or an admit.Admitter, is a plain value without locks whose
+// calls return verdicts on any of the waiting requests. Packages direct and front use
+// Desk for their policies.
 package await
 
 import (
@@ -7,25 +9,25 @@
 	"sync"
 )
 
-// Desk guards a policy and hands each of its verdicts to the request that waits
-// for it. Set the exported field before the first call.
+// Desk serializes calls to a policy and delivers each verdict to the request that waits
+// for it. Set ID before the first call.
 type Desk[V any] struct {
-	// ID names the request that a verdict is on.
+	// ID returns the ID of the request that a verdict is for.
 	ID func(v V) string
 
 	mu      sync.Mutex
 	waiting map[string]chan V
 }
 
-// Do runs f, which alone uses the policy meanwhile, and delivers the verdicts
-// that follow from it.
+// Do runs f with exclusive access to the policy and delivers the verdicts that f
+// returns.
 func (d *Desk[V]) Do(f func() []V) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deliver(f())
 }
 
-// Tick is Do for what is needed only while some request waits.
+// Tick is like Do, but does nothing if no request is waiting.
 func (d *Desk[V]) Tick(f func() []V) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -34,10 +36,11 @@
 	}
 }
 
-// Await offers a request to the policy and waits for the verdict on it. It
-// returns false when ctx ends first; withdraw then takes the request back. It is
-// given the verdict when that came at the same moment, nil otherwise: a place that
-// was granted would be lost for good.
+// Await calls offer, which hands the request with the given ID to the policy, and waits
+// for the verdict on it. If ctx ends first, Await calls withdraw, which takes the
+// request back, and returns false. withdraw gets the verdict if it was delivered at the
+// same moment, otherwise nil: a place that was already granted must be given back, or
+// it would stay taken forever.
 func (d *Desk[V]) Await(ctx context.Context, id string, offer func() []V, withdraw func(v *V) []V) (V, bool) {
 	c := make(chan V, 1)
 	d.mu.Lock()
@@ -65,8 +68,8 @@
 	return none, false
 }
 
-// deliver is called with the desk locked. A verdict that nobody waits for is
-// dropped: its request has been withdrawn.
+// deliver sends verdicts to the requests that wait for them. The caller must hold d.mu.
+// A verdict for which nobody waits is dropped, because its request has been withdrawn.
 func (d *Desk[V]) deliver(vs []V) {
 	for _, v := range vs {
 		id := d.ID(v)
--- a/io/request/await/await_test.go
+++ b/io/request/await/await_test.go
@@ -8,14 +8,14 @@
 )
 
 type verdict struct {
-	id, what string
+	id, decision string
 }
 
 func newDesk() *Desk[verdict] {
 	return &Desk[verdict]{ID: func(v verdict) string { return v.id }}
 }
 
-// A verdict that comes later, with another request's event, reaches the request
+// A verdict that is returned later, for another request's call, must reach the request
 // that waits for it.
 func TestVerdictReachesItsRequest(t *testing.T) {
 	d := newDesk()
@@ -24,10 +24,10 @@
 		v, _ := d.Await(t.Context(), "1", func() []verdict { return nil }, nil)
 		got <- v
 	}()
-	for waits := false; !waits; {
+	for waiting := false; !waiting; {
 		d.Tick(func() []verdict {
-			waits = true
-			return []verdict{{"2", "of another"}, {"1", "placed"}}
+			waiting = true
+			return []verdict{{"2", "for another request"}, {"1", "placed"}}
 		})
 	}
 	if diff := cmp.Diff(verdict{"1", "placed"}, <-got, cmp.AllowUnexported(verdict{})); diff != "" {
@@ -35,28 +35,29 @@
 	}
 }
 
-// A caller leaves as its request is granted a place. Either it gets the verdict
-// or the place is given back; lost, the target would count it as taken for good.
-func TestLeavingGivesBackWhatWasGranted(t *testing.T) {
+// When a caller disconnects just as its request is granted a place, the request must
+// either get the verdict or give the place back. Otherwise the place would count as
+// taken forever.
+func TestCancelledRequestReturnsGrantedPlace(t *testing.T) {
 	granted := []verdict{{"1", "placed"}}
 	for range 100 {
 		d := newDesk()
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
-		back := false
+		returned := false
 		_, got := d.Await(ctx, "1", func() []verdict { return granted }, func(v *verdict) []verdict {
-			back = v != nil && *v == granted[0]
+			returned = v != nil && *v == granted[0]
 			return nil
 		})
-		if got == back {
-			t.Fatalf("the verdict reached its caller: %v, was given back: %v, want one of both", got, back)
+		if got == returned {
+			t.Fatalf("verdict delivered: %v, place returned: %v, want exactly one of them", got, returned)
 		}
 	}
 }
 
-// A caller leaves while its request waits: the request is withdrawn, and a verdict
-// that comes later reaches nobody.
-func TestLeavingWithdraws(t *testing.T) {
+// When a caller disconnects while its request waits, the request must be withdrawn, and
+// a later verdict must be dropped.
+func TestCancelledRequestIsWithdrawn(t *testing.T) {
 	d := newDesk()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -66,7 +67,7 @@
 		return nil
 	})
 	if got || !withdrawn {
-		t.Errorf("got a verdict: %v, withdrawn: %v, want only the latter", got, withdrawn)
+		t.Errorf("verdict delivered: %v, request withdrawn: %v, want only the latter", got, withdrawn)
 	}
 	d.Do(func() []verdict { return []verdict{{"1", "placed"}} })
 }
