--- a/io/version/swarm/conn.go
+++ b/io/version/swarm/conn.go
@@ -14,72 +14,77 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Bounds of a connection.
+// Limits of a connection.
 const (
-	maxControl = 4096
-	maxBlocks  = 256
-	pingEvery  = 5 * time.Second
-	// silence is how long a connection may bring nothing before it is
-	// closed: something between the ends may have lost track of it, and the
-	// peer would otherwise be waited for in vain.
-	silence      = 15 * time.Second
+	maxQueuedControl = 4096
+	maxQueuedBlocks  = 256
+	pingInterval     = 5 * time.Second
+	// readTimeout is how long a connection may deliver nothing, not even a
+	// ping, before it is closed. A device between the ends may have lost the
+	// connection without notice, and requests to the peer would never be
+	// answered.
+	readTimeout  = 15 * time.Second
 	writeTimeout = 30 * time.Second
 )
 
-// conn is one connection to a peer side. Messages are queued and written by
-// one goroutine, control before blocks, so that a decision never waits for
-// bulk or for a peer that does not read.
+// conn is a connection to a peer. One goroutine writes the queued messages,
+// control messages before blocks, so that callers never wait for a block to be
+// written or for a peer that does not read.
 type conn struct {
 	*link.Conn
 
 	mu      sync.Mutex
 	control []frame.Message
 	blocks  []*block
-	news    map[chunk.Digest]*news
+	updates map[chunk.Digest]*chunkUpdate
 	wake    chan struct{}
 }
 
 func newConn(c *link.Conn) *conn {
-	return &conn{Conn: c, news: map[chunk.Digest]*news{}, wake: make(chan struct{}, 1)}
+	return &conn{Conn: c, updates: map[chunk.Digest]*chunkUpdate{}, wake: make(chan struct{}, 1)}
 }
 
-func (c *conn) name() string { return c.Peer.VM.Name }
+func (c *conn) peerName() string { return c.Peer.VM.Name }
 
-// send queues a control message; a peer that lets the queue fill is cut off.
-func (c *conn) send(m frame.Message) {
+// queueControl queues a control message. The connection is closed if the queue
+// is full, since the peer does not read.
+func (c *conn) queueControl(m frame.Message) {
 	c.mu.Lock()
 	c.control = append(c.control, m)
-	full := len(c.control) > maxControl
+	full := len(c.control) > maxQueuedControl
 	c.mu.Unlock()
-	c.signal(full)
+	c.wakeOrClose(full)
 }
 
-// sendBlock queues a block.
-func (c *conn) sendBlock(b *block) {
+// queueBlock queues a block. The connection is closed if the queue is full.
+func (c *conn) queueBlock(b *block) {
 	c.mu.Lock()
 	c.blocks = append(c.blocks, b)
-	full := len(c.blocks) > maxBlocks
+	full := len(c.blocks) > maxQueuedBlocks
 	c.mu.Unlock()
-	c.signal(full)
+	c.wakeOrClose(full)
 }
 
-// tell queues news, joined with what is still queued of the same manifest.
-func (c *conn) tell(a burst.Announce) {
+// queueUpdate queues an announcement, merged with a queued one of the same
+// manifest. The connection is closed if the result is too large for one
+// message.
+func (c *conn) queueUpdate(a burst.Announce) {
 	c.mu.Lock()
-	n, ok := c.news[a.Manifest]
+	n, ok := c.updates[a.Manifest]
 	if !ok {
-		n = &news{Manifest: a.Manifest}
-		c.news[a.Manifest] = n
+		n = &chunkUpdate{Manifest: a.Manifest}
+		c.updates[a.Manifest] = n
 	}
 	n.Have = append(n.Have, a.Have...)
-	n.Seen = append(n.Seen, a.Seen...)
-	n.Tried = append(n.Tried, a.Tried...)
-	full := len(n.Have) > maxIndexes || len(n.Seen) > maxIndexes || len(n.Tried) > maxIndexes
+	n.HeldInRegion = append(n.HeldInRegion, a.Seen...)
+	n.Retrying = append(n.Retrying, a.Tried...)
+	full := len(n.Have) > maxIndexes || len(n.HeldInRegion) > maxIndexes || len(n.Retrying) > maxIndexes
 	c.mu.Unlock()
-	c.signal(full)
+	c.wakeOrClose(full)
 }
 
-func (c *conn) signal(full bool) {
+// wakeOrClose wakes writeLoop, or closes the connection if a queue is full.
+func (c *conn) wakeOrClose(full bool) {
 	if full {
 		c.Close()
 		return
@@ -90,14 +95,15 @@
 	}
 }
 
-// take returns the queued control messages, or one block when there are none.
-func (c *conn) take() ([]frame.Message, *block) {
+// dequeue returns all queued control messages and updates, or one block if
+// there are none.
+func (c *conn) dequeue() ([]frame.Message, *block) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []frame.Message
-	for id, n := range c.news {
+	for id, n := range c.updates {
 		out = append(out, n)
-		delete(c.news, id)
+		delete(c.updates, id)
 	}
 	out = append(out, c.control...)
 	c.control = nil
@@ -109,12 +115,13 @@
 	return nil, b
 }
 
-// write writes queued messages until ctx ends or the connection fails.
-func (n *Node) write(ctx context.Context, c *conn) error {
+// writeLoop writes queued messages, and a ping when there are none for
+// pingInterval, until ctx ends or the connection fails.
+func (n *Node) writeLoop(ctx context.Context, c *conn) error {
 	for {
-		msgs, b := c.take()
+		msgs, b := c.dequeue()
 		if b != nil {
-			if err := n.cross(ctx, c, len(b.Data)); err != nil {
+			if err := n.shapeBlock(ctx, c, len(b.Data)); err != nil {
 				return err
 			}
 			msgs = append(msgs, b)
@@ -125,19 +132,20 @@
 				return ctx.Err()
 			case <-c.wake:
 				continue
-			case <-n.Clock.After(pingEvery):
+			case <-n.Clock.After(pingInterval):
 				msgs = append(msgs, &ping{})
 			}
 		}
-		if err := n.writeAll(c, msgs); err != nil {
+		if err := n.writeMessages(c, msgs); err != nil {
 			return err
 		}
 	}
 }
 
-func (n *Node) writeAll(c *conn, msgs []frame.Message) error {
+// writeMessages writes messages with a common deadline.
+func (n *Node) writeMessages(c *conn, msgs []frame.Message) error {
 	if err := c.SetWriteDeadline(n.Clock.Now().Add(writeTimeout)); err != nil {
-		return fault.At("send", c.name(), err)
+		return fault.At("send", c.peerName(), err)
 	}
 	for _, m := range msgs {
 		if err := c.Send(m); err != nil {
@@ -147,63 +155,67 @@
 	return nil
 }
 
-func (n *Node) cross(ctx context.Context, c *conn, size int) error {
+// shapeBlock waits for the Shaper, if one is set.
+func (n *Node) shapeBlock(ctx context.Context, c *conn, size int) error {
 	if n.Shaper == nil {
 		return nil
 	}
 	return n.Shaper.Shape(ctx, n.Self.VM, c.Peer.VM, size)
 }
 
-// read hands each message to the node until the connection ends.
-func (n *Node) read(c *conn) error {
+// readLoop reads and handles messages until the connection fails.
+func (n *Node) readLoop(c *conn) error {
 	for {
-		if err := c.SetReadDeadline(n.Clock.Now().Add(silence)); err != nil {
-			return fault.At("receive", c.name(), err)
+		if err := c.SetReadDeadline(n.Clock.Now().Add(readTimeout)); err != nil {
+			return fault.At("receive", c.peerName(), err)
 		}
 		m, err := c.Receive()
 		if err != nil {
 			return err
 		}
-		if err := n.take(c, m); err != nil {
+		if err := n.handleMessage(c, m); err != nil {
 			return err
 		}
 	}
 }
 
-func (n *Node) take(c *conn, m frame.Message) error {
+// handleMessage handles one message of a peer.
+func (n *Node) handleMessage(c *conn, m frame.Message) error {
 	switch m := m.(type) {
-	case *maps:
-		n.do(func(s *state) { s.add(s.core.Greeted(s.now, c.name(), m.Manifest, m.Have, m.Seen)) })
-	case *news:
-		n.do(func(s *state) {
-			s.add(s.core.Announced(s.now, c.name(), m.Manifest, m.Have, m.Seen))
-			s.add(s.core.Tried(s.now, c.name(), m.Manifest, m.Tried))
+	case *chunkSets:
+		n.withState(func(s *state) {
+			s.addActions(s.distribution.Greeted(s.now, c.peerName(), m.Manifest, m.Have, m.HeldInRegion))
 		})
-	case *gone:
-		n.do(func(s *state) { s.add(s.core.SidesGone(s.now, c.name(), m.Sides)) })
+	case *chunkUpdate:
+		n.withState(func(s *state) {
+			s.addActions(s.distribution.Announced(s.now, c.peerName(), m.Manifest, m.Have, m.HeldInRegion))
+			s.addActions(s.distribution.Tried(s.now, c.peerName(), m.Manifest, m.Retrying))
+		})
+	case *downSides:
+		n.withState(func(s *state) { s.addActions(s.distribution.SidesGone(s.now, c.peerName(), m.Sides)) })
 	case *offer:
-		n.do(func(s *state) { s.add(s.core.Offered(s.now, c.name())) })
-	case *pass:
-		n.do(func(s *state) { s.add(s.core.Passed(s.now, c.name())) })
-	case *ready:
-		n.do(func(s *state) { s.add(s.core.Readied(s.now, c.name())) })
-	case *want:
-		n.uploads.request(c, m)
-	case *drop:
+		n.withState(func(s *state) { s.addActions(s.distribution.Offered(s.now, c.peerName())) })
+	case *refuseOffer:
+		n.withState(func(s *state) { s.addActions(s.distribution.Passed(s.now, c.peerName())) })
+	case *acceptOffers:
+		n.withState(func(s *state) { s.addActions(s.distribution.Readied(s.now, c.peerName())) })
+	case *blockRequest:
+		n.uploads.handleRequest(c, m)
+	case *cancelTransfer:
 		n.uploads.cancel(c, m.transferID)
 	case *block:
-		n.deliver(c, m)
-	case *lacks:
-		n.lacking(c, m.transferID)
-	case *later:
-		n.deferred(c, m.transferID)
-	case *askManifest:
+		n.handleBlock(c, m)
+	case *refuseRequest:
+		n.handleRefusal(c, m.transferID)
+	case *deferRequest:
+		n.handleDeferral(c, m.transferID)
+	case *manifestRequest:
 		n.serveManifest(c, m.Manifest)
-	case *part:
-		n.takePart(c, m)
+	case *manifestPart:
+		n.addManifestPart(c, m)
 	case *ping:
 	default:
-		return fault.At("receive", c.name(), errors.Newf("unexpected message %s", m.Kind()))
+		return fault.At("receive", c.peerName(), errors.Newf("unexpected message %s", m.Kind()))
 	}
 	return nil
 }
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -12,201 +12,215 @@
 	"hawthornferry/io/version/pace"
 )
 
-// DefaultBlockTime and crossBlockTime are what one block may take on a machine's
-// link and on a region link, leastBlock the size under which the cost of a message
-// is more than it saves.
 const (
+	// DefaultBlockTime is the longest time that one block may occupy a machine's
+	// own link.
 	DefaultBlockTime = 4 * time.Millisecond
 
-	crossBlockTime = 2 * time.Millisecond
-	leastBlock     = 2 << 10
+	// regionBlockTime is the same for the link between regions.
+	regionBlockTime = 2 * time.Millisecond
+	// minBlockSize is the size below which the overhead of a message outweighs
+	// the shorter delay of live calls.
+	minBlockSize = 2 << 10
 )
 
-// window is how many blocks of a chunk are asked for ahead.
-const window = 4
+// requestWindow is how many blocks of one chunk may be requested and not yet
+// received.
+const requestWindow = 4
 
-// incoming is one chunk on its way to this side.
+// incoming is the transfer of one chunk to this side.
 type incoming struct {
 	id     transferID
 	fetch  burst.Fetch
 	cancel context.CancelCauseFunc
 	blocks chan *block
-	// later tells that the peer wants the chunk too and still lacks it.
-	later chan struct{}
+	// deferred signals that the peer wants the chunk too but does not hold it
+	// yet.
+	deferred chan struct{}
 }
 
-// errLacks ends a transfer from a peer that does not have the chunk.
-var errLacks = errors.New("peer does not have the chunk")
+// errNotHeld ends a transfer from a peer that refused to send the chunk.
+var errNotHeld = errors.New("peer does not have the chunk")
 
-// errStopped ends a transfer that was stopped on purpose.
+// errStopped ends a transfer that was stopped on purpose. It is not counted as
+// a failure.
 var errStopped = errors.New("stopped")
 
-// fetch starts a transfer; it is called with the state locked.
-func (n *Node) fetch(s *state, f burst.Fetch) {
+// startTransfer starts the transfer of a chunk in the background. The caller
+// holds n.mu.
+func (n *Node) startTransfer(s *state, f burst.Fetch) {
 	ctx, cancel := context.WithCancelCause(n.ctx)
-	s.transfers++
-	id := transferID{Chunk: f.Chunk.Digest, Number: s.transfers}
-	in := &incoming{id: id, fetch: f, cancel: cancel, blocks: make(chan *block, 2*window), later: make(chan struct{}, 1)}
+	s.transfersStarted++
+	id := transferID{Chunk: f.Chunk.Digest, Number: s.transfersStarted}
+	in := &incoming{id: id, fetch: f, cancel: cancel, blocks: make(chan *block, 2*requestWindow), deferred: make(chan struct{}, 1)}
 	s.incoming[f.Chunk.Digest] = in
 	n.spawn(s, func() {
 		defer cancel(nil)
-		n.carry(ctx, in)
+		n.runTransfer(ctx, in)
 	})
 }
 
-func (n *Node) carry(ctx context.Context, in *incoming) {
-	b, err := n.obtain(ctx, in)
+// runTransfer downloads a chunk, stages it and reports the outcome.
+func (n *Node) runTransfer(ctx context.Context, in *incoming) {
+	b, err := n.download(ctx, in)
 	if err == nil {
 		err = fault.At("stage chunk", "engine", n.Staging.Put(ctx, in.fetch.Chunk.Digest, b))
 	}
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
 	}
-	n.finish(in, b, err)
+	n.finishTransfer(in, b, err)
 }
 
-func (n *Node) obtain(ctx context.Context, in *incoming) ([]byte, error) {
+// download returns a verified chunk from the origin or a peer.
+func (n *Node) download(ctx context.Context, in *incoming) ([]byte, error) {
 	if in.fetch.Via == burst.ViaOrigin {
-		return n.draw(ctx, in)
+		return n.downloadFromOrigin(ctx, in)
 	}
-	c, err := n.connTo(ctx, in.fetch.Peer)
+	c, err := n.connectTo(ctx, in.fetch.Peer)
 	if err != nil {
 		return nil, err
 	}
-	b, err := n.receive(ctx, c, in)
+	b, err := n.downloadFromPeer(ctx, c, in)
 	if err != nil {
-		c.send(&drop{transferID: in.id})
+		c.queueControl(&cancelTransfer{transferID: in.id})
 		return nil, err
 	}
-	if got := chunk.Sum(b); got != in.fetch.Chunk.Digest {
-		err := errors.Wrapf(errCorrupt, "digest %s, want %s", got, in.fetch.Chunk.Digest)
+	if digest := chunk.Sum(b); digest != in.fetch.Chunk.Digest {
+		err := errors.Wrapf(errCorrupt, "digest %s, want %s", digest, in.fetch.Chunk.Digest)
 		return nil, fault.At("verify chunk", in.fetch.Peer, err)
 	}
 	return b, nil
 }
 
-// draw gets a chunk from the origin.
-func (n *Node) draw(ctx context.Context, in *incoming) ([]byte, error) {
+// downloadFromOrigin reads a chunk from the origin, or from Source when that
+// is set.
+func (n *Node) downloadFromOrigin(ctx context.Context, in *incoming) ([]byte, error) {
 	size := in.fetch.Chunk.Size
 	if err := n.Inflow.Acquire(ctx, size); err != nil {
 		return nil, err
 	}
 	var got int64
 	defer func() { n.Inflow.Release(size, got) }()
-	n.requested(in)
+	n.requestSent(in)
 	return n.source.Chunk(ctx, in.fetch.Chunk, func(k int) {
 		got += int64(k)
 		n.counters.origin.Inc(int64(k))
-		n.advance(in)
+		n.bytesReceived(in)
 	})
 }
 
-// receive asks for a chunk block by block, each when the links allow it, and
-// puts it together.
-func (n *Node) receive(ctx context.Context, c *conn, in *incoming) ([]byte, error) {
+// downloadFromPeer requests a chunk block by block at the rate that the links
+// allow and assembles it. The result is not verified yet.
+func (n *Node) downloadFromPeer(ctx context.Context, c *conn, in *incoming) ([]byte, error) {
 	size := in.fetch.Chunk.Size
 	buf := make([]byte, size)
-	share := n.shareLine(in.fetch.Share)
-	piece := n.pieceSize(in.fetch.Via)
-	var paced, asked, got int64
-	flow := inflow{window: n.Inflow}
-	defer flow.end()
-	for got < size {
-		for asked < size && asked-got < ahead(got, piece) {
-			k := min(piece, size-asked)
-			if paced == asked {
-				if err := n.waitLinks(ctx, share, in.fetch.Via, int(k)); err != nil {
+	share := n.importLine(in.fetch.Share)
+	blockSize := n.requestSize(in.fetch.Via)
+	var paced, requested, received int64
+	out := outstanding{window: n.Inflow}
+	defer out.finish()
+	for received < size {
+		for requested < size && requested-received < maxOutstanding(received, blockSize) {
+			k := min(blockSize, size-requested)
+			if paced == requested {
+				if err := n.waitForLinks(ctx, share, in.fetch.Via, int(k)); err != nil {
 					return nil, err
 				}
 				paced += k
 			}
-			room, err := flow.ask(ctx, k)
+			allowed, err := out.reserve(ctx, k)
 			if err != nil {
 				return nil, err
 			}
-			if !room {
+			if !allowed {
 				break
 			}
-			if asked == 0 {
-				n.requested(in)
+			if requested == 0 {
+				n.requestSent(in)
 			}
-			c.send(&want{transferID: in.id, Offset: asked, Length: k})
-			asked += k
-			if asked == size {
-				n.do(func(s *state) { s.add(s.core.Asked(s.now, in.fetch.Chunk.Digest)) })
+			c.queueControl(&blockRequest{transferID: in.id, Offset: requested, Length: k})
+			requested += k
+			if requested == size {
+				n.withState(func(s *state) { s.addActions(s.distribution.Asked(s.now, in.fetch.Chunk.Digest)) })
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-in.later:
-			flow.waive()
+		case <-in.deferred:
+			out.releaseAll()
 		case b := <-in.blocks:
-			if b.Offset != got || b.Offset+int64(len(b.Data)) > asked {
-				err := errors.Wrapf(errCorrupt, "block at %d of %d bytes, want offset %d up to %d", b.Offset, len(b.Data), got, asked)
-				return nil, fault.At("receive chunk", c.name(), err)
+			if b.Offset != received || b.Offset+int64(len(b.Data)) > requested {
+				err := errors.Wrapf(errCorrupt, "block at %d of %d bytes, want offset %d up to %d", b.Offset, len(b.Data), received, requested)
+				return nil, fault.At("receive chunk", c.peerName(), err)
 			}
-			got += int64(copy(buf[got:], b.Data))
-			flow.came(int64(len(b.Data)))
-			n.count(in.fetch.Via, int64(len(b.Data)))
-			n.advance(in)
+			received += int64(copy(buf[received:], b.Data))
+			out.releaseOldest(int64(len(b.Data)))
+			n.countReceived(in.fetch.Via, int64(len(b.Data)))
+			n.bytesReceived(in)
 		}
 	}
 	return buf, nil
 }
 
-// pieceSize is the size of the blocks to ask for: what the link carries in a
-// few milliseconds, since a live call may wait behind a block of each transfer
-// that shares the link.
-func (n *Node) pieceSize(v burst.Via) int64 {
+// requestSize returns the size of the blocks to request: as much as the link
+// carries in a few milliseconds, since a live call may have to wait for one
+// block of each transfer on that link.
+func (n *Node) requestSize(v burst.Via) int64 {
 	rate := float64(n.pacer.Down.Rate)
-	most := n.BlockTime
+	maxTime := n.BlockTime
 	if v == burst.ViaImport {
 		rate = n.pacer.RegionLeft(n.sidesInRegion())
-		most = crossBlockTime
+		maxTime = regionBlockTime
 	}
 	if rate <= 0 {
 		return n.BlockSize
 	}
-	return min(max(int64(rate*most.Seconds()), leastBlock), n.BlockSize)
+	return min(max(int64(rate*maxTime.Seconds()), minBlockSize), n.BlockSize)
 }
 
-func (n *Node) requested(in *incoming) {
+// requestSent tells the distribution that the first bytes of a chunk have been
+// requested.
+func (n *Node) requestSent(in *incoming) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if d := in.fetch.Chunk.Digest; n.state.incoming[d] == in {
-		n.state.core.Requested(n.Clock.Now(), d)
+		n.state.distribution.Requested(n.Clock.Now(), d)
 	}
 }
 
-func (n *Node) advance(in *incoming) {
-	n.do(func(s *state) {
+// bytesReceived tells the distribution that a transfer has received bytes and
+// is not stalled.
+func (n *Node) bytesReceived(in *incoming) {
+	n.withState(func(s *state) {
 		if d := in.fetch.Chunk.Digest; s.incoming[d] == in {
-			s.add(s.core.Progressed(s.now, d))
+			s.addActions(s.distribution.Progressed(s.now, d))
 		}
 	})
 }
 
-// waitLinks waits until the share of the region link and the machine's own link
-// allow the next k bytes.
-func (n *Node) waitLinks(ctx context.Context, share *pace.Line, v burst.Via, k int) error {
+// waitForLinks waits until both the import's share of the region link and the
+// machine's own link allow k more bytes.
+func (n *Node) waitForLinks(ctx context.Context, share *pace.Line, v burst.Via, k int) error {
 	if err := share.Wait(ctx, k); err != nil {
 		return err
 	}
-	return n.waitDown(ctx, v, k)
+	return n.waitForDownlink(ctx, v, k)
 }
 
-// waitDown paces what comes in. Imports go first: the rest of the region
-// waits for them.
-func (n *Node) waitDown(ctx context.Context, v burst.Via, k int) error {
+// waitForDownlink waits until the machine's own link allows k more bytes.
+// Imports take precedence because the other sides of the region wait for them.
+func (n *Node) waitForDownlink(ctx context.Context, v burst.Via, k int) error {
 	if v == burst.ViaImport {
 		return n.pacer.Down.WaitFirst(ctx, k)
 	}
 	return n.pacer.Down.Wait(ctx, k)
 }
 
-// shareLine paces one import at its share of the region link.
-func (n *Node) shareLine(share float64) *pace.Line {
+// importLine limits one import to its share of the region link. It returns
+// nil, which does not limit, if share is zero, as it is for other transfers.
+func (n *Node) importLine(share float64) *pace.Line {
 	if share <= 0 {
 		return nil
 	}
--- a/io/version/swarm/fail_test.go
+++ b/io/version/swarm/failure_test.go
@@ -14,10 +14,10 @@
 	"hawthornferry/io/version/stage"
 )
 
-// The origin spoils the first answer to each chunk. Whatever the way, the
-// step and the peer are logged, nothing unverified is staged, and a later try
-// brings the chunk.
-func TestOriginSpoilsFirstAnswers(t *testing.T) {
+// The origin answers the first request for each chunk with a fault. The step
+// and the peer must be logged, nothing unverified may be staged, and a later
+// attempt must succeed.
+func TestFirstOriginResponseIsFaulty(t *testing.T) {
 	tests := []struct {
 		name  string
 		spoil func(w http.ResponseWriter, b []byte)
@@ -37,23 +37,25 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newPlatform(t)
+			p := newFakeOrigin(t)
 			d := p.publish(t, "1", 8<<10, seq(0, 6)...)
-			p.answer = func(w http.ResponseWriter, d chunk.Digest, k int) bool {
+			p.answerChunk = func(w http.ResponseWriter, d chunk.Digest, k int) bool {
 				if k == 1 {
 					tc.spoil(w, p.chunks[d])
 				}
 				return k == 1
 			}
 			c := newCluster(t, p, "r1", "r1", "r2")
-			c.want(d, c.nodes...)
-			c.awaitWhole(c.nodes...)
+			c.setWanted(d, c.nodes...)
+			c.awaitVerified(c.nodes...)
 			c.checkStaged(d, c.nodes...)
 			checkLogged(t, c, "transfer chunk", "origin")
 		})
 	}
 }
 
+// checkLogged fails the test unless an error with this step and peer was
+// logged.
 func checkLogged(t *testing.T, c *cluster, step, peer string) {
 	t.Helper()
 	for _, e := range c.logs.AllEntries() {
@@ -64,14 +66,14 @@
 	t.Errorf("no logged error of step %q with peer %q", step, peer)
 }
 
-// The store first sends a manifest that does not have the pinned digest. It
-// is refused and logged; the right one is read later.
-func TestWrongManifestIsRefused(t *testing.T) {
-	p := newPlatform(t)
+// The store first sends a manifest with another digest than the one requested.
+// It must be rejected and logged, and read again.
+func TestManifestWithWrongDigestIsRejected(t *testing.T) {
+	p := newFakeOrigin(t)
 	d := p.publish(t, "1", 1<<10, seq(0, 4)...)
 	right := p.manifests[d]
 	wrong := 0
-	p.manifest = func(w http.ResponseWriter) bool {
+	p.answerManifest = func(w http.ResponseWriter) bool {
 		wrong++
 		if wrong == 1 {
 			w.Write(append(slices.Clone(right), ' '))
@@ -79,15 +81,15 @@
 		return wrong == 1
 	}
 	c := newCluster(t, p, "r1")
-	c.want(d, c.nodes...)
-	c.awaitWhole(c.nodes...)
+	c.setWanted(d, c.nodes...)
+	c.awaitVerified(c.nodes...)
 	checkLogged(t, c, "read manifest", p.addr().String())
 }
 
-// badStaging gives back chunks with a bit flipped.
-type badStaging struct{ stage.Memory }
+// corruptStaging returns every chunk with one bit flipped.
+type corruptStaging struct{ stage.Memory }
 
-func (s *badStaging) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
+func (s *corruptStaging) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
 	b, err := s.Memory.Get(ctx, d)
 	b = slices.Clone(b)
 	if len(b) > 0 {
@@ -96,44 +98,46 @@
 	return b, err
 }
 
-// A side's engine has corrupted what was staged; the side reads it back for
-// every upload. Its peers find each chunk corrupt, log it with the side's
-// name, stage nothing of it and get whole from elsewhere.
+// The engine of one side has corrupted its staged chunks, and the side reads
+// them back for every upload. Its peers must detect each corrupt chunk, log it
+// with the name of that side, stage nothing of it and get the chunk from
+// elsewhere.
 func TestPeerSendsCorruptChunks(t *testing.T) {
-	p := newPlatform(t)
+	p := newFakeOrigin(t)
 	d := p.publish(t, "1", 8<<10, seq(0, 12)...)
-	c := newClusterWith(t, p, 50*time.Millisecond, "r1", "r1", "r1")
+	c := newClusterWithTimeout(t, p, 50*time.Millisecond, "r1", "r1", "r1")
 	bad := c.nodes[1]
-	bad.Staging = &badStaging{}
+	bad.Staging = &corruptStaging{}
 	bad.cache.max = 1
-	c.want(d, c.nodes...)
+	c.setWanted(d, c.nodes...)
 	good := []*Node{c.nodes[0], c.nodes[2]}
-	c.awaitWhole(good...)
+	c.awaitVerified(good...)
 	c.checkStaged(d, good...)
 	checkLogged(t, c, "transfer chunk", bad.Self.VM.Name)
 }
 
-// A side dies while the version spreads. The others end whole: its transfers
-// end with its connections and the next in rank steps in for its chunks.
-func TestSideDiesMidway(t *testing.T) {
-	p := newPlatform(t)
+// A side stops while a version is being distributed. The other sides must
+// still complete it: their transfers from that side end with the connection,
+// and the next side in rank fetches its chunks.
+func TestSideStopsMidway(t *testing.T) {
+	p := newFakeOrigin(t)
 	d := p.publish(t, "1", 64<<10, seq(0, 30)...)
-	c := newClusterWith(t, p, 50*time.Millisecond, "r1", "r1", "r1", "r2", "r2")
+	c := newClusterWithTimeout(t, p, 50*time.Millisecond, "r1", "r1", "r1", "r2", "r2")
 	dying := c.vms[1].Name
-	p.answer = func(_ http.ResponseWriter, _ chunk.Digest, _ int) bool {
-		p.once.Do(func() { go c.stops[1]() })
+	p.answerChunk = func(_ http.ResponseWriter, _ chunk.Digest, _ int) bool {
+		p.stopOnce.Do(func() { go c.stops[1]() })
 		return false
 	}
-	c.want(d, c.nodes...)
+	c.setWanted(d, c.nodes...)
 	living := slices.DeleteFunc(slices.Clone(c.nodes), func(n *Node) bool { return n.Self.VM.Name == dying })
-	c.awaitWhole(living...)
+	c.awaitVerified(living...)
 	c.checkStaged(d, living...)
 }
 
-// A side is replaced: the new process finds in the engine's staging area what
-// the old one left, one chunk of it spoiled. What verifies is not drawn again.
-func TestNewProcessKeepsWhatIsStaged(t *testing.T) {
-	p := newPlatform(t)
+// A side is replaced by a new process that finds the staged chunks of the old
+// one, one of them damaged. Only the damaged one may be fetched again.
+func TestNewProcessReusesStagedChunks(t *testing.T) {
+	p := newFakeOrigin(t)
 	d := p.publish(t, "1", 4<<10, seq(0, 10)...)
 	c := newCluster(t, p, "r1")
 	m, err := chunk.Decode(p.manifests[d], d)
@@ -149,28 +153,28 @@
 			t.Fatal(err)
 		}
 	}
-	c.want(d, c.nodes...)
-	c.awaitWhole(c.nodes...)
+	c.setWanted(d, c.nodes...)
+	c.awaitVerified(c.nodes...)
 	c.checkStaged(d, c.nodes...)
-	if diff := cmp.Diff(map[chunk.Digest]int{m.Chunks[3].Digest: 1}, p.drawn); diff != "" {
-		t.Errorf("drawn (-want +got):\n%s", diff)
+	if diff := cmp.Diff(map[chunk.Digest]int{m.Chunks[3].Digest: 1}, p.chunkRequests); diff != "" {
+		t.Errorf("requests for chunks (-want +got):\n%s", diff)
 	}
 }
 
-// The next version shares half its chunks with the one that is held. Only the
-// new half is drawn, and what no version wants any more is dropped from the
-// staging area.
-func TestNextVersionDrawsOnlyWhatIsNew(t *testing.T) {
-	p := newPlatform(t)
+// The next version shares half its chunks with the held one. Only the new half
+// may be fetched. The test does not check that chunks of no wanted version are
+// discarded.
+func TestNextVersionFetchesOnlyNewChunks(t *testing.T) {
+	p := newFakeOrigin(t)
 	one := p.publish(t, "1", 4<<10, seq(0, 10)...)
 	two := p.publish(t, "2", 4<<10, seq(5, 10)...)
 	c := newCluster(t, p, "r1", "r1")
-	c.want(one, c.nodes...)
-	c.awaitWhole(c.nodes...)
-	c.want(two, c.nodes...)
-	c.awaitWhole(c.nodes...)
+	c.setWanted(one, c.nodes...)
+	c.awaitVerified(c.nodes...)
+	c.setWanted(two, c.nodes...)
+	c.awaitVerified(c.nodes...)
 	c.checkStaged(two, c.nodes...)
-	if diff := cmp.Diff(15, p.draws()); diff != "" {
-		t.Errorf("chunks drawn (-want +got):\n%s", diff)
+	if diff := cmp.Diff(15, p.totalChunkRequests()); diff != "" {
+		t.Errorf("chunks fetched (-want +got):\n%s", diff)
 	}
 }
--- a/io/version/swarm/manifest.go
+++ b/io/version/swarm/manifest.go
@@ -12,26 +12,30 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Bounds of manifests between sides.
+// Limits of manifest requests between sides.
 const (
-	// manifestFanout is how many sides ask one side for a manifest. The
-	// store is limited in requests: with each side reading from it, a large
-	// fleet would be refused for minutes. So one side of a region reads,
-	// and the others ask along a tree by rank.
-	manifestFanout   = 4
-	peerManifestWait = 5 * time.Second
-	// peerManifestTries is two, since two sides that dial each other at the
-	// same moment drop one of the connections and what was asked on it.
-	peerManifestTries = 2
-	maxManifestAsks   = 64
+	// manifestFanout is how many sides request a manifest from the same side.
+	// The store limits the number of requests: if every side of a large fleet
+	// read from it, it would refuse some of them for minutes. So one side of
+	// each region reads from the store and the others form a tree, ordered by
+	// rank, in which each requests the manifest from its parent.
+	manifestFanout      = 4
+	peerManifestTimeout = 5 * time.Second
+	// peerManifestAttempts is two because when two sides dial each other at
+	// the same moment one of the connections is closed and the request on it
+	// is lost.
+	peerManifestAttempts = 2
+	// maxManifestRequests limits the peers that wait for one manifest, and the
+	// early requests for all manifests.
+	maxManifestRequests = 64
 )
 
-// askManifest asks for a manifest; part carries a piece of one.
+// manifestRequest requests a manifest; manifestPart carries a piece of one.
 type (
-	askManifest struct {
+	manifestRequest struct {
 		Manifest chunk.Digest `msgpack:"manifest"`
 	}
-	part struct {
+	manifestPart struct {
 		Manifest chunk.Digest `msgpack:"manifest"`
 		Offset   int64        `msgpack:"offset"`
 		Total    int64        `msgpack:"total"`
@@ -39,16 +43,16 @@
 	}
 )
 
-func (*askManifest) Kind() frame.Kind { return "askManifest" }
-func (*part) Kind() frame.Kind        { return "part" }
+func (*manifestRequest) Kind() frame.Kind { return "askManifest" }
+func (*manifestPart) Kind() frame.Kind    { return "part" }
 
-// Check reports whether the manifest is named by a digest.
-func (m *askManifest) Check() error { return m.Manifest.Check() }
+// Check reports whether Manifest is a valid digest.
+func (m *manifestRequest) Check() error { return m.Manifest.Check() }
 
-// Check reports the first field that is out of its domain.
-func (m *part) Check() error {
-	if len(m.Data) == 0 || len(m.Data) > MaxBlock {
-		return errors.Newf("part: %d bytes, want 1 to %d", len(m.Data), MaxBlock)
+// Check reports the first field that is out of range.
+func (m *manifestPart) Check() error {
+	if len(m.Data) == 0 || len(m.Data) > MaxBlockSize {
+		return errors.Newf("part: %d bytes, want 1 to %d", len(m.Data), MaxBlockSize)
 	}
 	if m.Total <= 0 || m.Total > maxManifest {
 		return errors.Newf("part: total %d, want 1 to %d", m.Total, maxManifest)
@@ -59,46 +63,48 @@
 	return m.Manifest.Check()
 }
 
-// manifestAsk is a manifest on its way from a peer.
-type manifestAsk struct {
+// pendingManifest is a manifest that was requested from a peer. done is closed
+// when it is complete or the connection is lost.
+type pendingManifest struct {
 	peer string
 	data []byte
 	done chan struct{}
 }
 
-// obtainManifest gets a manifest from the side above this one in the region's
-// tree, or from the store when there is none or it does not answer in time.
-func (n *Node) obtainManifest(ctx context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
-	for range peerManifestTries {
+// fetchManifest gets a manifest from this side's parent in the region's tree,
+// or from the store if there is no parent or it does not answer in time.
+func (n *Node) fetchManifest(ctx context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
+	for range peerManifestAttempts {
 		if n.Source != nil {
 			break
 		}
-		peer := n.manifestPeer(d)
+		peer := n.manifestParent(d)
 		if peer == "" {
 			break
 		}
-		m, b, err := n.manifestFrom(ctx, peer, d)
+		m, b, err := n.requestManifest(ctx, peer, d)
 		if err == nil {
 			return m, b, nil
 		}
-		n.reportUnlessStopped("read manifest", peer, err)
+		n.logErrorUnlessStopped("read manifest", peer, err)
 	}
 	return n.source.Manifest(ctx, d)
 }
 
-// endAsks ends what was asked of a peer whose connection is gone; it is
-// called with the state locked.
-func (s *state) endAsks(peer string) {
-	for d, ask := range s.asks {
-		if ask.peer == peer {
-			delete(s.asks, d)
-			close(ask.done)
+// endManifestRequests ends the manifest requests to a peer whose connection
+// was lost. The caller holds the node's mutex.
+func (s *state) endManifestRequests(peer string) {
+	for d, pending := range s.pendingManifests {
+		if pending.peer == peer {
+			delete(s.pendingManifests, d)
+			close(pending.done)
 		}
 	}
 }
 
-// manifestPeer is the side to ask for a manifest, empty for the store.
-func (n *Node) manifestPeer(d chunk.Digest) string {
+// manifestParent returns the side to request a manifest from, or "" if this
+// side must read it from the store.
+func (n *Node) manifestParent(d chunk.Digest) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var names []string
@@ -116,97 +122,103 @@
 	return ""
 }
 
-func (n *Node) manifestFrom(ctx context.Context, peer string, d chunk.Digest) (chunk.Manifest, []byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, peerManifestWait)
+// requestManifest requests a manifest from a peer and verifies it.
+func (n *Node) requestManifest(ctx context.Context, peer string, d chunk.Digest) (chunk.Manifest, []byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, peerManifestTimeout)
 	defer cancel()
-	c, err := n.connTo(ctx, peer)
+	c, err := n.connectTo(ctx, peer)
 	if err != nil {
 		return chunk.Manifest{}, nil, err
 	}
-	ask := &manifestAsk{peer: peer, done: make(chan struct{})}
-	n.setAsk(d, ask)
-	defer n.setAsk(d, nil)
-	c.send(&askManifest{Manifest: d})
+	pending := &pendingManifest{peer: peer, done: make(chan struct{})}
+	n.setPendingManifest(d, pending)
+	defer n.setPendingManifest(d, nil)
+	c.queueControl(&manifestRequest{Manifest: d})
 	select {
-	case <-ask.done:
+	case <-pending.done:
 	case <-ctx.Done():
 		return chunk.Manifest{}, nil, fault.At("ask for manifest", peer, ctx.Err())
 	}
-	m, err := chunk.Decode(ask.data, d)
-	return m, ask.data, fault.At("check manifest", peer, err)
+	m, err := chunk.Decode(pending.data, d)
+	return m, pending.data, fault.At("check manifest", peer, err)
 }
 
-func (n *Node) setAsk(d chunk.Digest, ask *manifestAsk) {
+// setPendingManifest records a manifest request; nil removes it.
+func (n *Node) setPendingManifest(d chunk.Digest, pending *pendingManifest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ask == nil {
-		delete(n.state.asks, d)
+	if pending == nil {
+		delete(n.state.pendingManifests, d)
 		return
 	}
-	n.state.asks[d] = ask
+	n.state.pendingManifests[d] = pending
 }
 
-// takePart adds a piece of a manifest that was asked for. Pieces come in
-// order; any other is dropped, and the ask then ends at its timeout.
-func (n *Node) takePart(c *conn, p *part) {
+// addManifestPart appends a piece of a requested manifest. Pieces arrive in
+// order; any other is ignored, and the request then ends with a timeout.
+func (n *Node) addManifestPart(c *conn, p *manifestPart) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	ask := n.state.asks[p.Manifest]
-	if ask == nil || ask.peer != c.name() || p.Offset != int64(len(ask.data)) {
+	pending := n.state.pendingManifests[p.Manifest]
+	if pending == nil || pending.peer != c.peerName() || p.Offset != int64(len(pending.data)) {
 		return
 	}
-	ask.data = append(ask.data, p.Data...)
-	if int64(len(ask.data)) == p.Total {
-		close(ask.done)
-		delete(n.state.asks, p.Manifest)
+	pending.data = append(pending.data, p.Data...)
+	if int64(len(pending.data)) == p.Total {
+		close(pending.done)
+		delete(n.state.pendingManifests, p.Manifest)
 	}
 }
 
-// serveManifest answers a peer's ask now, or once the manifest is read.
+// serveManifest answers a peer's request for a manifest, once the manifest has
+// been read.
 func (n *Node) serveManifest(c *conn, d chunk.Digest) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := n.state.manifests[d]
-	if k == nil {
-		n.state.keepEarly(c, d)
+	entry := n.state.manifests[d]
+	if entry == nil {
+		n.state.addEarlyRequest(c, d)
 		return
 	}
-	if len(k.waiting) >= maxManifestAsks {
+	if len(entry.waitingPeers) >= maxManifestRequests {
 		return
 	}
-	if !k.ready {
-		k.waiting = append(k.waiting, c)
+	if !entry.ready {
+		entry.waitingPeers = append(entry.waitingPeers, c)
 		return
 	}
-	sendManifest(c, d, k.raw)
+	sendManifest(c, d, entry.encoded)
 }
 
-// keepEarly remembers an ask for a manifest that this side has not heard of.
-// Documents reach the sides of a region some milliseconds apart; dropped, the
-// ask would end by its timeout, and the asker, without a manifest for that
-// long, would neither draw its chunks nor pass them on. All are forgotten at
-// the bound, which only asks for what no document names can reach.
-func (s *state) keepEarly(c *conn, d chunk.Digest) {
-	if s.earlyAsks >= maxManifestAsks || s.early == nil {
-		s.early = map[chunk.Digest][]*conn{}
-		s.earlyAsks = 0
-	}
-	s.early[d] = append(s.early[d], c)
-	s.earlyAsks++
+// addEarlyRequest records a request for a manifest that this side does not
+// want yet. The environment document reaches the sides of a region some
+// milliseconds apart. If such a request were ignored, the peer would wait for
+// its timeout and could until then neither fetch chunks of the version nor
+// pass them on. All early requests are discarded when there are
+// maxManifestRequests of them; only requests for manifests that no document
+// names can add up to so many.
+func (s *state) addEarlyRequest(c *conn, d chunk.Digest) {
+	if s.earlyRequestCount >= maxManifestRequests || s.earlyRequests == nil {
+		s.earlyRequests = map[chunk.Digest][]*conn{}
+		s.earlyRequestCount = 0
+	}
+	s.earlyRequests[d] = append(s.earlyRequests[d], c)
+	s.earlyRequestCount++
 }
 
-// takeEarly returns the asks for a manifest that came before it was wanted.
-func (s *state) takeEarly(d chunk.Digest) []*conn {
-	out := s.early[d]
-	delete(s.early, d)
-	s.earlyAsks -= len(out)
+// takeEarlyRequests removes and returns the early requests for a manifest.
+func (s *state) takeEarlyRequests(d chunk.Digest) []*conn {
+	out := s.earlyRequests[d]
+	delete(s.earlyRequests, d)
+	s.earlyRequestCount -= len(out)
 	return out
 }
 
-func sendManifest(c *conn, d chunk.Digest, raw []byte) {
-	total := int64(len(raw))
-	for off := int64(0); off < total; off += MaxBlock {
-		end := min(off+MaxBlock, total)
-		c.send(&part{Manifest: d, Offset: off, Total: total, Data: raw[off:end]})
+// sendManifest queues a manifest in parts of at most MaxBlockSize bytes.
+func sendManifest(c *conn, d chunk.Digest, encoded []byte) {
+	total := int64(len(encoded))
+	for off := int64(0); off < total; off += MaxBlockSize {
+		end := min(off+MaxBlockSize, total)
+		c.queueControl(&manifestPart{Manifest: d, Offset: off, Total: total, Data: encoded[off:end]})
 	}
 }
--- a/io/version/swarm/messages.go
+++ b/io/version/swarm/messages.go
@@ -8,57 +8,61 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// MaxBlock is the most bytes of a chunk that one message carries. It is well
-// under frame.MaxFrame, so that pacing is smooth and a live call never waits
-// behind much.
-const MaxBlock = 256 << 10
+// MaxBlockSize is the maximum number of bytes of a chunk in one message. It is
+// well below frame.MaxFrame so that transfers are paced in small steps and a
+// live call never waits for a long message.
+const MaxBlockSize = 256 << 10
 
-// maxIndexes bounds the indexes in one message.
+// maxIndexes is the maximum number of chunk indexes in one message.
 const maxIndexes = chunk.MaxChunks
 
-// maps tells all that the sender knows of one manifest's chunks.
-type maps struct {
-	Manifest chunk.Digest `msgpack:"manifest"`
-	Have     burst.Bits   `msgpack:"have"`
-	Seen     burst.Bits   `msgpack:"seen"`
+// chunkSets contains the complete chunk sets of one manifest: the chunks that
+// the sender holds and those that it knows to be held in its region. It is
+// sent when a connection starts to exchange chunks of the manifest.
+type chunkSets struct {
+	Manifest     chunk.Digest `msgpack:"manifest"`
+	Have         burst.Bits   `msgpack:"have"`
+	HeldInRegion burst.Bits   `msgpack:"seen"`
 }
 
-// news tells of chunks that the sender has come to hold or heard of.
-type news struct {
-	Manifest chunk.Digest `msgpack:"manifest"`
-	Have     []int        `msgpack:"have,omitempty"`
-	Seen     []int        `msgpack:"seen,omitempty"`
-	// Tried are the chunks that some side of the region keeps trying to fetch.
-	Tried []int `msgpack:"tried,omitempty"`
+// chunkUpdate announces changes to the sets of chunkSets.
+type chunkUpdate struct {
+	Manifest     chunk.Digest `msgpack:"manifest"`
+	Have         []int        `msgpack:"have,omitempty"`
+	HeldInRegion []int        `msgpack:"seen,omitempty"`
+	// Retrying lists the chunks that some side of the region keeps trying to
+	// fetch.
+	Retrying []int `msgpack:"tried,omitempty"`
 }
 
-// gone names sides of the region that do not run.
-type gone struct {
+// downSides names sides of the region that do not run.
+type downSides struct {
 	Sides []string `msgpack:"sides"`
 }
 
-// maxGone bounds the sides in one message.
-const maxGone = 1024
+// maxDownSides is the maximum number of sides in one message.
+const maxDownSides = 1024
 
-// offer invites the receiver to ask for one chunk, pass declines, and ready
-// says that an offer would be taken now.
+// offer allows the receiver to request one chunk. refuseOffer declines an
+// offer, and acceptOffers tells a peer whose offer was declined that it may
+// offer again. ping keeps the connection open.
 type (
-	offer struct{}
-	pass  struct{}
-	ready struct{}
-	ping  struct{}
+	offer        struct{}
+	refuseOffer  struct{}
+	acceptOffers struct{}
+	ping         struct{}
 )
 
-// transferID names one transfer of one chunk. The receiver of the chunk numbers
-// its transfers. A transfer that is stopped and begun anew has another number,
-// since messages of both may cross.
+// transferID identifies one transfer of a chunk. The receiving side numbers
+// its transfers. A transfer that is stopped and started again gets a new
+// number, since messages of both may be in flight at the same time.
 type transferID struct {
 	Chunk  chunk.Digest `msgpack:"chunk"`
 	Number uint64       `msgpack:"number"`
 }
 
-// want asks for Length bytes of a chunk from Offset on.
-type want struct {
+// blockRequest requests Length bytes of a chunk from Offset on.
+type blockRequest struct {
 	transferID `msgpack:",inline"`
 
 	Offset int64 `msgpack:"offset"`
@@ -73,46 +77,47 @@
 	Data   []byte `msgpack:"data"`
 }
 
-// lacks answers a want for a chunk that the sender will not send.
-type lacks struct {
+// refuseRequest answers a blockRequest for a chunk that the sender will not
+// send.
+type refuseRequest struct {
 	transferID `msgpack:",inline"`
 }
 
-// later answers a want for a chunk that the sender wants too and still lacks;
-// it is sent once the sender has it.
-type later struct {
+// deferRequest answers a blockRequest for a chunk that the sender wants too
+// but does not hold yet. The blocks follow once the sender holds the chunk.
+type deferRequest struct {
 	transferID `msgpack:",inline"`
 }
 
-// drop withdraws all wants of one transfer.
-type drop struct {
+// cancelTransfer withdraws all requests of one transfer.
+type cancelTransfer struct {
 	transferID `msgpack:",inline"`
 }
 
-func (*maps) Kind() frame.Kind  { return "maps" }
-func (*news) Kind() frame.Kind  { return "news" }
-func (*gone) Kind() frame.Kind  { return "gone" }
-func (*offer) Kind() frame.Kind { return "offer" }
-func (*pass) Kind() frame.Kind  { return "pass" }
-func (*ready) Kind() frame.Kind { return "ready" }
-func (*ping) Kind() frame.Kind  { return "ping" }
-func (*want) Kind() frame.Kind  { return "want" }
-func (*block) Kind() frame.Kind { return "block" }
-func (*lacks) Kind() frame.Kind { return "lacks" }
-func (*later) Kind() frame.Kind { return "later" }
-func (*drop) Kind() frame.Kind  { return "drop" }
-
-// Check reports the first field that is out of its domain.
-func (m *maps) Check() error {
-	if len(m.Have) > maxIndexes/8 || len(m.Seen) > maxIndexes/8 {
+func (*chunkSets) Kind() frame.Kind      { return "maps" }
+func (*chunkUpdate) Kind() frame.Kind    { return "news" }
+func (*downSides) Kind() frame.Kind      { return "gone" }
+func (*offer) Kind() frame.Kind          { return "offer" }
+func (*refuseOffer) Kind() frame.Kind    { return "pass" }
+func (*acceptOffers) Kind() frame.Kind   { return "ready" }
+func (*ping) Kind() frame.Kind           { return "ping" }
+func (*blockRequest) Kind() frame.Kind   { return "want" }
+func (*block) Kind() frame.Kind          { return "block" }
+func (*refuseRequest) Kind() frame.Kind  { return "lacks" }
+func (*deferRequest) Kind() frame.Kind   { return "later" }
+func (*cancelTransfer) Kind() frame.Kind { return "drop" }
+
+// Check reports the first field that is out of range.
+func (m *chunkSets) Check() error {
+	if len(m.Have) > maxIndexes/8 || len(m.HeldInRegion) > maxIndexes/8 {
 		return errors.Newf("maps: longer than %d chunks", maxIndexes)
 	}
 	return m.Manifest.Check()
 }
 
-// Check reports the first field that is out of its domain.
-func (m *news) Check() error {
-	for _, list := range [][]int{m.Have, m.Seen, m.Tried} {
+// Check reports the first field that is out of range.
+func (m *chunkUpdate) Check() error {
+	for _, list := range [][]int{m.Have, m.HeldInRegion, m.Retrying} {
 		if len(list) > maxIndexes {
 			return errors.Newf("news: more than %d indexes", maxIndexes)
 		}
@@ -126,9 +131,9 @@
 }
 
 // Check reports whether too many sides are named.
-func (m *gone) Check() error {
-	if len(m.Sides) > maxGone {
-		return errors.Newf("gone: more than %d sides", maxGone)
+func (m *downSides) Check() error {
+	if len(m.Sides) > maxDownSides {
+		return errors.Newf("gone: more than %d sides", maxDownSides)
 	}
 	return nil
 }
@@ -136,19 +141,19 @@
 // Check accepts every offer.
 func (*offer) Check() error { return nil }
 
-// Check accepts every pass.
-func (*pass) Check() error { return nil }
+// Check accepts every refuseOffer.
+func (*refuseOffer) Check() error { return nil }
 
-// Check accepts every ready.
-func (*ready) Check() error { return nil }
+// Check accepts every acceptOffers.
+func (*acceptOffers) Check() error { return nil }
 
 // Check accepts every ping.
 func (*ping) Check() error { return nil }
 
-// Check reports the first field that is out of its domain.
-func (m *want) Check() error {
-	if m.Length <= 0 || m.Length > MaxBlock {
-		return errors.Newf("want: length %d, want 1 to %d", m.Length, MaxBlock)
+// Check reports the first field that is out of range.
+func (m *blockRequest) Check() error {
+	if m.Length <= 0 || m.Length > MaxBlockSize {
+		return errors.Newf("want: length %d, want 1 to %d", m.Length, MaxBlockSize)
 	}
 	if m.Offset < 0 || m.Offset > chunk.MaxChunkSize-m.Length {
 		return errors.Newf("want: offset %d out of range", m.Offset)
@@ -156,10 +161,10 @@
 	return m.Chunk.Check()
 }
 
-// Check reports the first field that is out of its domain.
+// Check reports the first field that is out of range.
 func (m *block) Check() error {
-	if len(m.Data) == 0 || len(m.Data) > MaxBlock {
-		return errors.Newf("block: %d bytes, want 1 to %d", len(m.Data), MaxBlock)
+	if len(m.Data) == 0 || len(m.Data) > MaxBlockSize {
+		return errors.Newf("block: %d bytes, want 1 to %d", len(m.Data), MaxBlockSize)
 	}
 	if m.Offset < 0 || m.Offset > chunk.MaxChunkSize-int64(len(m.Data)) {
 		return errors.Newf("block: offset %d out of range", m.Offset)
@@ -167,31 +172,31 @@
 	return m.Chunk.Check()
 }
 
-// Check reports whether the chunk is named by a digest.
-func (m *lacks) Check() error { return m.Chunk.Check() }
+// Check reports whether Chunk is a valid digest.
+func (m *refuseRequest) Check() error { return m.Chunk.Check() }
 
-// Check reports whether the chunk is named by a digest.
-func (m *later) Check() error { return m.Chunk.Check() }
+// Check reports whether Chunk is a valid digest.
+func (m *deferRequest) Check() error { return m.Chunk.Check() }
 
-// Check reports whether the chunk is named by a digest.
-func (m *drop) Check() error { return m.Chunk.Check() }
+// Check reports whether Chunk is a valid digest.
+func (m *cancelTransfer) Check() error { return m.Chunk.Check() }
 
-// kinds are the messages that a connection for weights carries.
-func kinds() frame.Kinds {
+// messageKinds returns the messages that a connection for weights may carry.
+func messageKinds() frame.Kinds {
 	k := frame.Kinds{}
-	k.Register(func() frame.Message { return &maps{} })
-	k.Register(func() frame.Message { return &news{} })
-	k.Register(func() frame.Message { return &gone{} })
+	k.Register(func() frame.Message { return &chunkSets{} })
+	k.Register(func() frame.Message { return &chunkUpdate{} })
+	k.Register(func() frame.Message { return &downSides{} })
 	k.Register(func() frame.Message { return &offer{} })
-	k.Register(func() frame.Message { return &pass{} })
-	k.Register(func() frame.Message { return &ready{} })
+	k.Register(func() frame.Message { return &refuseOffer{} })
+	k.Register(func() frame.Message { return &acceptOffers{} })
 	k.Register(func() frame.Message { return &ping{} })
-	k.Register(func() frame.Message { return &want{} })
+	k.Register(func() frame.Message { return &blockRequest{} })
 	k.Register(func() frame.Message { return &block{} })
-	k.Register(func() frame.Message { return &lacks{} })
-	k.Register(func() frame.Message { return &later{} })
-	k.Register(func() frame.Message { return &drop{} })
-	k.Register(func() frame.Message { return &askManifest{} })
-	k.Register(func() frame.Message { return &part{} })
+	k.Register(func() frame.Message { return &refuseRequest{} })
+	k.Register(func() frame.Message { return &deferRequest{} })
+	k.Register(func() frame.Message { return &cancelTransfer{} })
+	k.Register(func() frame.Message { return &manifestRequest{} })
+	k.Register(func() frame.Message { return &manifestPart{} })
 	return k
 }
--- a/io/version/swarm/node.go
+++ b/io/version/swarm/node.go
@@ -1,6 +1,10 @@
-// Package swarm carries out the distribution of weights between sides: it
-// keeps connections to peers, moves blocks under the pacing of the links,
-// verifies each chunk and stages it at the engine.
+// Package swarm transfers the chunks of model versions between sides, the
+// processes that run beside one target each. core/version/burst decides what
+// to transfer; this package carries that out: it connects to peers, reads
+// manifests from the store and chunks from the origin, exchanges blocks with
+// peers at the rates that package pace allows, verifies each chunk and stores
+// it in the staging area of the engine. io/process/side, io/process/hosted and
+// the load tool in bench/burst run a Node each.
 package swarm
 
 import (
@@ -23,14 +27,16 @@
 	"hawthornferry/io/version/pace"
 )
 
-// Customary values.
+// Defaults for Node, and the interval at which the distribution checks its
+// timeouts and waiting uploads are looked at again.
 const (
 	DefaultBlockSize  = 64 << 10
 	DefaultCacheBytes = 48 << 20
-	tickEvery         = 100 * time.Millisecond
+	tickInterval      = 100 * time.Millisecond
 )
 
-// Staging is where verified chunks are kept: the engine beside the side.
+// Staging stores verified chunks, usually in the engine that runs beside this
+// side.
 type Staging interface {
 	List(ctx context.Context) ([]chunk.Digest, error)
 	Put(ctx context.Context, d chunk.Digest, b []byte) error
@@ -38,24 +44,25 @@
 	Delete(ctx context.Context, d chunk.Digest) error
 }
 
-// Source is where manifests and chunks come from that no peer has.
+// Source provides manifests and the chunks that no peer has.
 type Source interface {
-	// Manifest returns a manifest with its canonical bytes.
+	// Manifest returns a manifest and its canonical encoding.
 	Manifest(ctx context.Context, d chunk.Digest) (chunk.Manifest, []byte, error)
-	// Chunk draws one chunk and checks its size and digest. progress is told
-	// of each piece.
+	// Chunk reads one chunk and checks its size and digest. It calls progress
+	// with the size of each piece read.
 	Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error)
 }
 
-// Wanted is a version that this side is to hold.
+// Wanted identifies a model version that this side must hold.
 type Wanted struct {
 	Model    string
 	Version  string
 	Manifest chunk.Digest
 }
 
-// Progress is how far a wanted version has come. Verified is set once every
-// chunk of it is verified and staged; Manifest is empty until it was read.
+// Progress reports how much of a wanted version this side holds, in chunks and
+// bytes. Verified is set once every chunk is verified and staged. Manifest is
+// empty until it has been read.
 type Progress struct {
 	Wanted   Wanted
 	Have     int
@@ -65,17 +72,20 @@
 	Manifest chunk.Manifest
 }
 
-// Shaper delays a block by links beyond this machine. The load tool sets one
-// for the region links that it stands in for; in service the network does it.
+// Shaper delays each block as a link outside this machine would. The load tool
+// sets one to simulate links between regions; in production there is none.
 type Shaper interface {
 	Shape(ctx context.Context, from, to fleet.VM, n int) error
 }
 
-// Node distributes weights on behalf of one side. Set the exported fields
-// before Run; Burst.Self and Burst.OriginRegion are filled from Self and
-// OriginRegion. Pacer may be shared with the call path, which tells it of
-// live traffic; when nil, one is made from Pace. BlockSize and CacheBytes may
-// be left zero.
+// Node transfers model versions on behalf of one side. Set the exported fields
+// before Run.
+//
+// Burst.Self and Burst.OriginRegion are overwritten from Self and
+// OriginRegion. Pacer may be shared with the code that serves calls, which
+// reports live traffic to it; if nil, one is created from Pace. BlockSize,
+// BlockTime and CacheBytes default to DefaultBlockSize, DefaultBlockTime and
+// DefaultCacheBytes.
 type Node struct {
 	Self    *link.Self
 	Clock   clockwork.Clock
@@ -83,13 +93,14 @@
 	Logger  logrus.FieldLogger
 	Metrics tally.Scope
 	Staging Staging
-	// Inflow bounds what is on its way to this side; nil for no bound.
+	// Inflow limits the bytes requested by this side and not yet received; nil
+	// means no limit.
 	Inflow *pace.Window
-	// Members, when set, lists the other sides that are to hold a version; the
-	// document does otherwise.
+	// Members, when set, lists the sides that must hold a version. When nil,
+	// they are taken from the environment document.
 	Members func(d chunk.Digest) []fleet.VM
-	// Source, when set, takes the place of Origin and Store. Such a source
-	// has the manifests at hand, and peers are not asked for them.
+	// Source, when set, replaces Origin and Store. Manifests are then read
+	// from it and never requested from peers.
 	Source       Source
 	Origin       netip.AddrPort
 	Store        netip.AddrPort
@@ -98,13 +109,13 @@
 	Pacer        *pace.Pacer
 	Burst        burst.Config
 	BlockSize    int64
-	// BlockTime is what one block may take on the machine's link: a live call may
-	// wait behind a block of each transfer.
+	// BlockTime is the longest time that one block may occupy the machine's
+	// link. A live call may have to wait for one block of each transfer.
 	BlockTime  time.Duration
 	CacheBytes int64
 	Shaper     Shaper
 
-	start    sync.Once
+	initOnce sync.Once
 	ctx      context.Context
 	stop     context.CancelFunc
 	wg       sync.WaitGroup
@@ -119,29 +130,32 @@
 	changed chan struct{}
 }
 
-// state is what mu guards.
+// state holds the fields of Node that mu guards.
 type state struct {
-	core      *burst.State
-	now       time.Time
-	pending   []burst.Action
-	view      view.View
-	wanted    []Wanted
-	manifests map[chunk.Digest]*known
-	conns     map[string]*conn
-	dialing   map[string]chan struct{}
-	incoming  map[chunk.Digest]*incoming
-	transfers uint64 // begun
-	asks      map[chunk.Digest]*manifestAsk
-	early     map[chunk.Digest][]*conn
-	earlyAsks int
-	// closed is set once the node waits for what it started.
-	closed bool
+	distribution      *burst.State
+	now               time.Time
+	pendingActions    []burst.Action
+	view              view.View
+	wanted            []Wanted
+	manifests         map[chunk.Digest]*manifestEntry
+	conns             map[string]*conn
+	dialing           map[string]chan struct{}
+	incoming          map[chunk.Digest]*incoming
+	transfersStarted  uint64 // number of the last transfer
+	pendingManifests  map[chunk.Digest]*pendingManifest
+	earlyRequests     map[chunk.Digest][]*conn
+	earlyRequestCount int
+	// stopping is set before Run waits for the goroutines of the node; no
+	// goroutine is started after that.
+	stopping bool
 }
 
-func (s *state) add(a []burst.Action) { s.pending = append(s.pending, a...) }
+// addActions queues actions for withState to perform.
+func (s *state) addActions(a []burst.Action) { s.pendingActions = append(s.pendingActions, a...) }
 
+// init sets defaults and creates the unexported fields on the first call.
 func (n *Node) init() {
-	n.start.Do(func() {
+	n.initOnce.Do(func() {
 		n.ctx, n.stop = context.WithCancel(context.Background())
 		n.pacer = n.Pacer
 		if n.pacer == nil {
@@ -168,70 +182,72 @@
 		cfg.Self = burst.Member{Name: n.Self.VM.Name, Region: n.Self.VM.Region}
 		cfg.OriginRegion = n.OriginRegion
 		n.state = state{
-			core:      burst.New(cfg),
-			manifests: map[chunk.Digest]*known{},
-			conns:     map[string]*conn{},
-			dialing:   map[string]chan struct{}{},
-			incoming:  map[chunk.Digest]*incoming{},
-			asks:      map[chunk.Digest]*manifestAsk{},
+			distribution:     burst.New(cfg),
+			manifests:        map[chunk.Digest]*manifestEntry{},
+			conns:            map[string]*conn{},
+			dialing:          map[string]chan struct{}{},
+			incoming:         map[chunk.Digest]*incoming{},
+			pendingManifests: map[chunk.Digest]*pendingManifest{},
 		}
 	})
 }
 
-// Run distributes until ctx ends; it then closes every connection and waits
-// for what it started.
+// Run transfers chunks until ctx ends. It then closes every connection and
+// waits for the goroutines that it started.
 func (n *Node) Run(ctx context.Context) error {
 	n.init()
 	defer n.wg.Wait()
-	defer n.close()
+	defer n.stopSpawning()
 	defer n.stop()
 	stop := context.AfterFunc(ctx, n.stop)
 	defer stop()
 	n.wg.Go(func() { n.uploads.run(n.ctx) })
-	tick := n.Clock.NewTicker(tickEvery)
+	tick := n.Clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.Chan():
-			n.do(func(s *state) { s.add(s.core.Tick(s.now)) })
+			n.withState(func(s *state) { s.addActions(s.distribution.Tick(s.now)) })
 			n.uploads.signal()
 		}
 	}
 }
 
-// close has nothing more start.
-func (n *Node) close() {
+// stopSpawning makes spawn ignore further calls.
+func (n *Node) stopSpawning() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state.closed = true
+	n.state.stopping = true
 }
 
-// spawn starts f unless the node ends; it is called with the state locked.
+// spawn runs f in a goroutine that Run waits for, unless the node is stopping.
+// The caller holds n.mu.
 func (n *Node) spawn(s *state, f func()) {
-	if !s.closed {
+	if !s.stopping {
 		n.wg.Go(f)
 	}
 }
 
-// do runs f on the locked state and carries out the actions that come of it.
-// Nothing in it blocks.
-func (n *Node) do(f func(s *state)) {
+// withState calls f with n.mu held and performs the actions that f queued.
+// Neither f nor an action may block.
+func (n *Node) withState(f func(s *state)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := &n.state
 	s.now = n.Clock.Now()
 	f(s)
-	for len(s.pending) > 0 {
-		a := s.pending[0]
-		s.pending = s.pending[1:]
-		n.act(s, a)
+	for len(s.pendingActions) > 0 {
+		a := s.pendingActions[0]
+		s.pendingActions = s.pendingActions[1:]
+		n.perform(s, a)
 	}
 }
 
-// Changed returns a channel that is closed once Progress is worth a look: a
-// manifest was read or a version became whole.
+// Changed returns a channel that is closed when a manifest has been read or a
+// version has become complete. Call it before Progress so that no change is
+// missed.
 func (n *Node) Changed() <-chan struct{} {
 	n.init()
 	n.mu.Lock()
@@ -239,7 +255,8 @@
 	return n.changed
 }
 
-// Progress tells of each wanted version, in the order of Update.
+// Progress returns the progress of each wanted version, in the order given to
+// Update.
 func (n *Node) Progress() []Progress {
 	n.init()
 	n.mu.Lock()
@@ -251,6 +268,7 @@
 	return out
 }
 
+// progressOf returns the progress of one version. The caller holds n.mu.
 func (n *Node) progressOf(w Wanted) Progress {
 	p := Progress{Wanted: w}
 	k, ok := n.state.manifests[w.Manifest]
@@ -258,7 +276,7 @@
 		return p
 	}
 	p.Manifest = k.manifest
-	t, ok := n.state.core.Tally(w.Manifest)
+	t, ok := n.state.distribution.Tally(w.Manifest)
 	if !ok {
 		return p
 	}
--- a/io/version/swarm/peers.go
+++ b/io/version/swarm/peers.go
@@ -13,20 +13,20 @@
 	"hawthornferry/io/conn/link"
 )
 
-// dialTimeout bounds opening a connection.
+// dialTimeout limits opening a connection, handshake included.
 const dialTimeout = 5 * time.Second
 
-// Handler serves the connections that peers open.
+// Handler returns the handler for connections that peers open.
 func (n *Node) Handler() link.Handler {
 	n.init()
-	return link.Handler{Kinds: kinds(), Serve: func(ctx context.Context, lc *link.Conn) {
+	return link.Handler{Kinds: messageKinds(), Serve: func(ctx context.Context, lc *link.Conn) {
 		n.serve(ctx, newConn(lc), false)
 	}}
 }
 
-// dial opens a connection to a side unless there is one, or one is being
-// opened. It is called with the state locked; the returned channel is closed
-// when the attempt is over.
+// dial opens a connection to a side in the background unless there is one or
+// one is being opened. The caller holds n.mu. The returned channel is closed
+// when the attempt has ended.
 func (n *Node) dial(s *state, name string) <-chan struct{} {
 	if done, ok := s.dialing[name]; ok {
 		return done
@@ -46,28 +46,30 @@
 	return done
 }
 
+// dialAndServe opens a connection and serves it until it ends. It closes done
+// once the connection is registered or the attempt has failed.
 func (n *Node) dialAndServe(name string, addr netip.AddrPort, done chan struct{}) {
 	ctx, cancel := context.WithTimeout(n.ctx, dialTimeout)
 	defer cancel()
-	lc, err := link.Dial(ctx, n.Self, addr, link.PurposeWeights, kinds())
+	lc, err := link.Dial(ctx, n.Self, addr, link.PurposeWeights, messageKinds())
 	if err == nil && lc.Peer.VM.Name != name {
 		lc.Close()
 		err = fault.Newf("dial", addr.String(), "answered as %s, want %s", lc.Peer.VM.Name, name)
 	}
 	if err != nil {
-		n.do(func(s *state) {
+		n.withState(func(s *state) {
 			delete(s.dialing, name)
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				s.add(s.core.Refused(s.now, name))
+				s.addActions(s.distribution.Refused(s.now, name))
 			}
 		})
 		close(done)
-		n.reportUnlessStopped("dial", name, err)
+		n.logErrorUnlessStopped("dial", name, err)
 		return
 	}
 	c := newConn(lc)
 	defer lc.Close()
-	n.serveAfter(n.ctx, c, true, func() {
+	n.serveConn(n.ctx, c, true, func() {
 		n.mu.Lock()
 		delete(n.state.dialing, name)
 		n.mu.Unlock()
@@ -75,13 +77,14 @@
 	})
 }
 
+// serve registers a connection and runs it until it ends.
 func (n *Node) serve(ctx context.Context, c *conn, dialed bool) {
-	n.serveAfter(ctx, c, dialed, func() {})
+	n.serveConn(ctx, c, dialed, func() {})
 }
 
-// serveAfter runs a connection until it ends. registered is called once the
-// connection can be used.
-func (n *Node) serveAfter(ctx context.Context, c *conn, dialed bool, registered func()) {
+// serveConn is serve with a callback: registered is called once the connection
+// was accepted by register or rejected.
+func (n *Node) serveConn(ctx context.Context, c *conn, dialed bool, registered func()) {
 	ok := n.register(c, dialed)
 	registered()
 	if !ok {
@@ -95,71 +98,73 @@
 	defer stop()
 	done := make(chan error, 1)
 	go func() {
-		err := n.write(ctx, c)
+		err := n.writeLoop(ctx, c)
 		c.Close()
 		done <- err
 	}()
-	err := n.read(c)
+	err := n.readLoop(c)
 	cancel()
 	werr := <-done
 	if werr != nil && !errors.Is(werr, context.Canceled) {
 		err = werr
 	}
 	if n.unregister(c) {
-		n.reportUnlessStopped("serve connection", c.name(), err)
+		n.logErrorUnlessStopped("serve connection", c.peerName(), err)
 	}
 }
 
-// register makes c the connection to its peer. When both sides dialed, the
-// connection that the side with the lesser name dialed stays: both ends come
-// to the same answer.
+// register makes c the connection to its peer and reports whether it did. When
+// both sides dialed each other, both keep the connection that was dialed by
+// the side whose name sorts first.
 func (n *Node) register(c *conn, dialed bool) bool {
-	dialer := c.name()
+	dialer := c.peerName()
 	if dialed {
 		dialer = n.Self.VM.Name
 	}
 	var old *conn
-	kept := true
-	n.do(func(s *state) {
-		old = s.conns[c.name()]
-		if old != nil && old.Peer.Boot == c.Peer.Boot && dialer > min(c.name(), n.Self.VM.Name) {
-			kept = false
+	registered := true
+	n.withState(func(s *state) {
+		old = s.conns[c.peerName()]
+		if old != nil && old.Peer.Boot == c.Peer.Boot && dialer > min(c.peerName(), n.Self.VM.Name) {
+			registered = false
 			return
 		}
-		s.conns[c.name()] = c
+		s.conns[c.peerName()] = c
 		if old != nil {
-			// Nobody answers over the old connection any more; a transfer left
-			// waiting on it would keep its buffer until the process ends.
-			n.cancelFrom(s, c.name())
-			s.endAsks(c.name())
-			s.add(s.core.Disconnected(s.now, c.name()))
+			// The peer no longer answers on the old connection. A transfer that
+			// waits on it would keep its buffer until the process ends.
+			n.cancelFrom(s, c.peerName())
+			s.endManifestRequests(c.peerName())
+			s.addActions(s.distribution.Disconnected(s.now, c.peerName()))
 		}
-		s.add(s.core.Connected(s.now, burst.Member{Name: c.name(), Region: c.Peer.VM.Region}))
+		s.addActions(s.distribution.Connected(s.now, burst.Member{Name: c.peerName(), Region: c.Peer.VM.Region}))
 	})
-	if kept && old != nil {
+	if registered && old != nil {
 		old.Close()
 	}
-	return kept
+	return registered
 }
 
-// unregister reports whether c was still the connection to its peer.
+// unregister removes c and reports whether it was still the connection to its
+// peer.
 func (n *Node) unregister(c *conn) bool {
-	n.uploads.closed(c)
-	current := false
-	n.do(func(s *state) {
-		if s.conns[c.name()] != c {
+	n.uploads.removeConn(c)
+	wasCurrent := false
+	n.withState(func(s *state) {
+		if s.conns[c.peerName()] != c {
 			return
 		}
-		current = true
-		delete(s.conns, c.name())
-		n.cancelFrom(s, c.name())
-		s.endAsks(c.name())
-		s.add(s.core.Disconnected(s.now, c.name()))
+		wasCurrent = true
+		delete(s.conns, c.peerName())
+		n.cancelFrom(s, c.peerName())
+		s.endManifestRequests(c.peerName())
+		s.addActions(s.distribution.Disconnected(s.now, c.peerName()))
 	})
-	return current
+	return wasCurrent
 }
 
-// cancelFrom ends the transfers from a peer that is gone.
+// cancelFrom cancels the transfers from a peer whose connection was lost. The
+// caller holds n.mu.
 func (n *Node) cancelFrom(s *state, name string) {
 	for d, in := range s.incoming {
 		if in.fetch.Peer == name {
@@ -169,8 +174,8 @@
 	}
 }
 
-// connTo returns the connection to a side, opened if there is none.
-func (n *Node) connTo(ctx context.Context, name string) (*conn, error) {
+// connectTo returns the connection to a side and opens one if needed.
+func (n *Node) connectTo(ctx context.Context, name string) (*conn, error) {
 	n.mu.Lock()
 	if c, ok := n.state.conns[name]; ok {
 		n.mu.Unlock()
@@ -192,6 +197,8 @@
 	return c, nil
 }
 
+// addressOf returns the address of a VM in the current view. The caller holds
+// n.mu.
 func (n *Node) addressOf(s *state, name string) (netip.AddrPort, bool) {
 	for _, vm := range s.view.VMs {
 		if vm.Name == name {
@@ -201,14 +208,16 @@
 	return netip.AddrPort{}, false
 }
 
+// sidesInRegion counts the VMs of this side's region that have the same role,
+// this one included.
 func (n *Node) sidesInRegion() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	k := 0
+	count := 0
 	for _, vm := range n.state.view.VMs {
 		if vm.Region == n.Self.VM.Region && vm.Role == n.Self.VM.Role {
-			k++
+			count++
 		}
 	}
-	return k
+	return count
 }
--- a/io/version/swarm/report.go
+++ b/io/version/swarm/report.go
@@ -14,7 +14,8 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// headerTimeout bounds the wait for the first byte of an answer.
+// headerTimeout limits the wait for the response headers of the store and the
+// origin.
 const headerTimeout = 10 * time.Second
 
 func newTransport() *http.Transport {
@@ -25,13 +26,15 @@
 	}
 }
 
-// counters are the metrics of transfers, in bytes.
+// counters holds the metrics of transfers. The counters are in bytes, by
+// route: from the origin, from another region, from the same region, and sent
+// to peers.
 type counters struct {
-	scope  tally.Scope
-	origin tally.Counter
-	imp    tally.Counter
-	trade  tally.Counter
-	sent   tally.Counter
+	scope    tally.Scope
+	origin   tally.Counter
+	imported tally.Counter
+	traded   tally.Counter
+	sent     tally.Counter
 }
 
 func newCounters(scope tally.Scope) counters {
@@ -40,57 +43,62 @@
 	}
 	scope = scope.SubScope("weights")
 	return counters{
-		scope:  scope,
-		origin: received(scope, "origin"),
-		imp:    received(scope, "import"),
-		trade:  received(scope, "trade"),
-		sent:   scope.Counter("sent_bytes_total"),
+		scope:    scope,
+		origin:   receivedCounter(scope, "origin"),
+		imported: receivedCounter(scope, "import"),
+		traded:   receivedCounter(scope, "trade"),
+		sent:     scope.Counter("sent_bytes_total"),
 	}
 }
 
-// received counts the bytes of weights that came on one way.
-func received(scope tally.Scope, via string) tally.Counter {
+// receivedCounter returns the counter of bytes received by one route.
+func receivedCounter(scope tally.Scope, via string) tally.Counter {
 	return scope.Tagged(map[string]string{"via": via}).Counter("received_bytes_total")
 }
 
+// failure counts a failed transfer.
 func (c counters) failure(why burst.Failure) {
 	c.scope.Tagged(map[string]string{"why": string(why)}).Counter("failures_total").Inc(1)
 }
 
-func (n *Node) count(v burst.Via, k int64) {
+// countReceived counts k bytes received from a peer.
+func (n *Node) countReceived(v burst.Via, k int64) {
 	if v == burst.ViaImport {
-		n.counters.imp.Inc(k)
+		n.counters.imported.Inc(k)
 		return
 	}
-	n.counters.trade.Inc(k)
+	n.counters.traded.Inc(k)
 }
 
-// failedTransfer logs how a transfer failed, with the step and the peer.
-func (n *Node) failedTransfer(in *incoming, err error) {
-	why, _ := classify(err)
+// logFailedTransfer counts and logs a failed transfer with the step and the
+// peer.
+func (n *Node) logFailedTransfer(in *incoming, err error) {
+	why, _ := classifyFailure(err)
 	n.counters.failure(why)
-	n.decide("fail", in.fetch.Chunk.Digest, choiceOf(in.fetch.Peer), string(why), err.Error())
+	n.logDecision("fail", in.fetch.Chunk.Digest, peerOrOrigin(in.fetch.Peer), string(why), err.Error())
 	n.logger().WithFields(logrus.Fields{
 		"step":  "transfer chunk",
-		"peer":  choiceOf(in.fetch.Peer),
+		"peer":  peerOrOrigin(in.fetch.Peer),
 		"chunk": string(in.fetch.Chunk.Digest),
 		"why":   string(why),
 	}).Error(err.Error())
 }
 
-func (n *Node) report(step, peer string, err error) {
+// logError writes an error to the log and the decision log.
+func (n *Node) logError(step, peer string, err error) {
 	n.Log.Decide(trail.Decision{Area: trail.AreaTransfer, Action: step, Choice: peer, Outcome: "error", Reason: err.Error()})
 	n.logger().WithFields(logrus.Fields{"step": step, "peer": peer}).Error(err.Error())
 }
 
-func (n *Node) reportUnlessStopped(step, peer string, err error) {
+// logErrorUnlessStopped logs err unless it is nil or due to the node stopping.
+func (n *Node) logErrorUnlessStopped(step, peer string, err error) {
 	if err == nil || n.ctx.Err() != nil || errors.Is(err, context.Canceled) {
 		return
 	}
-	n.report(step, peer, err)
+	n.logError(step, peer, err)
 }
 
-func (n *Node) warn(step, peer, what string, d chunk.Digest) {
+func (n *Node) logWarning(step, peer, what string, d chunk.Digest) {
 	n.logger().WithFields(logrus.Fields{"step": step, "peer": peer, "chunk": string(d)}).Warn(what)
 }
 
@@ -101,8 +109,9 @@
 	return logrus.StandardLogger()
 }
 
-// progressed closes the channel of Changed when there is something to see.
-func (n *Node) progressed() {
+// notifyProgress closes the channel returned by Changed if some wanted version
+// is complete, or its manifest is read and no chunk is held yet.
+func (n *Node) notifyProgress() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, w := range n.state.wanted {
@@ -115,41 +124,47 @@
 	}
 }
 
-func (n *Node) served(peer string) {
-	n.do(func(s *state) { s.add(s.core.Served(s.now, peer)) })
+// uploadEnded tells the distribution that an upload to a peer has ended.
+func (n *Node) uploadEnded(peer string) {
+	n.withState(func(s *state) { s.addActions(s.distribution.Served(s.now, peer)) })
 }
 
-func (n *Node) sentBlock(peer string) {
+// blockSent tells the distribution that a block was queued for a peer.
+func (n *Node) blockSent(peer string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state.core.Sent(n.Clock.Now(), peer)
+	n.state.distribution.Sent(n.Clock.Now(), peer)
 }
 
-func (n *Node) held(d chunk.Digest) bool {
+// isHeld reports whether a chunk is verified and staged.
+func (n *Node) isHeld(d chunk.Digest) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state.core.Held(d)
+	return n.state.distribution.Held(d)
 }
 
-func (n *Node) arriving(d chunk.Digest) bool {
+// isDownloading reports whether a chunk is being transferred to this side.
+func (n *Node) isDownloading(d chunk.Digest) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state.incoming[d] != nil
 }
 
-func (n *Node) wanted(d chunk.Digest) bool {
-	_, ok := n.wantedRef(d)
+// isWantedChunk reports whether a wanted version contains the chunk.
+func (n *Node) isWantedChunk(d chunk.Digest) bool {
+	_, ok := n.wantedChunk(d)
 	return ok
 }
 
-func (n *Node) wantedRef(d chunk.Digest) (chunk.Ref, bool) {
+// wantedChunk returns the chunk's entry in the manifest of a wanted version.
+func (n *Node) wantedChunk(d chunk.Digest) (chunk.Ref, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.state.core.Wanted(d)
+	return n.state.distribution.Wanted(d)
 }
 
-// bytesOf returns a held chunk, from the cache or the staging area.
-func (n *Node) bytesOf(ctx context.Context, ref chunk.Ref) ([]byte, error) {
+// readChunk returns a held chunk from the cache or the staging area.
+func (n *Node) readChunk(ctx context.Context, ref chunk.Ref) ([]byte, error) {
 	if b, ok := n.cache.get(ref.Digest); ok {
 		return b, nil
 	}
--- a/io/version/swarm/source.go
+++ b/io/version/swarm/source.go
@@ -15,7 +15,7 @@
 	"hawthornferry/io/version/pace"
 )
 
-// Bounds of calls to the store and the origin.
+// Limits of requests to the store and the origin.
 const (
 	manifestTimeout = 10 * time.Second
 	maxManifest     = 16 << 20
@@ -23,17 +23,19 @@
 	readSize        = 16 << 10
 )
 
-// refusedError is an answer that asks to come back later.
-type refusedError struct {
+// statusError is a response with a status other than 200. RetryAfter is the
+// delay that the response asks for, zero if none.
+type statusError struct {
 	Status     int
 	RetryAfter time.Duration
 }
 
-func (e *refusedError) Error() string {
+func (e *statusError) Error() string {
 	return "status " + strconv.Itoa(e.Status) + ", retry after " + e.RetryAfter.String()
 }
 
-// source reads manifests from the store and chunks from the origin.
+// source is the Source in production: it reads manifests from the store and
+// chunks from the origin.
 type source struct {
 	store  netip.AddrPort
 	origin netip.AddrPort
@@ -41,7 +43,7 @@
 	pacer  *pace.Pacer
 }
 
-// Manifest reads a manifest and checks it against its pinned digest.
+// Manifest reads a manifest and verifies its digest.
 func (s *source) Manifest(ctx context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, manifestTimeout)
 	defer cancel()
@@ -62,8 +64,9 @@
 	return m, b, fault.At("check manifest", peer, err)
 }
 
-// Chunk draws one chunk from the origin and checks its size and digest.
-// progress is told of each piece.
+// Chunk reads one chunk from the origin at the rate that the links allow and
+// checks its size and digest. It calls progress with the size of each piece
+// read.
 func (s *source) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
 	peer := s.origin.String()
 	resp, err := s.get(ctx, s.origin, "/v1/chunks/"+string(ref.Digest))
@@ -74,7 +77,7 @@
 	b := make([]byte, ref.Size)
 	for off := 0; off < len(b); {
 		n := min(readSize, len(b)-off)
-		if err := s.await(ctx, n); err != nil {
+		if err := s.waitForLinks(ctx, n); err != nil {
 			return nil, fault.At("draw chunk", peer, err)
 		}
 		if _, err := io.ReadFull(resp.Body, b[off:off+n]); err != nil {
@@ -93,16 +96,21 @@
 	return b, nil
 }
 
-// errCorrupt marks bytes that do not have the digest they were asked by.
+// errCorrupt marks data whose digest, offset or length is not what was
+// requested.
 var errCorrupt = errors.New("corrupt")
 
-func (s *source) await(ctx context.Context, n int) error {
+// waitForLinks waits until the limit for the origin and the machine's own link
+// allow n more bytes.
+func (s *source) waitForLinks(ctx context.Context, n int) error {
 	if err := s.pacer.Origin.Wait(ctx, n); err != nil {
 		return err
 	}
 	return s.pacer.Down.WaitFirst(ctx, n)
 }
 
+// get returns the response to a GET request, or a statusError if the status is
+// not 200.
 func (s *source) get(ctx context.Context, addr netip.AddrPort, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+path, nil)
 	if err != nil {
@@ -116,9 +124,11 @@
 		return resp, nil
 	}
 	defer resp.Body.Close()
-	return nil, &refusedError{Status: resp.StatusCode, RetryAfter: retryAfter(resp)}
+	return nil, &statusError{Status: resp.StatusCode, RetryAfter: retryAfter(resp)}
 }
 
+// retryAfter returns the delay in the Retry-After header, at most
+// maxRetryAfter, and zero if it is missing or not a number of seconds.
 func retryAfter(resp *http.Response) time.Duration {
 	s, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || s < 0 {
--- a/io/version/swarm/swarm_test.go
+++ b/io/version/swarm/swarm_test.go
@@ -29,48 +29,50 @@
 	"hawthornferry/io/version/stage"
 )
 
-// platform is a store and an origin for tests. answer may take over the
-// answer to the k-th request for a chunk.
-type platform struct {
+// fakeOrigin serves manifests as the store and chunks as the origin.
+type fakeOrigin struct {
 	server    *httptest.Server
 	manifests map[chunk.Digest][]byte
 
-	mu     sync.Mutex
-	chunks map[chunk.Digest][]byte
-	drawn  map[chunk.Digest]int
-	answer func(w http.ResponseWriter, d chunk.Digest, k int) bool
-	// manifest may take over the answer to a request for a manifest.
-	manifest func(w http.ResponseWriter) bool
-	once     sync.Once
-	reads    atomic.Int64 // of manifests
+	mu            sync.Mutex
+	chunks        map[chunk.Digest][]byte
+	chunkRequests map[chunk.Digest]int
+	// answerChunk, when set, may answer the k-th request for a chunk; it
+	// returns whether it did.
+	answerChunk func(w http.ResponseWriter, d chunk.Digest, k int) bool
+	// answerManifest, when set, may answer a request for a manifest; it
+	// returns whether it did.
+	answerManifest   func(w http.ResponseWriter) bool
+	stopOnce         sync.Once
+	manifestRequests atomic.Int64
 }
 
-func newPlatform(t *testing.T) *platform {
+func newFakeOrigin(t *testing.T) *fakeOrigin {
 	t.Helper()
-	p := &platform{manifests: map[chunk.Digest][]byte{}, chunks: map[chunk.Digest][]byte{}, drawn: map[chunk.Digest]int{}}
+	p := &fakeOrigin{manifests: map[chunk.Digest][]byte{}, chunks: map[chunk.Digest][]byte{}, chunkRequests: map[chunk.Digest]int{}}
 	p.server = httptest.NewServer(p)
 	t.Cleanup(p.server.Close)
 	return p
 }
 
-func (p *platform) addr() netip.AddrPort {
+func (p *fakeOrigin) addr() netip.AddrPort {
 	return netip.MustParseAddrPort(p.server.Listener.Addr().String())
 }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakeOrigin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if d, ok := strings.CutPrefix(r.URL.Path, "/v1/manifests/"); ok {
-		p.reads.Add(1)
-		if p.manifest == nil || !p.manifest(w) {
+		p.manifestRequests.Add(1)
+		if p.answerManifest == nil || !p.answerManifest(w) {
 			w.Write(p.manifests[chunk.Digest(d)])
 		}
 		return
 	}
 	d := chunk.Digest(strings.TrimPrefix(r.URL.Path, "/v1/chunks/"))
 	p.mu.Lock()
-	p.drawn[d]++
-	k, b, answer := p.drawn[d], p.chunks[d], p.answer
+	p.chunkRequests[d]++
+	k, b, answerChunk := p.chunkRequests[d], p.chunks[d], p.answerChunk
 	p.mu.Unlock()
-	if answer != nil && answer(w, d, k) {
+	if answerChunk != nil && answerChunk(w, d, k) {
 		return
 	}
 	if b == nil {
@@ -80,18 +82,19 @@
 	w.Write(b)
 }
 
-func (p *platform) draws() (total int) {
+// totalChunkRequests returns the number of requests for chunks.
+func (p *fakeOrigin) totalChunkRequests() (total int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, k := range p.drawn {
-		total += k
+	for _, count := range p.chunkRequests {
+		total += count
 	}
 	return total
 }
 
-// publish adds a version of n chunks of size bytes; chunks with equal seeds
-// are shared between versions.
-func (p *platform) publish(t *testing.T, version string, size int, seeds ...uint64) chunk.Digest {
+// publish adds a version with one chunk of size bytes per seed and returns the
+// digest of its manifest. Versions share the chunks of equal seeds.
+func (p *fakeOrigin) publish(t *testing.T, version string, size int, seeds ...uint64) chunk.Digest {
 	t.Helper()
 	m := chunk.Manifest{Model: "m", Version: version, Whole: chunk.Sum([]byte(version))}
 	for _, seed := range seeds {
@@ -112,6 +115,7 @@
 	return d
 }
 
+// seq returns n consecutive numbers.
 func seq(from, n uint64) []uint64 {
 	out := make([]uint64, 0, n)
 	for i := range n {
@@ -120,37 +124,39 @@
 	return out
 }
 
-// patience is long enough that no transfer on the loopback is taken for
-// stalled, however busy the machine.
-const patience = time.Minute
+// testTimeout is long enough that no transfer over loopback is treated as
+// stalled, however busy the machine is.
+const testTimeout = time.Minute
 
-// cluster is a set of sides over real sockets.
+// cluster is a set of sides that are connected over loopback.
 type cluster struct {
 	t     *testing.T
-	p     *platform
+	p     *fakeOrigin
 	logs  *test.Hook
 	nodes []*Node
 	stops []func()
 	vms   []fleet.VM
 
-	patience time.Duration
-	// tune, when set, changes a side before it starts.
-	tune func(n *Node)
+	minTimeout time.Duration
+	// configure, when set, changes a node before it starts.
+	configure func(n *Node)
 }
 
-func newCluster(t *testing.T, p *platform, regions ...string) *cluster {
+func newCluster(t *testing.T, p *fakeOrigin, regions ...string) *cluster {
 	t.Helper()
-	return newClusterWith(t, p, patience, regions...)
+	return newClusterWithTimeout(t, p, testTimeout, regions...)
 }
 
-func newClusterWith(t *testing.T, p *platform, least time.Duration, regions ...string) *cluster {
+// newClusterWithTimeout sets the minimum time before a transfer is treated as
+// stalled.
+func newClusterWithTimeout(t *testing.T, p *fakeOrigin, minTimeout time.Duration, regions ...string) *cluster {
 	t.Helper()
-	return newTunedCluster(t, p, least, nil, regions...)
+	return newConfiguredCluster(t, p, minTimeout, nil, regions...)
 }
 
-func newTunedCluster(t *testing.T, p *platform, least time.Duration, tune func(n *Node), regions ...string) *cluster {
+func newConfiguredCluster(t *testing.T, p *fakeOrigin, timeout time.Duration, configure func(n *Node), regions ...string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, p: p, patience: least, tune: tune}
+	c := &cluster{t: t, p: p, minTimeout: timeout, configure: configure}
 	logger, hook := test.NewNullLogger()
 	c.logs = hook
 	for i, region := range regions {
@@ -188,10 +194,10 @@
 		Store:        c.p.addr(),
 		OriginRegion: "r1",
 		BlockSize:    4 << 10,
-		Burst:        burst.Config{LeastPatience: c.patience},
+		Burst:        burst.Config{LeastPatience: c.minTimeout},
 	}
-	if c.tune != nil {
-		c.tune(n)
+	if c.configure != nil {
+		c.configure(n)
 	}
 	l := &link.Listener{Self: n.Self, Net: nl, Handlers: map[link.Purpose]link.Handler{link.PurposeWeights: n.Handler()}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -218,13 +224,15 @@
 	}
 }
 
-func (c *cluster) want(d chunk.Digest, nodes ...*Node) {
+// setWanted makes a manifest the only wanted version of the nodes.
+func (c *cluster) setWanted(d chunk.Digest, nodes ...*Node) {
 	for _, n := range nodes {
 		n.Update(c.view(d), []Wanted{{Model: "m", Version: "1", Manifest: d}})
 	}
 }
 
-func (c *cluster) awaitWhole(nodes ...*Node) {
+// awaitVerified waits until the nodes hold their only wanted version.
+func (c *cluster) awaitVerified(nodes ...*Node) {
 	c.t.Helper()
 	for _, n := range nodes {
 		for {
@@ -237,6 +245,8 @@
 	}
 }
 
+// checkStaged checks that the nodes have staged every chunk of a version with
+// the right digest.
 func (c *cluster) checkStaged(d chunk.Digest, nodes ...*Node) {
 	c.t.Helper()
 	m, err := chunk.Decode(c.p.manifests[d], d)
@@ -257,20 +267,21 @@
 	}
 }
 
-// Every side of three regions ends with the whole version, and the origin
-// sent each chunk once: the side that ranks first drew it, each region took
-// it in once, and the sides traded the rest.
-func TestAllSidesGetWholeFromOneCopy(t *testing.T) {
-	p := newPlatform(t)
+// Every side of three regions must get the whole version while the origin
+// sends each chunk only once: the side that ranks first fetches it, each
+// region imports it once, and the sides of a region exchange it. The store is
+// read once per region.
+func TestAllSidesGetVersionFromOneOriginCopy(t *testing.T) {
+	p := newFakeOrigin(t)
 	d := p.publish(t, "1", 10<<10, seq(0, 40)...)
 	c := newCluster(t, p, "r1", "r1", "r1", "r2", "r2", "r3", "r3")
-	c.want(d, c.nodes...)
-	c.awaitWhole(c.nodes...)
+	c.setWanted(d, c.nodes...)
+	c.awaitVerified(c.nodes...)
 	c.checkStaged(d, c.nodes...)
-	if diff := cmp.Diff(40, p.draws()); diff != "" {
-		t.Errorf("chunks drawn from the origin (-want +got):\n%s", diff)
+	if diff := cmp.Diff(40, p.totalChunkRequests()); diff != "" {
+		t.Errorf("chunks fetched from the origin (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(int64(3), p.reads.Load()); diff != "" {
+	if diff := cmp.Diff(int64(3), p.manifestRequests.Load()); diff != "" {
 		t.Errorf("manifests read from the store (-want +got):\n%s", diff)
 	}
 }
--- a/io/version/swarm/two_test.go
+++ b/io/version/swarm/two_versions_test.go
@@ -11,13 +11,14 @@
 	"hawthornferry/io/version/pace"
 )
 
-// The operator names a second version while the first is still on its way, and
-// the origin is gone by then. Sides ask those of the next region for chunks of
-// the second, which nobody has, and these wait for them. What was asked for in
-// vain must not hold up the first version, whose chunks are all there: callers
-// would be left without any version once the time for the old one is over.
-func TestMissingVersionDoesNotHoldUpAnother(t *testing.T) {
-	p := newPlatform(t)
+// A second version is named while the first is still being transferred, and
+// the origin is unavailable by then. Sides request chunks of the second
+// version from sides of the next region, which do not hold them yet either.
+// These requests must not delay the first version, whose chunks are all
+// available: its transfer must finish before the old version is removed, or
+// callers are left without any version.
+func TestUnavailableVersionDoesNotDelayAnother(t *testing.T) {
+	p := newFakeOrigin(t)
 	first := p.publish(t, "1", 32<<10, seq(0, 12)...)
 	second := p.publish(t, "2", 32<<10, seq(100, 12)...)
 	missing := map[chunk.Digest]bool{}
@@ -28,14 +29,14 @@
 	for _, ref := range m.Chunks {
 		missing[ref.Digest] = true
 	}
-	p.answer = func(w http.ResponseWriter, d chunk.Digest, _ int) bool {
+	p.answerChunk = func(w http.ResponseWriter, d chunk.Digest, _ int) bool {
 		if missing[d] {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return missing[d]
 	}
 	tune := func(n *Node) { n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: 16 << 10} }
-	c := newTunedCluster(t, p, patience, tune, "r1", "r2", "r2", "r3")
+	c := newConfiguredCluster(t, p, testTimeout, tune, "r1", "r2", "r2", "r3")
 	for _, n := range c.nodes {
 		n.Update(c.view(second), []Wanted{
 			{Model: "m", Version: "2", Manifest: second},
@@ -43,15 +44,16 @@
 		})
 	}
 	for _, n := range c.nodes {
-		c.awaitVersion(n, first, patience/3)
+		c.awaitVersion(n, first, testTimeout/3)
 	}
 	c.checkStaged(first, c.nodes...)
 }
 
-// awaitVersion waits until a side holds one version whole.
-func (c *cluster) awaitVersion(n *Node, d chunk.Digest, most time.Duration) {
+// awaitVersion waits until a side holds a version and fails the test after
+// timeout.
+func (c *cluster) awaitVersion(n *Node, d chunk.Digest, timeout time.Duration) {
 	c.t.Helper()
-	over := time.After(most)
+	expired := time.After(timeout)
 	for {
 		changed := n.Changed()
 		for _, p := range n.Progress() {
@@ -61,8 +63,8 @@
 		}
 		select {
 		case <-changed:
-		case <-over:
-			c.t.Fatalf("%s does not hold %s after %s: %+v", n.Self.VM.Name, d, most, n.Progress())
+		case <-expired:
+			c.t.Fatalf("%s does not hold %s after %s: %+v", n.Self.VM.Name, d, timeout, n.Progress())
 		}
 	}
 }
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -14,64 +14,68 @@
 	"hawthornferry/core/version/roll"
 )
 
-// Waits between reads of a manifest.
+// Delays between attempts to read a manifest; they double from the first to
+// the last.
 const (
-	firstManifestWait = 200 * time.Millisecond
-	mostManifestWait  = 10 * time.Second
+	minManifestRetryWait = 200 * time.Millisecond
+	maxManifestRetryWait = 10 * time.Second
 )
 
-// known is a manifest that a wanted version pins.
-type known struct {
-	cancel   context.CancelFunc
-	ready    bool
-	manifest chunk.Manifest
-	raw      []byte // the canonical bytes
-	staged   []chunk.Digest
-	waiting  []*conn // peers that asked for it before it was read
+// manifestEntry is the manifest of a wanted version, or of one that is no
+// longer wanted but not removed yet.
+type manifestEntry struct {
+	cancel       context.CancelFunc
+	ready        bool
+	manifest     chunk.Manifest
+	encoded      []byte // canonical encoding
+	staged       []chunk.Digest
+	waitingPeers []*conn // peers to send it to once it is read
 }
 
-// Update takes a new document, new peers or a new list of wanted versions.
-// It may be called at any time and does not block.
+// Update sets the view of the fleet, with the environment document, and the
+// list of wanted versions. It may be called at any time and does not block.
 func (n *Node) Update(v view.View, wanted []Wanted) {
 	n.init()
-	n.do(func(s *state) {
+	n.withState(func(s *state) {
 		s.view = v
 		s.wanted = wanted
 		for _, w := range wanted {
-			n.learn(s, w)
+			n.startManifestRead(s, w)
 		}
-		n.refresh(s)
+		n.updateDistribution(s)
 	})
 }
 
-// learn starts reading a manifest that is not yet known.
-func (n *Node) learn(s *state, w Wanted) {
+// startManifestRead starts to read the manifest of a wanted version unless it
+// has been started before. The caller holds n.mu.
+func (n *Node) startManifestRead(s *state, w Wanted) {
 	if _, ok := s.manifests[w.Manifest]; ok {
 		return
 	}
 	ctx, cancel := context.WithCancel(n.ctx)
-	s.manifests[w.Manifest] = &known{cancel: cancel, waiting: s.takeEarly(w.Manifest)}
-	n.decide("want", w.Manifest, w.Model, w.Version, "document")
+	s.manifests[w.Manifest] = &manifestEntry{cancel: cancel, waitingPeers: s.takeEarlyRequests(w.Manifest)}
+	n.logDecision("want", w.Manifest, w.Model, w.Version, "document")
 	n.spawn(s, func() {
 		defer cancel()
 		n.readManifest(ctx, w.Manifest)
 	})
 }
 
+// readManifest reads a manifest, with retries until ctx ends.
 func (n *Node) readManifest(ctx context.Context, d chunk.Digest) {
-	wait := firstManifestWait
+	wait := minManifestRetryWait
 	for ctx.Err() == nil {
-		m, raw, err := n.obtainManifest(ctx, d)
+		m, encoded, err := n.fetchManifest(ctx, d)
 		if err == nil {
-			n.adopt(ctx, d, m, raw)
+			n.addManifest(ctx, d, m, encoded)
 			return
 		}
-		n.reportUnlessStopped("read manifest", n.Store.String(), err)
-		_, after := classify(err)
-		// Many sides learn of a version at the same moment; a random part
-		// keeps them from coming back to the store in step.
+		n.logErrorUnlessStopped("read manifest", n.Store.String(), err)
+		_, after := classifyFailure(err)
+		// Many sides learn of a version at the same moment. The random part
+		// keeps them from retrying at the store simultaneously.
 		pause := max(wait, after) + rand.N(wait)
-		wait = min(2*wait, mostManifestWait)
+		wait = min(2*wait, maxManifestRetryWait)
 		select {
 		case <-n.Clock.After(pause):
 		case <-ctx.Done():
@@ -79,40 +83,42 @@
 	}
 }
 
-// adopt takes a manifest into the decisions, with the chunks of it that the
-// engine holds from before. These are read back and verified, since what an
-// earlier process of this side left behind is not known to be whole.
-func (n *Node) adopt(ctx context.Context, d chunk.Digest, m chunk.Manifest, raw []byte) {
+// addManifest adds a manifest to the distribution, with those of its chunks
+// that are already staged. These are read back and verified, since an earlier
+// process of this side may have left them incomplete.
+func (n *Node) addManifest(ctx context.Context, d chunk.Digest, m chunk.Manifest, encoded []byte) {
 	staged := n.verifyStaged(ctx, m)
-	n.do(func(s *state) {
-		k, ok := s.manifests[d]
+	n.withState(func(s *state) {
+		entry, ok := s.manifests[d]
 		if !ok || ctx.Err() != nil {
 			return
 		}
-		k.ready, k.manifest, k.raw, k.staged = true, m, raw, staged
-		for _, c := range k.waiting {
-			sendManifest(c, d, raw)
+		entry.ready, entry.manifest, entry.encoded, entry.staged = true, m, encoded, staged
+		for _, c := range entry.waitingPeers {
+			sendManifest(c, d, encoded)
 		}
-		k.waiting = nil
-		n.refresh(s)
-		k.staged = nil
+		entry.waitingPeers = nil
+		n.updateDistribution(s)
+		entry.staged = nil
 	})
-	n.progressed()
+	n.notifyProgress()
 }
 
+// verifyStaged returns the chunks of m that are staged with the right digest
+// and neither held nor being transferred.
 func (n *Node) verifyStaged(ctx context.Context, m chunk.Manifest) []chunk.Digest {
 	list, err := n.Staging.List(ctx)
 	if err != nil {
-		n.reportUnlessStopped("list staging", "engine", err)
+		n.logErrorUnlessStopped("list staging", "engine", err)
 		return nil
 	}
-	there := map[chunk.Digest]bool{}
+	staged := map[chunk.Digest]bool{}
 	for _, d := range list {
-		there[d] = true
+		staged[d] = true
 	}
 	var out []chunk.Digest
 	for _, ref := range m.Chunks {
-		if !there[ref.Digest] || n.held(ref.Digest) || n.arriving(ref.Digest) {
+		if !staged[ref.Digest] || n.isHeld(ref.Digest) || n.isDownloading(ref.Digest) {
 			continue
 		}
 		b, err := n.Staging.Get(ctx, ref.Digest)
@@ -124,10 +130,11 @@
 	return out
 }
 
-// retire forgets the manifests that are no longer wanted, but not before all
-// wanted ones are read: until then it is not known which chunks they share,
-// and those would be discarded and fetched again.
-func (n *Node) retire(s *state) {
+// removeUnwantedManifests removes the manifests that are no longer wanted once
+// all wanted ones have been read. Until then it is unknown which chunks they
+// share, and shared chunks would be discarded and fetched again. The caller
+// holds n.mu.
+func (n *Node) removeUnwantedManifests(s *state) {
 	keep := map[chunk.Digest]bool{}
 	for _, w := range s.wanted {
 		keep[w.Manifest] = true
@@ -143,12 +150,13 @@
 	}
 }
 
-// refresh hands the wanted versions whose manifests are known to the
-// decisions; it is called with the state locked.
-func (n *Node) refresh(s *state) {
-	n.retire(s)
+// updateDistribution passes the versions whose manifests have been read, and
+// the settings of the environment document, to the distribution. The caller
+// holds n.mu.
+func (n *Node) updateDistribution(s *state) {
+	n.removeUnwantedManifests(s)
 	var sets []burst.Set
-	for _, d := range s.inOrder() {
+	for _, d := range s.manifestsByPriority() {
 		k := s.manifests[d]
 		if k == nil || !k.ready {
 			continue
@@ -162,38 +170,40 @@
 		})
 	}
 	if s.view.Document != nil {
-		s.core.SetWeigh(s.view.Document.Weigh)
-		s.core.SetOriginRegion(n.originRegion(s.view.Document))
+		s.distribution.SetWeigh(s.view.Document.Weigh)
+		s.distribution.SetOriginRegion(n.originRegion(s.view.Document))
 		if r, ok := s.view.Document.RegionByName(n.Self.VM.Region); ok && r.Link > 0 {
 			n.pacer.SetRegion(r.Link)
 		}
 	}
 	if n.Burst.Turns == 0 {
-		s.core.SetTurns(n.turns())
+		s.distribution.SetTurns(n.importSlots())
 	}
 	if n.Burst.Fanout == 0 {
-		s.core.SetFanout(n.fanout())
+		s.distribution.SetFanout(n.regionFanout())
 	}
-	s.add(s.core.Update(s.now, sets))
+	s.addActions(s.distribution.Update(s.now, sets))
 }
 
-// turns is how many chunks may cross between two regions at a time.
-func (n *Node) turns() int {
+// importSlots returns how many chunks may be transferred between two regions
+// at a time.
+func (n *Node) importSlots() int {
 	if n.pacer.RegionBinds() {
 		return burst.DefaultTurns
 	}
 	return burst.WideTurns
 }
 
-// fanout is to how many regions one hands a chunk on.
-func (n *Node) fanout() int {
+// regionFanout returns to how many other regions one region passes a chunk on.
+func (n *Node) regionFanout() int {
 	if n.pacer.RegionBinds() {
 		return burst.DefaultFanout
 	}
 	return burst.WideFanout
 }
 
-// originRegion is what the document says, or the setting where it is silent.
+// originRegion returns the origin's region from the document, or from
+// OriginRegion if the document names none.
 func (n *Node) originRegion(d *envdoc.Document) string {
 	if d.Origin.Region != "" {
 		return d.Origin.Region
@@ -201,12 +211,14 @@
 	return n.OriginRegion
 }
 
+// isWanted reports whether a wanted version has the manifest.
 func (s *state) isWanted(d chunk.Digest) bool {
 	return slices.ContainsFunc(s.wanted, func(w Wanted) bool { return w.Manifest == d })
 }
 
-// inOrder lists the known manifests, the wanted ones first.
-func (s *state) inOrder() []chunk.Digest {
+// manifestsByPriority lists the manifests, the wanted ones first in the order
+// given to Update.
+func (s *state) manifestsByPriority() []chunk.Digest {
 	var out []chunk.Digest
 	for _, w := range s.wanted {
 		if !slices.Contains(out, w.Manifest) {
@@ -221,13 +233,13 @@
 	return out
 }
 
-// members are the sides that the document has hold the manifest, this one
-// included. Spare VMs of a service are not among them: they fetch nothing and
-// would only be waited for.
+// members returns the sides that must hold a version according to Members or
+// the environment document, this one first. Spare VMs of a service are left
+// out: they fetch nothing, and other sides would wait for them in vain.
 func (n *Node) members(s *state, d chunk.Digest) []burst.Member {
 	out := []burst.Member{{Name: n.Self.VM.Name, Region: n.Self.VM.Region}}
 	if n.Members != nil {
-		return n.appendPlaced(out, n.Members(d))
+		return n.appendOthers(out, n.Members(d))
 	}
 	if s.view.Document == nil {
 		return out
@@ -238,13 +250,14 @@
 			continue
 		}
 		for _, p := range svc.Replicas {
-			out = n.appendPlaced(out, roll.Placed(s.view, svc, fleet.VM{Zone: p.Zone}))
+			out = n.appendOthers(out, roll.Placed(s.view, svc, fleet.VM{Zone: p.Zone}))
 		}
 	}
 	return out
 }
 
-func (n *Node) appendPlaced(out []burst.Member, vms []fleet.VM) []burst.Member {
+// appendOthers appends vms without this side.
+func (n *Node) appendOthers(out []burst.Member, vms []fleet.VM) []burst.Member {
 	for _, vm := range vms {
 		if vm.Name != n.Self.VM.Name {
 			out = append(out, burst.Member{Name: vm.Name, Region: vm.Region})
--- a/io/version/swarm/upload.go
+++ b/io/version/swarm/upload.go
@@ -8,35 +8,36 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Bounds of uploads.
+// Limits of uploads.
 const (
-	maxOutgoing = 16 // chunks asked for at a time on one connection
-	maxRequests = 64 // blocks asked for at a time of one chunk
+	maxChunksPerConn    = 16 // chunks that one connection may request at a time
+	maxRequestsPerChunk = 64 // queued block requests for one chunk
 )
 
-// outgoing is one chunk on its way to a peer.
+// outgoing is the transfer of one chunk to a peer.
 type outgoing struct {
-	id       transferID
-	conn     *conn
-	ref      chunk.Ref
-	far      bool // to another region
-	data     []byte
-	requests []*want
-	turn     int // when it was last served, in blocks
+	id          transferID
+	conn        *conn
+	ref         chunk.Ref
+	otherRegion bool // the peer is in another region
+	data        []byte
+	requests    []*blockRequest
+	lastServed  int // value of uploads.blocksSent when it was last served
 }
 
-// uploads sends blocks to peers in turn. Sent one chunk after the other, the
-// blocks would reach a receiver in clumps from several senders at once, with
-// its link idle in between.
+// uploads sends requested blocks, one of each chunk in turn. If it sent whole
+// chunks one after the other, a receiver would get blocks from several senders
+// at once, with its link idle in between.
 type uploads struct {
 	node *Node
 
-	mu   sync.Mutex
-	list []*outgoing
-	sent int // blocks
-	wake chan struct{}
+	mu         sync.Mutex
+	list       []*outgoing
+	blocksSent int // blocks taken by next so far
+	wake       chan struct{}
 }
 
+// signal wakes run.
 func (u *uploads) signal() {
 	select {
 	case u.wake <- struct{}{}:
@@ -44,64 +45,66 @@
 	}
 }
 
-// request takes a peer's want. A chunk that this side wants but does not yet
-// hold is sent once it does.
-func (u *uploads) request(c *conn, w *want) {
-	ref, ok := u.node.wantedRef(w.Chunk)
-	if !ok || w.Offset+w.Length > ref.Size {
-		u.node.report("serve chunk", c.name(), fault.Newf("serve chunk", c.name(), "asked for %s at %d, which is not offered", w.Chunk, w.Offset))
-		u.refuse(c, w.transferID)
+// handleRequest handles a peer's block request. A chunk that this side wants
+// but does not hold yet is sent once it does.
+func (u *uploads) handleRequest(c *conn, req *blockRequest) {
+	ref, ok := u.node.wantedChunk(req.Chunk)
+	if !ok || req.Offset+req.Length > ref.Size {
+		u.node.logError("serve chunk", c.peerName(), fault.Newf("serve chunk", c.peerName(), "request for chunk %s at offset %d: no wanted version has these bytes", req.Chunk, req.Offset))
+		u.refuse(c, req.transferID)
 		return
 	}
-	if !u.add(c, ref, w) {
-		u.refuse(c, w.transferID)
+	if !u.add(c, ref, req) {
+		u.refuse(c, req.transferID)
 		return
 	}
-	if !u.node.held(w.Chunk) {
-		c.send(&later{transferID: w.transferID})
+	if !u.node.isHeld(req.Chunk) {
+		c.queueControl(&deferRequest{transferID: req.transferID})
 	}
 	u.signal()
 }
 
+// refuse answers that the chunk will not be sent.
 func (u *uploads) refuse(c *conn, id transferID) {
-	c.send(&lacks{transferID: id})
-	u.node.served(c.name())
+	c.queueControl(&refuseRequest{transferID: id})
+	u.node.uploadEnded(c.peerName())
 }
 
-func (u *uploads) add(c *conn, ref chunk.Ref, w *want) bool {
+// add queues a request and reports false if the peer has too many.
+func (u *uploads) add(c *conn, ref chunk.Ref, req *blockRequest) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	mine := 0
+	active := 0
 	for _, o := range u.list {
 		if o.conn != c {
 			continue
 		}
-		mine++
-		if o.id != w.transferID {
+		active++
+		if o.id != req.transferID {
 			continue
 		}
-		if len(o.requests) >= maxRequests {
+		if len(o.requests) >= maxRequestsPerChunk {
 			return false
 		}
-		o.requests = append(o.requests, w)
+		o.requests = append(o.requests, req)
 		return true
 	}
-	if mine >= maxOutgoing {
+	if active >= maxChunksPerConn {
 		return false
 	}
-	far := c.Peer.VM.Region != u.node.Self.VM.Region
-	u.list = append(u.list, &outgoing{id: w.transferID, conn: c, ref: ref, far: far, requests: []*want{w}})
+	otherRegion := c.Peer.VM.Region != u.node.Self.VM.Region
+	u.list = append(u.list, &outgoing{id: req.transferID, conn: c, ref: ref, otherRegion: otherRegion, requests: []*blockRequest{req}})
 	return true
 }
 
-// cancel forgets what a peer asked for in one transfer.
+// cancel removes the requests of one transfer.
 func (u *uploads) cancel(c *conn, id transferID) {
 	u.remove(func(o *outgoing) bool { return o.conn == c && o.id == id })
-	u.node.served(c.name())
+	u.node.uploadEnded(c.peerName())
 }
 
-// closed forgets all that a connection asked for.
-func (u *uploads) closed(c *conn) {
+// removeConn removes all requests of a connection.
+func (u *uploads) removeConn(c *conn) {
 	u.remove(func(o *outgoing) bool { return o.conn == c })
 }
 
@@ -118,42 +121,43 @@
 	u.list = kept
 }
 
-// next takes the request to serve now: that of the chunk served longest ago,
-// but those to another region before the rest, since a region link is the
-// scarcer.
-func (u *uploads) next() (*outgoing, *want) {
+// next removes and returns the request to serve next, of a chunk that is held.
+// Requests from other regions come first, since the links between regions are
+// scarcer; otherwise the chunk that was served longest ago does.
+func (u *uploads) next() (*outgoing, *blockRequest) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var best *outgoing
 	for _, o := range u.list {
-		if len(o.requests) == 0 || !u.node.held(o.ref.Digest) {
+		if len(o.requests) == 0 || !u.node.isHeld(o.ref.Digest) {
 			continue
 		}
-		if best == nil || o.before(best) {
+		if best == nil || o.hasPriorityOver(best) {
 			best = o
 		}
 	}
 	if best == nil {
 		return nil, nil
 	}
-	w := best.requests[0]
+	req := best.requests[0]
 	best.requests = best.requests[1:]
-	u.sent++
-	best.turn = u.sent
-	return best, w
+	u.blocksSent++
+	best.lastServed = u.blocksSent
+	return best, req
 }
 
-func (o *outgoing) before(other *outgoing) bool {
-	if o.far != other.far {
-		return o.far
+// hasPriorityOver reports whether o must be served before other.
+func (o *outgoing) hasPriorityOver(other *outgoing) bool {
+	if o.otherRegion != other.otherRegion {
+		return o.otherRegion
 	}
-	return o.turn < other.turn
+	return o.lastServed < other.lastServed
 }
 
 // run serves requests until ctx ends.
 func (u *uploads) run(ctx context.Context) {
 	for {
-		o, w := u.next()
+		o, req := u.next()
 		if o == nil {
 			select {
 			case <-ctx.Done():
@@ -162,29 +166,31 @@
 				continue
 			}
 		}
-		if err := u.serve(ctx, o, w); err != nil {
-			u.node.report("serve chunk", o.conn.name(), err)
-			o.conn.send(&lacks{transferID: o.id})
+		if err := u.serve(ctx, o, req); err != nil {
+			u.node.logError("serve chunk", o.conn.peerName(), err)
+			o.conn.queueControl(&refuseRequest{transferID: o.id})
 			u.cancel(o.conn, o.id)
 		}
 	}
 }
 
-func (u *uploads) serve(ctx context.Context, o *outgoing, w *want) error {
+// serve sends one block when the uplink allows it, and ends the transfer with
+// the last block of the chunk.
+func (u *uploads) serve(ctx context.Context, o *outgoing, req *blockRequest) error {
 	if o.data == nil {
-		b, err := u.node.bytesOf(ctx, o.ref)
+		b, err := u.node.readChunk(ctx, o.ref)
 		if err != nil {
 			return err
 		}
 		o.data = b
 	}
-	if err := u.node.pacer.Up.Wait(ctx, int(w.Length)); err != nil {
+	if err := u.node.pacer.Up.Wait(ctx, int(req.Length)); err != nil {
 		return err
 	}
-	end := w.Offset + w.Length
-	o.conn.sendBlock(&block{transferID: o.id, Offset: w.Offset, Data: o.data[w.Offset:end]})
-	u.node.sentBlock(o.conn.name())
-	u.node.counters.sent.Inc(w.Length)
+	end := req.Offset + req.Length
+	o.conn.queueBlock(&block{transferID: o.id, Offset: req.Offset, Data: o.data[req.Offset:end]})
+	u.node.blockSent(o.conn.peerName())
+	u.node.counters.sent.Inc(req.Length)
 	if end == o.ref.Size {
 		u.cancel(o.conn, o.id)
 	}
