--- a/io/version/pace/meter.go
+++ b/io/version/pace/meter.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// meterSpan is the time constant of a meter.
-const meterSpan = 2 * time.Second
+// meterTimeConstant is the time in which the weight of older traffic falls by
+// a factor of e.
+const meterTimeConstant = 2 * time.Second
 
-// meter is a decaying mean rate.
-type meter struct {
-	at    time.Time
-	value float64 // bytes a second at time at
+// rateMeter measures a rate as an exponentially decaying average.
+type rateMeter struct {
+	updatedAt time.Time
+	rateThen  float64 // bytes per second at updatedAt
 }
 
-func (m *meter) add(now time.Time, n int) {
-	m.value = m.rate(now) + float64(n)/meterSpan.Seconds()
-	m.at = now
+func (m *rateMeter) add(now time.Time, n int) {
+	m.rateThen = m.rate(now) + float64(n)/meterTimeConstant.Seconds()
+	m.updatedAt = now
 }
 
-func (m *meter) rate(now time.Time) float64 {
-	if m.at.IsZero() {
+func (m *rateMeter) rate(now time.Time) float64 {
+	if m.updatedAt.IsZero() {
 		return 0
 	}
-	age := now.Sub(m.at).Seconds() / meterSpan.Seconds()
-	return m.value * math.Exp(-max(age, 0))
+	age := now.Sub(m.updatedAt).Seconds() / meterTimeConstant.Seconds()
+	return m.rateThen * math.Exp(-max(age, 0))
 }
--- a/io/version/pace/pacer.go
+++ b/io/version/pace/pacer.go
@@ -6,72 +6,75 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// DefaultFloor is the share of each link that transfers get at least.
-const DefaultFloor = 0.1
+// DefaultMinShare is the minimum fraction of each link that transfers get if
+// Config sets none.
+const DefaultMinShare = 0.1
 
-// Config gives the rates of a side's links in bytes a second; zero leaves a
-// link unpaced. Region is the rate of the whole region link each way, which
-// all sides of the region share. Origin bounds what this side draws from the
-// origin.
+// Config sets the rates of a side's links in bytes per second; zero means no
+// limit. Region is the rate in each direction of the link between this side's
+// region and the others, which all sides of the region share. Origin limits
+// what this side reads from the origin. MinShare is the fraction of each link
+// that transfers always get, DefaultMinShare if zero.
 type Config struct {
-	Up     int64
-	Down   int64
-	Region int64
-	Origin int64
-	Floor  float64
+	Up       int64
+	Down     int64
+	Region   int64
+	Origin   int64
+	MinShare float64
 }
 
-// Pacer holds the lines of one side. Live traffic is reported to it by the
-// process's call path.
+// Pacer holds the limiters of one side: for the machine's own link, Up and
+// Down, and for reads from the origin. The process that serves calls reports
+// live traffic to it with Limiter.Live.
 type Pacer struct {
-	Up     *Line
-	Down   *Line
-	Origin *Line
-	// Cross meters this side's live traffic over the region link; it paces
-	// nothing itself, see RegionLeft.
-	Cross  *Line
-	Floor  float64
-	region atomic.Int64
+	Up     *Limiter
+	Down   *Limiter
+	Origin *Limiter
+	// Cross measures this side's live traffic on the region link. It is not
+	// used to limit; see RegionAvailable.
+	Cross      *Limiter
+	MinShare   float64
+	regionRate atomic.Int64
 }
 
-// New returns the lines for cfg.
+// New returns a Pacer for cfg.
 func New(cfg Config, clock clockwork.Clock) *Pacer {
-	floor := cfg.Floor
-	if floor <= 0 {
-		floor = DefaultFloor
+	minShare := cfg.MinShare
+	if minShare <= 0 {
+		minShare = DefaultMinShare
 	}
-	line := func(rate int64) *Line { return &Line{Clock: clock, Rate: rate, Floor: floor} }
+	limiter := func(rate int64) *Limiter { return &Limiter{Clock: clock, Rate: rate, MinShare: minShare} }
 	p := &Pacer{
-		Up:     line(cfg.Up),
-		Down:   line(cfg.Down),
-		Origin: line(cfg.Origin),
-		Cross:  line(max(cfg.Region, 1)),
-		Floor:  floor,
+		Up:       limiter(cfg.Up),
+		Down:     limiter(cfg.Down),
+		Origin:   limiter(cfg.Origin),
+		Cross:    limiter(max(cfg.Region, 1)),
+		MinShare: minShare,
 	}
-	p.region.Store(cfg.Region)
+	p.regionRate.Store(cfg.Region)
 	return p
 }
 
-// SetRegion changes the rate of the whole region link in bytes a second.
-func (p *Pacer) SetRegion(rate int64) { p.region.Store(rate) }
+// SetRegionRate changes the rate of the region link, in bytes per second.
+func (p *Pacer) SetRegionRate(rate int64) { p.regionRate.Store(rate) }
 
-// RegionBinds reports whether the region link carries less than this side's
-// own link downwards.
-func (p *Pacer) RegionBinds() bool {
-	rate := p.region.Load()
+// RegionIsBottleneck reports whether the region link is slower than the
+// downlink of this side's machine.
+func (p *Pacer) RegionIsBottleneck() bool {
+	rate := p.regionRate.Load()
 	return rate > 0 && (p.Down.Rate <= 0 || rate < p.Down.Rate)
 }
 
-// RegionLeft estimates the bytes a second that live traffic leaves of the
-// region link, zero for an unpaced link. The link is shared and no process
-// sees all of it: calls spread evenly over the sides of a region, so the
-// side's own live rate times the number of sides stands for the whole. It is
-// never less than the floor.
-func (p *Pacer) RegionLeft(sides int) float64 {
-	rate := float64(p.region.Load())
+// RegionAvailable estimates how many bytes per second live traffic leaves of
+// the region link, zero if the link has no limit. No process sees all traffic
+// on the shared link. Since calls spread evenly over the sides of a region,
+// the estimate multiplies the live rate of this side by the number of sides.
+// The result is at least MinShare of the rate.
+func (p *Pacer) RegionAvailable(sides int) float64 {
+	rate := float64(p.regionRate.Load())
 	if rate <= 0 {
 		return 0
 	}
-	left := rate - p.Cross.LiveRate()*float64(max(sides, 1))
-	return max(left, p.Floor*rate)
+	available := rate - p.Cross.LiveRate()*float64(max(sides, 1))
+	return max(available, p.MinShare*rate)
 }
--- a/io/version/pace/window.go
+++ b/io/version/pace/window.go
@@ -8,47 +8,50 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// The control of a Window.
+// Parameters of a Window.
 const (
-	// aimedDelay is how long what is on its way may wait before the machine's
-	// link: callers' requests stand behind it there.
-	aimedDelay = 200 * time.Millisecond
-	// growth is how many times the rate seen lately is allowed for: below
-	// two, a window that peers had kept small would stay so.
-	growth = 2
-	// rateBucket and rateBuckets span the time over which the rate is seen.
-	rateBucket  = 250 * time.Millisecond
-	rateBuckets = 4
-	// leastWindow lets one chunk of usual size come at a time, in bytes.
-	leastWindow = 56 << 10
+	// queueDelayGoal is how long requested bytes may queue on the machine's
+	// link. Requests of callers wait behind them there.
+	queueDelayGoal = 200 * time.Millisecond
+	// growthFactor is how many times the recently measured rate the limit
+	// allows for. Below two, a window that was small because peers sent slowly
+	// would not grow again.
+	growthFactor = 2
+	// bucketSpan and bucketCount determine the period over which the rate is
+	// measured, one second.
+	bucketSpan  = 250 * time.Millisecond
+	bucketCount = 4
+	// minWindow, in bytes, has room for one chunk of usual size at a time.
+	minWindow = 56 << 10
 )
 
-// Window bounds the bytes that a side has asked for and not got by the rate at
-// which they come. When a link carries a tenth of what it should, what was
-// asked for piles up before it, seconds deep, and every request to the machine
-// arrives behind it, after its caller has gone. Set the exported fields before
-// the first call. A nil Window bounds nothing.
+// Window limits the bytes that a side has requested and not yet received,
+// based on the rate at which they arrive. If a link carries only a tenth of
+// its normal rate, requested data would otherwise queue on it for seconds, and
+// requests to the machine would arrive only after their callers have given up.
+// Set the exported fields before the first call. A nil Window does not limit.
 type Window struct {
 	Clock clockwork.Clock
-	// Most is the bound on a link that carries what it should, in bytes.
+	// Most is the limit in bytes on a link with its normal rate.
 	Most int64
 
-	mu      sync.Mutex
-	out     int64
-	buckets [rateBuckets]int64
-	last    int64
-	begun   bool
-	waiters []chan struct{}
+	mu            sync.Mutex
+	outstanding   int64
+	buckets       [bucketCount]int64
+	currentBucket int64
+	measured      bool
+	waiters       []chan struct{}
 }
 
-// Acquire waits until n bytes may be asked for. A single block always may.
+// Acquire waits until n bytes may be requested and counts them. A single block
+// may always be requested.
 func (w *Window) Acquire(ctx context.Context, n int64) error {
 	if w == nil {
 		return nil
 	}
 	for {
 		w.mu.Lock()
-		if w.take(n) {
+		if w.tryReserve(n) {
 			w.mu.Unlock()
 			return nil
 		}
@@ -57,47 +60,48 @@
 		w.mu.Unlock()
 		select {
 		case <-c:
-		case <-w.Clock.After(rateBucket):
+		case <-w.Clock.After(bucketSpan):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-// TryAcquire reports whether n bytes may be asked for now, and counts them if so.
+// TryAcquire reports whether n bytes may be requested now, and counts them if
+// so.
 func (w *Window) TryAcquire(n int64) bool {
 	if w == nil {
 		return true
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.take(n)
+	return w.tryReserve(n)
 }
 
-// take counts n bytes if there is room for them; it is called with mu held.
-func (w *Window) take(n int64) bool {
-	w.turn()
-	if w.out > 0 && w.out+n > w.size() {
+// tryReserve counts n bytes if the limit allows them. The caller holds mu.
+func (w *Window) tryReserve(n int64) bool {
+	w.advance()
+	if w.outstanding > 0 && w.outstanding+n > w.limit() {
 		return false
 	}
-	w.out += n
+	w.outstanding += n
 	return true
 }
 
-// Release takes the end of n bytes that were asked for, of which got came.
-func (w *Window) Release(n, got int64) {
+// Release stops counting n requested bytes, of which received bytes arrived.
+func (w *Window) Release(n, received int64) {
 	if w == nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.turn()
-	w.out -= n
-	w.buckets[w.last%rateBuckets] += got
-	if w.out == 0 && w.buckets == [rateBuckets]int64{} {
-		// Every question was refused at once, as by an origin that is away.
-		// That tells nothing of the link.
-		w.begun = false
+	w.advance()
+	w.outstanding -= n
+	w.buckets[w.currentBucket%bucketCount] += received
+	if w.outstanding == 0 && w.buckets == [bucketCount]int64{} {
+		// All requests were refused at once, as by an origin that is
+		// unavailable. That says nothing about the rate of the link.
+		w.measured = false
 	}
 	for _, c := range w.waiters {
 		close(c)
@@ -105,32 +109,35 @@
 	w.waiters = nil
 }
 
-// turn clears the buckets that are over. A side that has rested starts anew
-// with the whole window: its link need not be what it was.
-func (w *Window) turn() {
-	at := w.Clock.Now().UnixNano() / int64(rateBucket)
-	if at-w.last >= rateBuckets {
-		w.buckets = [rateBuckets]int64{}
-		w.begun = w.out > 0
-		w.last = at
+// advance clears the buckets whose time has passed. After a pause with nothing
+// requested the window starts again with the full limit, since the rate of the
+// link may have changed. The caller holds mu.
+func (w *Window) advance() {
+	bucket := w.Clock.Now().UnixNano() / int64(bucketSpan)
+	if bucket-w.currentBucket >= bucketCount {
+		w.buckets = [bucketCount]int64{}
+		w.measured = w.outstanding > 0
+		w.currentBucket = bucket
 		return
 	}
-	for w.last < at {
-		w.last++
-		w.buckets[w.last%rateBuckets] = 0
-		w.begun = true
+	for w.currentBucket < bucket {
+		w.currentBucket++
+		w.buckets[w.currentBucket%bucketCount] = 0
+		w.measured = true
 	}
 }
 
-// size is the present bound in bytes.
-func (w *Window) size() int64 {
-	if !w.begun {
+// limit returns the current limit in bytes. It follows from the highest rate of
+// the recent buckets and is Most until a rate has been measured. The caller
+// holds mu.
+func (w *Window) limit() int64 {
+	if !w.measured {
 		return w.Most
 	}
-	most := int64(0)
+	peak := int64(0)
 	for _, n := range w.buckets {
-		most = max(most, n)
+		peak = max(peak, n)
 	}
-	rate := float64(most) / rateBucket.Seconds()
-	return min(max(int64(growth*rate*aimedDelay.Seconds()), leastWindow), w.Most)
+	rate := float64(peak) / bucketSpan.Seconds()
+	return min(max(int64(growthFactor*rate*queueDelayGoal.Seconds()), minWindow), w.Most)
 }
--- a/io/version/pace/window_test.go
+++ b/io/version/pace/window_test.go
@@ -9,68 +9,70 @@
 )
 
 const (
-	windowMost = 200 << 10
-	windowPart = 8 << 10
+	testMaxBytes  = 200 << 10
+	testBlockSize = 8 << 10
 )
 
-// fill asks for parts until the window is full and returns the bytes asked for.
+// fill requests blocks until the window is full and returns the number of
+// bytes requested.
 func fill(t *testing.T, w *Window) int64 {
 	t.Helper()
 	var out int64
 	for {
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Millisecond)
-		err := w.Acquire(ctx, windowPart)
+		err := w.Acquire(ctx, testBlockSize)
 		cancel()
 		if err != nil {
 			return out
 		}
-		out += windowPart
+		out += testBlockSize
 	}
 }
 
-// A request to a machine arrives seconds late: its link carries a tenth of what
-// it should, and all that its side asked for queues before it. What is on its
-// way follows the rate at which it comes, and grows again with it.
-func TestWindowFollowsTheLink(t *testing.T) {
+// On a link with a tenth of its normal rate, everything that a side has
+// requested queues, and requests of callers arrive seconds late. The
+// outstanding bytes must follow the rate at which data arrives, and grow again
+// with it.
+func TestWindowFollowsReceiveRate(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	w := &Window{Clock: clock, Most: windowMost}
-	if got := fill(t, w); got != windowMost/windowPart*windowPart {
-		t.Errorf("at first %d bytes are on their way, want the whole window", got)
+	w := &Window{Clock: clock, Most: testMaxBytes}
+	if got := fill(t, w); got != testMaxBytes/testBlockSize*testBlockSize {
+		t.Errorf("at first %d bytes are outstanding, want the whole window", got)
 	}
-	play := func(rate int64, d time.Duration) int64 {
+	run := func(rate int64, d time.Duration) int64 {
 		const step = 50 * time.Millisecond
 		for range int(d / step) {
 			clock.Advance(step)
-			for n := int64(float64(rate) * step.Seconds()); n >= windowPart && w.out >= windowPart; n -= windowPart {
-				w.Release(windowPart, windowPart)
+			for n := int64(float64(rate) * step.Seconds()); n >= testBlockSize && w.outstanding >= testBlockSize; n -= testBlockSize {
+				w.Release(testBlockSize, testBlockSize)
 			}
 			fill(t, w)
 		}
-		return w.out
+		return w.outstanding
 	}
 	const slow = 160 << 10
-	if got, most := play(slow, 3*time.Second), int64(growth*slow*aimedDelay.Seconds())+windowPart; got > most {
-		t.Errorf("%d bytes wait before a link of %d bytes a second, want at most %d", got, slow, most)
+	if got, most := run(slow, 3*time.Second), int64(growthFactor*slow*queueDelayGoal.Seconds())+testBlockSize; got > most {
+		t.Errorf("%d bytes are outstanding on a link of %d bytes per second, want at most %d", got, slow, most)
 	}
-	if got := play(10*slow, 3*time.Second); got < windowMost*3/4 {
-		t.Errorf("%d bytes are on their way once the link carries ten times as much, want about %d", got, windowMost)
+	if got := run(10*slow, 3*time.Second); got < testMaxBytes*3/4 {
+		t.Errorf("%d bytes are outstanding once the link carries ten times as much, want about %d", got, testMaxBytes)
 	}
 }
 
-// The origin is away and refuses each draw at once, for seconds. That tells
-// nothing of the link: when the origin is back the whole window is there, and the
-// version does not lose time on draws that wait for each other.
-func TestRefusalsTellNothingOfTheLink(t *testing.T) {
+// An unavailable origin refuses every request at once for seconds. That says
+// nothing about the link: the full window must be available when the origin is
+// back, or transfers of the version would wait for each other.
+func TestRefusedRequestsDoNotShrinkWindow(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	w := &Window{Clock: clock, Most: windowMost}
+	w := &Window{Clock: clock, Most: testMaxBytes}
 	for range 40 {
 		clock.Advance(100 * time.Millisecond)
-		if err := w.Acquire(t.Context(), windowPart); err != nil {
+		if err := w.Acquire(t.Context(), testBlockSize); err != nil {
 			t.Fatal(err)
 		}
-		w.Release(windowPart, 0)
+		w.Release(testBlockSize, 0)
 	}
-	if got := fill(t, w); got != windowMost/windowPart*windowPart {
-		t.Errorf("%d bytes may be asked for, want the whole window", got)
+	if got := fill(t, w); got != testMaxBytes/testBlockSize*testBlockSize {
+		t.Errorf("%d bytes may be requested, want the whole window", got)
 	}
 }
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -115,7 +115,7 @@
 func (n *Node) downloadFromPeer(ctx context.Context, c *conn, in *incoming) ([]byte, error) {
 	size := in.fetch.Chunk.Size
 	buf := make([]byte, size)
-	share := n.importLine(in.fetch.Share)
+	limiter := n.importLimiter(in.fetch.Share)
 	blockSize := n.requestSize(in.fetch.Via)
 	var paced, requested, received int64
 	out := outstanding{window: n.Inflow}
@@ -124,7 +124,7 @@
 		for requested < size && requested-received < maxOutstanding(received, blockSize) {
 			k := min(blockSize, size-requested)
 			if paced == requested {
-				if err := n.waitForLinks(ctx, share, in.fetch.Via, int(k)); err != nil {
+				if err := n.waitForLinks(ctx, limiter, in.fetch.Via, int(k)); err != nil {
 					return nil, err
 				}
 				paced += k
@@ -171,7 +171,7 @@
 	rate := float64(n.pacer.Down.Rate)
 	maxTime := n.BlockTime
 	if v == burst.ViaImport {
-		rate = n.pacer.RegionLeft(n.sidesInRegion())
+		rate = n.pacer.RegionAvailable(n.sidesInRegion())
 		maxTime = regionBlockTime
 	}
 	if rate <= 0 {
@@ -202,8 +202,8 @@
 
 // waitForLinks waits until both the import's share of the region link and the
 // machine's own link allow k more bytes.
-func (n *Node) waitForLinks(ctx context.Context, share *pace.Line, v burst.Via, k int) error {
-	if err := share.Wait(ctx, k); err != nil {
+func (n *Node) waitForLinks(ctx context.Context, importLimiter *pace.Limiter, v burst.Via, k int) error {
+	if err := importLimiter.Wait(ctx, k); err != nil {
 		return err
 	}
 	return n.waitForDownlink(ctx, v, k)
@@ -213,17 +213,17 @@
 // Imports take precedence because the other sides of the region wait for them.
 func (n *Node) waitForDownlink(ctx context.Context, v burst.Via, k int) error {
 	if v == burst.ViaImport {
-		return n.pacer.Down.WaitFirst(ctx, k)
+		return n.pacer.Down.WaitPriority(ctx, k)
 	}
 	return n.pacer.Down.Wait(ctx, k)
 }
 
-// importLine limits one import to its share of the region link. It returns
+// importLimiter limits one import to its share of the region link. It returns
 // nil, which does not limit, if share is zero, as it is for other transfers.
-func (n *Node) importLine(share float64) *pace.Line {
+func (n *Node) importLimiter(share float64) *pace.Limiter {
 	if share <= 0 {
 		return nil
 	}
-	left := n.pacer.RegionLeft(n.sidesInRegion())
-	return &pace.Line{Clock: n.Clock, Rate: int64(left * share)}
+	available := n.pacer.RegionAvailable(n.sidesInRegion())
+	return &pace.Limiter{Clock: n.Clock, Rate: int64(available * share)}
 }
--- a/io/version/swarm/source.go
+++ b/io/version/swarm/source.go
@@ -106,7 +106,7 @@
 	if err := s.pacer.Origin.Wait(ctx, n); err != nil {
 		return err
 	}
-	return s.pacer.Down.WaitFirst(ctx, n)
+	return s.pacer.Down.WaitPriority(ctx, n)
 }
 
 // get returns the response to a GET request, or a statusError if the status is
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -173,7 +173,7 @@
 		s.distribution.SetWeigh(s.view.Document.Weigh)
 		s.distribution.SetOriginRegion(n.originRegion(s.view.Document))
 		if r, ok := s.view.Document.RegionByName(n.Self.VM.Region); ok && r.Link > 0 {
-			n.pacer.SetRegion(r.Link)
+			n.pacer.SetRegionRate(r.Link)
 		}
 	}
 	if n.Burst.Turns == 0 {
@@ -188,7 +188,7 @@
 // importSlots returns how many chunks may be transferred between two regions
 // at a time.
 func (n *Node) importSlots() int {
-	if n.pacer.RegionBinds() {
+	if n.pacer.RegionIsBottleneck() {
 		return burst.DefaultTurns
 	}
 	return burst.WideTurns
@@ -196,7 +196,7 @@
 
 // regionFanout returns to how many other regions one region passes a chunk on.
 func (n *Node) regionFanout() int {
-	if n.pacer.RegionBinds() {
+	if n.pacer.RegionIsBottleneck() {
 		return burst.DefaultFanout
 	}
 	return burst.WideFanout
