--- a/io/version/pace/limiter_test.go
+++ b/io/version/pace/limiter_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// Live traffic must never wait for more than the block being sent and maxLag.
+// A live call must never wait for more than the block being sent and maxLag.
 func TestLiveTrafficWaitsForOneBlockAtMost(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := &Limiter{Clock: clock, Rate: 1_000_000, MinShare: 0.1}
--- a/io/version/swarm/node.go
+++ b/io/version/swarm/node.go
@@ -83,7 +83,7 @@
 //
 // Burst.Self and Burst.OriginRegion are overwritten from Self and
 // OriginRegion. Pacer may be shared with the code that serves calls, which
-// reports live traffic to it; if nil, one is created from Pace. BlockSize,
+// reports live traffic to it; if nil, one is created from LinkRates. BlockSize,
 // BlockTime and CacheBytes default to DefaultBlockSize, DefaultBlockTime and
 // DefaultCacheBytes.
 type Node struct {
@@ -105,7 +105,7 @@
 	Origin       netip.AddrPort
 	Store        netip.AddrPort
 	OriginRegion string
-	Pace         pace.Config
+	LinkRates    pace.Config
 	Pacer        *pace.Pacer
 	Burst        burst.Config
 	BlockSize    int64
@@ -159,7 +159,7 @@
 		n.ctx, n.stop = context.WithCancel(context.Background())
 		n.pacer = n.Pacer
 		if n.pacer == nil {
-			n.pacer = pace.New(n.Pace, n.Clock)
+			n.pacer = pace.New(n.LinkRates, n.Clock)
 		}
 		if n.BlockSize <= 0 {
 			n.BlockSize = DefaultBlockSize
--- a/io/version/swarm/source.go
+++ b/io/version/swarm/source.go
@@ -34,8 +34,8 @@
 	return "status " + strconv.Itoa(e.Status) + ", retry after " + e.RetryAfter.String()
 }
 
-// source is the Source in production: it reads manifests from the store and
-// chunks from the origin.
+// source is the Source that a Node uses if none is set. It reads manifests from
+// the store and chunks from the origin.
 type source struct {
 	store  netip.AddrPort
 	origin netip.AddrPort
