--- a/io/version/pace/window_test.go
+++ b/io/version/pace/window_test.go
@@ -51,8 +51,8 @@
 		return w.outstanding
 	}
 	const slow = 160 << 10
-	if got, most := run(slow, 3*time.Second), int64(growthFactor*slow*queueDelayGoal.Seconds())+testBlockSize; got > most {
-		t.Errorf("%d bytes are outstanding on a link of %d bytes per second, want at most %d", got, slow, most)
+	if got, maxBytes := run(slow, 3*time.Second), int64(growthFactor*slow*queueDelayGoal.Seconds())+testBlockSize; got > maxBytes {
+		t.Errorf("%d bytes are outstanding on a link of %d bytes per second, want at most %d", got, slow, maxBytes)
 	}
 	if got := run(10*slow, 3*time.Second); got < testMaxBytes*3/4 {
 		t.Errorf("%d bytes are outstanding once the link carries ten times as much, want about %d", got, testMaxBytes)
--- a/io/version/swarm/outstanding_test.go
+++ b/io/version/swarm/outstanding_test.go
@@ -21,20 +21,20 @@
 func TestTransfersWithFullWindowDoNotDeadlock(t *testing.T) {
 	const block = 4 << 10
 	tests := []struct {
-		name string
-		most int64
+		name     string
+		maxBytes int64
 	}{
-		{name: "room for one block", most: block},
-		{name: "room for one block of each of some transfers", most: 3 * block},
+		{name: "room for one block", maxBytes: block},
+		{name: "room for one block of each of some transfers", maxBytes: 3 * block},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := newFakeOrigin(t)
 			d := p.publish(t, "1", 8*block, seq(0, 12)...)
-			tune := func(n *Node) {
-				n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: tt.most}
+			configure := func(n *Node) {
+				n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: tt.maxBytes}
 			}
-			c := newConfiguredCluster(t, p, testTimeout, tune, "r1", "r2", "r3")
+			c := newConfiguredCluster(t, p, testTimeout, configure, "r1", "r2", "r3")
 			c.setWanted(d, c.nodes...)
 			for _, n := range c.nodes {
 				c.awaitVersion(n, d, testTimeout/3)
--- a/io/version/swarm/two_versions_test.go
+++ b/io/version/swarm/two_versions_test.go
@@ -35,8 +35,8 @@
 		}
 		return missing[d]
 	}
-	tune := func(n *Node) { n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: 16 << 10} }
-	c := newConfiguredCluster(t, p, testTimeout, tune, "r1", "r2", "r2", "r3")
+	configure := func(n *Node) { n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: 16 << 10} }
+	c := newConfiguredCluster(t, p, testTimeout, configure, "r1", "r2", "r2", "r3")
 	for _, n := range c.nodes {
 		n.Update(c.view(second), []Wanted{
 			{Model: "m", Version: "2", Manifest: second},
