--- a/io/process/feed/apply.go
+++ b/io/process/feed/apply.go
@@ -7,22 +7,23 @@
 	"hawthornferry/core/process/trail"
 )
 
-// replace takes items as all that there is; it is called with the feed locked.
-func (f *Feed) replace(items []Item, at uint64) {
-	there := map[string]bool{}
+// replaceAll replaces all items by the given ones, read at revision at. f.mu
+// must be held.
+func (f *Feed) replaceAll(items []Item, at uint64) {
+	present := map[string]bool{}
 	for _, it := range items {
-		there[it.Key] = true
+		present[it.Key] = true
 	}
 	for key := range f.items {
-		if !there[key] {
+		if !present[key] {
 			items = append(items, Item{Key: key, Revision: at, Deleted: true})
 		}
 	}
 	f.apply(items, naming.Moment{})
 }
 
-// apply takes changes in; live is when they were made, if they came as they were. It
-// is called with the feed locked.
+// apply applies changed items. live is when they were changed, known only if
+// they were received as that happened. f.mu must be held.
 func (f *Feed) apply(items []Item, live naming.Moment) {
 	for _, it := range items {
 		if old, ok := f.items[it.Key]; ok && old.Revision > it.Revision {
@@ -36,43 +37,45 @@
 			continue
 		}
 		f.items[it.Key] = it
-		delete(f.lapsing, it.Key)
-		f.read(it, live)
+		delete(f.graceEnds, it.Key)
+		f.decode(it, live)
 	}
 }
 
-// remove drops an item. A target that is missing just after an outage may only
-// have been unable to renew its entry: taken for gone, a whole service could
-// lose its targets at once. One that lives is back within the grace.
+// remove removes an item. A target that is missing just after an outage of the
+// store may only have been unable to renew its registration, so it stays in use
+// during the grace: a whole service could otherwise lose all targets at once. A
+// running target registers again before the grace ends.
 func (f *Feed) remove(it Item) {
 	if _, had := f.items[it.Key]; had {
-		f.gone.add(it)
+		f.removed.add(it)
 	}
 	delete(f.items, it.Key)
-	fact, ok := f.facts[it.Key]
+	fact, ok := f.decoded[it.Key]
 	if !ok {
 		return
 	}
 	now := f.Clock.Now()
 	if end := f.graceEnd(now); fact.Target != nil && now.Before(end) {
-		if _, waiting := f.lapsing[it.Key]; !waiting {
-			f.lapsing[it.Key] = end
+		if _, waiting := f.graceEnds[it.Key]; !waiting {
+			f.graceEnds[it.Key] = end
 		}
 		return
 	}
-	delete(f.facts, it.Key)
-	f.noteTarget("lost", fact, it.Revision)
+	delete(f.decoded, it.Key)
+	f.logTarget("lost", fact, it.Revision)
 }
 
-// graceEnd is until when a target that is missing now may be used. It counts from
-// the store's return: one that is removed later than targets need to register anew
-// has left. Counted from the removal, a process that was itself cut off used a
-// target for longer than the bound on leaving ones allows.
+// graceEnd returns until when a target that is found missing now may be used.
+// The grace counts from the store's return: a target removed after targets have
+// had time to register again has really left. Counted from the removal, a
+// process that had been disconnected alone used a target for longer than Drain
+// allows.
 func (f *Feed) graceEnd(now time.Time) time.Time {
-	if f.backSince.IsZero() {
+	if f.storeBackAt.IsZero() {
 		return now
 	}
-	return earlier(f.backSince.Add(returnGrace), now.Add(f.Drain-lapseEvery))
+	return earlier(f.storeBackAt.Add(registerGrace), now.Add(f.Drain-graceCheckInterval))
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -82,17 +85,18 @@
 	return b
 }
 
-// read decodes an item. What cannot be read leaves the last good one in
-// force, but for a target: an entry that names none is not to be used.
-func (f *Feed) read(it Item, live naming.Moment) {
+// decode decodes an item. If it can't be decoded, the last good version of it
+// stays in force, except for a target: a target whose entry is invalid must not
+// be used.
+func (f *Feed) decode(it Item, live naming.Moment) {
 	fact, err := f.Reader.Read(it)
-	old, had := f.facts[it.Key]
+	old, had := f.decoded[it.Key]
 	if err != nil {
 		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "rejectItem", Subject: it.Key, Reason: err.Error(), Revision: it.Revision})
 		f.Metrics.Counter("items_rejected_total").Inc(1)
 		if had && old.Target != nil {
-			delete(f.facts, it.Key)
-			f.noteTarget("lost", old, it.Revision)
+			delete(f.decoded, it.Key)
+			f.logTarget("lost", old, it.Revision)
 		}
 		return
 	}
@@ -100,8 +104,8 @@
 		return
 	}
 	if v := fact.Version; v != nil {
-		f.hear(v, live)
-		f.noteVersion(v, it.Revision, live.Known)
+		f.addAnnouncement(v, live)
+		f.logVersion(v, it.Revision, live.Known)
 	}
 	if c := fact.Config; c != nil {
 		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "apply", Subject: "routes", Choice: versionText(c.Table.Version), Revision: it.Revision})
@@ -111,7 +115,7 @@
 		if fact.Target.Leaving {
 			action = "leaving"
 		}
-		f.noteTarget(action, fact, it.Revision)
+		f.logTarget(action, fact, it.Revision)
 	}
-	f.facts[it.Key] = fact
+	f.decoded[it.Key] = fact
 }
--- a/io/process/feed/rest_test.go
+++ b/io/process/feed/backoff_test.go
@@ -11,53 +11,53 @@
 	"github.com/cockroachdb/errors"
 )
 
-// follower is a feed as a side has it.
-func follower(s Store, upstreams ...Peer) *Feed {
+// newFollower returns a feed with the settings of a side.
+func newFollower(s Store, upstreams ...Peer) *Feed {
 	f := newFeed(s)
 	f.Wait, f.TellWait, f.StoreRest = 4*time.Second, 2*time.Second, 2400*time.Millisecond
 	f.Tellers = func() []Peer { return upstreams }
 	return f
 }
 
-// countedStore counts the calls of its feed.
-type countedStore struct {
+// callCounter counts calls to the store.
+type callCounter struct {
 	*fakeStore
 
 	mu    sync.Mutex
 	calls int
 }
 
-func (s *countedStore) count() int {
+func (s *callCounter) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *countedStore) List(ctx context.Context, after string) (Page, error) {
-	s.note()
+func (s *callCounter) List(ctx context.Context, after string) (Page, error) {
+	s.add()
 	return s.fakeStore.List(ctx, after)
 }
 
-func (s *countedStore) Watch(ctx context.Context, after uint64, wait time.Duration) (Changes, error) {
-	s.note()
+func (s *callCounter) Watch(ctx context.Context, after uint64, wait time.Duration) (Changes, error) {
+	s.add()
 	return s.fakeStore.Watch(ctx, after, wait)
 }
 
-func (s *countedStore) note() {
+func (s *callCounter) add() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
 }
 
-// Guards against a fleet that calls a store which is away all the while: those that
-// tell it find out that the store is back.
-func TestFollowersLeaveALostStoreToTheirTellers(t *testing.T) {
+// Guards against a fleet that keeps calling a store which is down: only the
+// upstreams need to find out that it is back.
+func TestFollowersBackOffFromLostStore(t *testing.T) {
 	const away = 5 * time.Second
 	s := newFakeStore()
 	s.set("config", "1", false)
-	_, teller := tellingFeed(t, "teller", s)
-	counted := &countedStore{fakeStore: s}
-	f := follower(counted, teller)
+	_, upstream := newUpstream(t, "teller", s)
+	counted := &callCounter{fakeStore: s}
+	f := newFollower(counted, upstream)
 	runFeed(t, f)
 	eventually(t, "the configuration is known", func() bool { return f.Current().Table != nil })
 	s.fail(errors.New("away"))
@@ -68,60 +68,60 @@
 	s.fail(nil)
 	s.set("config", "2", false)
 	took := eventually(t, "the new configuration is known", func() bool { return f.Current().Table.Version == 2 })
-	if most := mostRetry + tellersRetry*3/2 + time.Second; took > most {
-		t.Errorf("the change was heard of %s after the return, want %s at most", took, most)
+	if most := retryMax + upstreamRetry*3/2 + time.Second; took > most {
+		t.Errorf("the change was received %s after the return, want %s at most", took, most)
 	}
 }
 
-// Guards against a fleet that starts with its tellers and whose processes all read
-// the store, since those do not listen yet.
-func TestStartWaitsForTellersThatStart(t *testing.T) {
+// Guards against a fleet whose processes all read the store because they start
+// at the same time as their upstreams, which don't listen yet.
+func TestStartupWaitsForStartingUpstreams(t *testing.T) {
 	const later = 300 * time.Millisecond
 	s := newFakeStore()
 	s.set("config", "1", false)
-	_, teller := tellingFeed(t, "teller", s)
-	counted := &countedStore{fakeStore: s}
+	_, upstream := newUpstream(t, "teller", s)
+	counted := &callCounter{fakeStore: s}
 	began := time.Now()
-	f := follower(counted)
-	closed := closedPeer(t)
+	f := newFollower(counted)
+	closed := refusingPeer(t)
 	f.Tellers = func() []Peer {
 		if time.Since(began) < later {
 			return []Peer{closed}
 		}
-		return []Peer{teller}
+		return []Peer{upstream}
 	}
 	runFeed(t, f)
 	took := eventually(t, "the configuration is known", func() bool { return f.Current().Table != nil })
 	if got := counted.count(); got > 0 {
 		t.Errorf("%d calls to the store, want none", got)
 	}
-	if most := later + startWait; took > most {
-		t.Errorf("told after %s, want %s at most", took, most)
+	if most := later + startupUpstreamWait; took > most {
+		t.Errorf("state received after %s, want %s at most", took, most)
 	}
 }
 
-// Guards against a fleet that turns to the store since one watch of each reader was
-// cut.
-func TestOneCutWatchSendsNobodyToTheStore(t *testing.T) {
+// Guards against a fleet that turns to the store because one watch of each
+// reader failed.
+func TestOneFailedWatchSendsNobodyToStore(t *testing.T) {
 	s := newFakeStore()
 	s.set("config", "1", false)
-	_, teller := tellingFeed(t, "teller", s)
-	counted := &countedStore{fakeStore: s}
-	f := follower(counted, teller)
+	_, upstream := newUpstream(t, "teller", s)
+	counted := &callCounter{fakeStore: s}
+	f := newFollower(counted, upstream)
 	runFeed(t, f)
 	eventually(t, "the configuration is known", func() bool { return f.Current().Table != nil })
 	before := counted.count()
 	s.failOnce(errors.New("cut"))
 	time.Sleep(2 * time.Second)
 	if got := counted.count() - before; got > 0 {
-		t.Errorf("%d calls to the store after one of its reader's was cut, want none", got)
+		t.Errorf("%d calls to the store after a call of its upstream failed, want none", got)
 	}
 	s.set("config", "2", false)
 	eventually(t, "the new configuration is known", func() bool { return f.Current().Table.Version == 2 })
 }
 
-// closedPeer is an address at which nothing listens.
-func closedPeer(t *testing.T) Peer {
+// refusingPeer returns an address on which nothing listens.
+func refusingPeer(t *testing.T) Peer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/io/process/feed/fakes_test.go
+++ b/io/process/feed/fakes_test.go
@@ -20,11 +20,12 @@
 	"hawthornferry/io/conn/link"
 )
 
-// plain reads items whose keys say what they are: config, target/ID and
-// version/MODEL with a number as value. The value "bad" cannot be read.
-type plain struct{}
+// fakeReader decodes items by their keys: target/ID is a target, version/MODEL
+// and any other key (config) a version and a configuration with a number as
+// value. The value "bad" is an error.
+type fakeReader struct{}
 
-func (plain) Read(it Item) (Fact, error) {
+func (fakeReader) Read(it Item) (Fact, error) {
 	v := string(it.Value)
 	if v == "bad" {
 		return Fact{}, errors.New("bad")
@@ -39,22 +40,22 @@
 	return Fact{Config: &Config{Table: &table.Table{Version: n}}}, nil
 }
 
-// fakeStore answers from memory; a nil error means that it is up.
+// fakeStore is a store in memory. Its calls fail while err is set.
 type fakeStore struct {
-	mu       sync.Mutex
-	items    map[string]Item
-	log      []Item
-	revision uint64
-	history  uint64
-	fails    error
-	calls    int
-	// answered is when the last watch ended, and gap the longest pause between two
-	// watches since the last call of restart.
-	answered time.Time
-	gap      time.Duration
-	changed  chan struct{}
-	// once has the store fail one watch only.
-	once bool
+	mu             sync.Mutex
+	items          map[string]Item
+	log            []Item
+	revision       uint64
+	oldestRevision uint64
+	failure        error
+	calls          int
+	// lastWatchEnd is when the last watch ended, and gap the longest pause
+	// between two watches since the last call of resetGap.
+	lastWatchEnd time.Time
+	gap          time.Duration
+	changed      chan struct{}
+	// failNext makes only one watch fail.
+	failNext bool
 }
 
 func newFakeStore() *fakeStore {
@@ -78,23 +79,23 @@
 func (s *fakeStore) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fails = err
+	s.failure = err
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// failOnce has the watch that is under way, or the next one, fail.
+// failOnce makes the watch that is under way, or else the next one, fail.
 func (s *fakeStore) failOnce(err error) {
 	s.fail(err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.once = true
+	s.failNext = true
 }
 
-func (s *fakeStore) forget() {
+func (s *fakeStore) dropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history = s.revision
+	s.oldestRevision = s.revision
 }
 
 func (s *fakeStore) List(context.Context, string) (Page, error) {
@@ -105,24 +106,24 @@
 	for _, it := range s.items {
 		p.Items = append(p.Items, it)
 	}
-	return p, s.fails
+	return p, s.failure
 }
 
-// endWatch notes the end of a watch.
+// endWatch records the end of a watch.
 func (s *fakeStore) endWatch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered = time.Now()
+	s.lastWatchEnd = time.Now()
 }
 
-// restart counts the pauses between watches anew.
-func (s *fakeStore) restart() {
+// resetGap restarts the measurement of pauses between watches.
+func (s *fakeStore) resetGap() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.answered, s.gap = time.Now(), 0
+	s.lastWatchEnd, s.gap = time.Now(), 0
 }
 
-// longestGap is the longest pause between two watches since restart.
+// longestGap returns the longest pause between two watches since resetGap.
 func (s *fakeStore) longestGap() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +137,7 @@
 		s.mu.Lock()
 		if first {
 			s.calls++
-			s.gap = max(s.gap, time.Since(s.answered))
+			s.gap = max(s.gap, time.Since(s.lastWatchEnd))
 		}
 		c := Changes{At: s.revision}
 		for _, it := range s.log {
@@ -144,11 +145,11 @@
 				c.Items = append(c.Items, it)
 			}
 		}
-		err, changed := s.fails, s.changed
-		if s.once {
-			s.fails, s.once = nil, false
+		err, changed := s.failure, s.changed
+		if s.failNext {
+			s.failure, s.failNext = nil, false
 		}
-		if after < s.history {
+		if after < s.oldestRevision {
 			err = ErrHistory
 		}
 		s.mu.Unlock()
@@ -176,7 +177,7 @@
 
 func newFeed(s Store) *Feed {
 	return &Feed{
-		Self: newSelf("self"), Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Store: s, Reader: plain{},
+		Self: newSelf("self"), Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Store: s, Reader: fakeReader{},
 		Awake: func() time.Duration { return time.Since(testStart) }, Wait: 100 * time.Millisecond,
 		Drain: 2 * time.Second, Peers: func() []Peer { return nil },
 	}
@@ -195,14 +196,15 @@
 	})
 }
 
-// answering has a feed answer its peers until stop is called.
-func answering(t *testing.T, f *Feed) (peer Peer, stop func()) {
+// servePeer lets a feed serve its peers until stop is called.
+func servePeer(t *testing.T, f *Feed) (peer Peer, stop func()) {
 	t.Helper()
-	return listening(t, f.Self, f.Handler().Serve)
+	return startPeer(t, f.Self, f.Handler().Serve)
 }
 
-// listening is a peer that serves its connections as given until stop is called.
-func listening(t *testing.T, self *link.Self, serve func(ctx context.Context, c *link.Conn)) (peer Peer, stop func()) {
+// startPeer starts a peer that handles its connections with serve until stop is
+// called.
+func startPeer(t *testing.T, self *link.Self, serve func(ctx context.Context, c *link.Conn)) (peer Peer, stop func()) {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -222,11 +224,12 @@
 	return Peer{Address: netip.MustParseAddrPort(nl.Addr().String())}, stop
 }
 
-// freezing is a peer that answers its first question as given and then accepts
-// questions without a word, as a machine that froze with its connections open.
-func freezing(t *testing.T, told *tell) Peer {
+// freezeAfterOneReply starts a peer that sends the given reply to its first
+// request and never replies again, like a machine that froze with its
+// connections open.
+func freezeAfterOneReply(t *testing.T, told *factsReply) Peer {
 	t.Helper()
-	peer, _ := listening(t, newSelf("frozen"), func(ctx context.Context, c *link.Conn) {
+	peer, _ := startPeer(t, newSelf("frozen"), func(ctx context.Context, c *link.Conn) {
 		if _, err := c.Receive(); err != nil {
 			return
 		}
@@ -251,7 +254,7 @@
 	return 0
 }
 
-func ids(f *Feed) string {
+func targetIDs(f *Feed) string {
 	var out []string
 	for _, t := range f.Current().Targets {
 		out = append(out, t.ID)
--- a/io/process/feed/feed.go
+++ b/io/process/feed/feed.go
@@ -1,6 +1,10 @@
-// Package feed keeps a process's belief of the platform: it lists and watches
-// the platform's store, asks peers while the store does not answer, and hands
-// out facts with the age of what they rest on.
+// Package feed keeps a process's copy of the platform's state (configuration,
+// targets and model versions) up to date. Package hosted runs one Feed in each
+// process and reads its facts; package platform implements its Store and
+// Reader. A Feed gets the state from upstreams if it has any, else it lists and
+// watches the platform's store itself. While neither answers, it asks other
+// peers. Each state comes with the time at which it was last known to be
+// current.
 package feed
 
 import (
@@ -21,41 +25,50 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Times of the feed.
+// Timeouts and intervals of calls to the store.
 const (
-	// callTimeout bounds what a watch takes beyond its wait. The store answers in
-	// milliseconds, and well within that when it is many times slower.
-	callTimeout = time.Second
-	// listTimeout is the same for one page of a list. A page of a few hundred
-	// items takes its time on a region link that others use as well; given up
-	// sooner and asked for again by all, pages would fill the link for good.
-	listTimeout = 4 * time.Second
-	// leastPause parts two calls after one that brought changes. Changes come
-	// in bursts of ten and more a second; each watch would return with one. It is
-	// well under naming.MostGap.
-	leastPause = 100 * time.Millisecond
-	// firstRetry and mostRetry part calls that failed.
-	firstRetry = 100 * time.Millisecond
-	mostRetry  = 800 * time.Millisecond
-	// tellersRetry parts the tries at the tellers of a process that leaves the store
-	// to them, and startWait is for how long one does that starts with them.
-	tellersRetry = 200 * time.Millisecond
-	startWait    = 800 * time.Millisecond
-	// returnGrace is how long a target that is missing when the store comes
-	// back is kept: targets that live register anew within two seconds.
-	returnGrace = 1800 * time.Millisecond
-	// lapseEvery is how often the grace of missing targets is looked at.
-	lapseEvery = 250 * time.Millisecond
-	// outage is the gap between two answers from which the store counts as
-	// having been away.
-	outage = time.Second
-	// readerLag is how old the belief of a process that reads the store is at
-	// most while that answers: it is as old as the start of the last watch that
-	// has ended, so two waits of an entry.
-	readerLag = 1600 * time.Millisecond
+	// watchSlack is how much longer than its wait a watch may take. The store
+	// answers in milliseconds, and within a second even when it is many times
+	// slower than usual.
+	watchSlack = time.Second
+	// pageTimeout bounds the read of one page of a list. A page of a few
+	// hundred items takes a while on a region link that is shared. With a
+	// shorter timeout, processes that give up and retry would keep the link
+	// full for good.
+	pageTimeout = 4 * time.Second
+	// minWatchInterval is the shortest time from the start of a watch that
+	// brought changes to the next one. Changes come in bursts of ten and more a
+	// second, and without it each watch would return with one. It must stay
+	// well below naming.MostGap: after a longer gap, changes no longer count as
+	// received when they were made.
+	minWatchInterval = 100 * time.Millisecond
+	// retryBase and retryMax bound the pauses between calls that failed.
+	retryBase = 100 * time.Millisecond
+	retryMax  = 800 * time.Millisecond
+	// upstreamRetry is the mean pause between tries of the upstreams while this
+	// process doesn't call the store. startupUpstreamWait is how long a process
+	// that starts at the same time as its upstreams waits for them before it
+	// calls the store.
+	upstreamRetry       = 200 * time.Millisecond
+	startupUpstreamWait = 800 * time.Millisecond
+	// registerGrace is how long after the store has come back a target that is
+	// missing may still be used: running targets register again within two
+	// seconds.
+	registerGrace = 1800 * time.Millisecond
+	// graceCheckInterval is the longest wait of a watch while there are missing
+	// targets, so that they are dropped soon after their grace has ended.
+	graceCheckInterval = 250 * time.Millisecond
+	// minOutage is how much longer than usual the store must have been silent
+	// to count as having been unreachable.
+	minOutage = time.Second
+	// maxReaderAge is the largest age of the state of a process that watches
+	// the store while the store answers. The state is as old as the start of
+	// the last watch that has ended, so two waits of an entry (800 ms each).
+	maxReaderAge = 1600 * time.Millisecond
 )
 
-// Feed holds the belief. Set the exported fields before Run.
+// Feed holds the process's copy of the platform's state. Set the exported
+// fields before Run.
 type Feed struct {
 	Self    *link.Self
 	Clock   clockwork.Clock
@@ -63,76 +76,89 @@
 	Metrics tally.Scope
 	Store   Store
 	Reader  Reader
-	// Awake is a clock that also counts the time in which the machine was
-	// suspended; ages are measured on it.
+	// Awake is a clock that keeps counting while the machine is suspended. Ages
+	// are measured on it.
 	Awake func() time.Duration
-	// RanSince, when set, reports whether this process ran without a standstill
-	// from a moment on Awake until now.
+	// RanSince, when set, reports whether this process has run without being
+	// suspended or stopped from a time on the Awake clock until now.
 	RanSince func(at time.Duration) bool
-	// Wait is how long one watch waits: the belief is confirmed that often.
+	// Wait is how long one watch of the store waits for a change. The state is
+	// confirmed that often.
 	Wait time.Duration
-	// Drain bounds how long a target may be used after it was removed.
+	// Drain is the longest time for which a target may be used after it was
+	// removed.
 	Drain time.Duration
-	// Peers returns the processes to ask while the store does not answer.
+	// Peers returns the processes to ask while the state is not being
+	// confirmed.
 	Peers func() []Peer
-	// Readers returns the processes among them that watch the store for others.
+	// Readers returns those peers that watch the store themselves.
 	Readers func() []Peer
-	// Tellers, when set, returns the processes to be told by: the store is
-	// read only while none of them can tell. A few read for all others, since
-	// the store's rate does not grow with the fleet.
+	// Tellers, when set, returns the upstreams: processes that watch the store
+	// and report changes to this one. This process then calls the store only
+	// while none of them can report. A few processes read for all others,
+	// because the store's capacity doesn't grow with the number of processes.
 	Tellers func() []Peer
-	// StoreRest is how long a process that has tellers leaves the store to them after
-	// its own calls have failed too; zero for one that goes on calling. A whole fleet
-	// that calls a store which is away has spent its rate when that returns.
+	// StoreRest is the mean time for which a process with upstreams stops
+	// calling the store after two of its calls in a row have failed; the
+	// upstreams report when the store is back. Zero means that it goes on
+	// calling. If a whole fleet called a store that is down, its request quota
+	// would be used up when it comes back.
 	StoreRest time.Duration
-	// TellWait is how long this process waits for a change at its teller: the
-	// belief is confirmed that often, and a teller that has fallen silent shows
-	// after little more.
+	// TellWait is how long a request to an upstream waits for a change. The
+	// state is confirmed that often, and an upstream that has stopped
+	// responding is detected after little more.
 	TellWait time.Duration
 
-	mu      sync.Mutex
-	items   map[string]Item
-	gone    removals
-	facts   map[string]Fact
-	lapsing map[string]time.Time
-	namings naming.Ledger
-	// asked is how often peers were asked when the newest version was named, and
-	// askAt when, on Awake, they are asked next.
-	asked    int
-	askAt    time.Duration
-	revision uint64
-	// confirmed is when, on Awake, the belief was last known to be true.
+	mu            sync.Mutex
+	items         map[string]Item
+	removed       removals
+	decoded       map[string]Fact
+	graceEnds     map[string]time.Time
+	announcements naming.Ledger
+	// queries is how often peers were asked when the newest version was
+	// announced, and nextQuery the time on the Awake clock of the next query.
+	queries   int
+	nextQuery time.Duration
+	revision  uint64
+	// confirmed is when, on the Awake clock, the state was last known to be
+	// current.
 	confirmed time.Duration
 	known     bool
-	// answered is until when, on Awake, the store's last answer tells.
-	answered time.Duration
-	// failed is when, on Awake, a call of this process to the store last failed.
-	failed time.Duration
-	// lost is set while the last two calls of this process to the store have failed.
-	lost bool
-	// upUntil is the latest moment, on Awake, at which the store is known to have
-	// answered anybody; toldAt is until when a teller told. Both are moved on over
-	// the silence of tellers.
-	upUntil   time.Duration
-	toldAt    time.Duration
-	backSince time.Time
-	current   atomic.Pointer[facts.Facts]
-	changed   chan struct{}
-	prepared  sync.Once
-	// tellersAgain is when the tellers are tried again after none told, and
-	// storeAgain when the store is called again after it failed. Run alone uses both.
-	tellersAgain time.Time
-	storeAgain   time.Time
-	// storeUp and told are what was last written down.
-	storeUp bool
-	told    bool
+	// answeredUntil is the time on the Awake clock up to which the store's last
+	// answer to this process accounts for all changes.
+	answeredUntil time.Duration
+	// lastFailure is when, on the Awake clock, a call of this process to the
+	// store last failed.
+	lastFailure time.Duration
+	// storeLost is set from the second call in a row of this process to the
+	// store that fails until the store answers again.
+	storeLost bool
+	// storeUpUntil is the latest time on the Awake clock at which the store is
+	// known to have answered this process or a peer. upstreamRepliedAt is when
+	// an upstream last replied. Time in which upstreams were silent is added to
+	// both, see discountSilence.
+	storeUpUntil      time.Duration
+	upstreamRepliedAt time.Duration
+	storeBackAt       time.Time
+	current           atomic.Pointer[facts.Facts]
+	changed           chan struct{}
+	initOnce          sync.Once
+	// nextUpstreamTry is when the upstreams are tried again after none
+	// reported, and nextStoreCall when the store is called again after it
+	// failed. Only Run's goroutine uses them.
+	nextUpstreamTry time.Time
+	nextStoreCall   time.Time
+	// loggedStoreUp is whether the store was up when that was last logged, and
+	// storeLogged whether it has been logged at all.
+	loggedStoreUp bool
+	storeLogged   bool
 }
 
 func (f *Feed) init() {
-	f.prepared.Do(func() {
+	f.initOnce.Do(func() {
 		f.items = map[string]Item{}
-		f.facts = map[string]Fact{}
-		f.lapsing = map[string]time.Time{}
+		f.decoded = map[string]Fact{}
+		f.graceEnds = map[string]time.Time{}
 		f.changed = make(chan struct{})
 		f.current.Store(&facts.Facts{})
 		if f.Metrics == nil {
@@ -141,13 +167,13 @@
 	})
 }
 
-// Current returns the belief.
+// Current returns the state.
 func (f *Feed) Current() *facts.Facts {
 	f.init()
 	return f.current.Load()
 }
 
-// Changed returns a channel that is closed at the next change of the belief.
+// Changed returns a channel that is closed at the next change of the state.
 func (f *Feed) Changed() <-chan struct{} {
 	f.init()
 	f.mu.Lock()
@@ -155,9 +181,9 @@
 	return f.changed
 }
 
-// Age returns how long ago the belief was last confirmed by the store, by
-// this process or by the peer that told it. It returns false while nothing is
-// believed.
+// Age returns how long ago the state was last confirmed by the store, to this
+// process or to the peer that sent it. It returns false while there is no
+// state.
 func (f *Feed) Age() (time.Duration, bool) {
 	f.init()
 	f.mu.Lock()
@@ -165,13 +191,13 @@
 	return f.Awake() - f.confirmed, f.known
 }
 
-// Run follows the store until ctx ends.
+// Run keeps the state up to date until ctx ends.
 func (f *Feed) Run(ctx context.Context) error {
 	f.init()
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { f.askPeers(ctx) })
-	wg.Go(func() { f.askNamed(ctx) })
+	wg.Go(func() { f.pollPeersWhileStale(ctx) })
+	wg.Go(func() { f.queryAnnouncements(ctx) })
 	pause := time.Duration(0)
 	fails := 0
 	started := f.Clock.Now()
@@ -181,79 +207,80 @@
 			return nil
 		case <-f.Clock.After(pause):
 		}
-		starting := f.beTold(ctx)
-		if f.leavesStore(starting, started) {
-			pause = tellersRetry/2 + rand.N(tellersRetry)
+		starting := f.followUpstreams(ctx)
+		if f.skipsStore(starting, started) {
+			pause = upstreamRetry/2 + rand.N(upstreamRetry)
 			continue
 		}
 		began := f.Clock.Now()
-		err := f.step(ctx)
-		f.noteStore(err)
+		err := f.syncOnce(ctx)
+		f.logStore(err)
 		if err != nil {
-			f.callFailed(fails)
+			f.recordStoreFailure(fails)
 			pause = retryPause(fails)
 			if fails > 0 && f.StoreRest > 0 {
-				f.storeAgain = f.Clock.Now().Add(f.StoreRest/2 + rand.N(f.StoreRest))
+				f.nextStoreCall = f.Clock.Now().Add(f.StoreRest/2 + rand.N(f.StoreRest))
 			}
 			fails++
 			continue
 		}
 		fails = 0
-		pause = max(0, leastPause-f.Clock.Since(began))
+		pause = max(0, minWatchInterval-f.Clock.Since(began))
 	}
 }
 
-// leavesStore reports whether this process does not call the store now: its calls
-// have failed, and the tellers hear of the return; or it starts together with them,
-// and will be told in a moment.
-func (f *Feed) leavesStore(starting bool, started time.Time) bool {
+// skipsStore reports whether this process must not call the store now: either
+// its calls have failed and the upstreams report when the store is back, or it
+// starts at the same time as its upstreams and will get the state from them
+// shortly.
+func (f *Feed) skipsStore(starting bool, started time.Time) bool {
 	if f.StoreRest <= 0 {
 		return false
 	}
-	if _, known := f.Age(); !known && starting && f.Clock.Since(started) < startWait {
+	if _, known := f.Age(); !known && starting && f.Clock.Since(started) < startupUpstreamWait {
 		return true
 	}
-	return f.Clock.Now().Before(f.storeAgain)
+	return f.Clock.Now().Before(f.nextStoreCall)
 }
 
-// upstreamPause is how long this process keeps to the store after none of its tellers
-// told.
+// upstreamPause is how long this process leaves the upstreams alone after none
+// of them reported.
 func (f *Feed) upstreamPause() time.Duration {
 	if f.StoreRest > 0 {
-		return tellersRetry
+		return upstreamRetry
 	}
-	return tellersRest
+	return upstreamPauseDefault
 }
 
-// beTold follows one of the tellers until it fails. It reports whether one of them
-// has only just started.
-func (f *Feed) beTold(ctx context.Context) (starting bool) {
-	resting := f.Clock.Now().Before(f.tellersAgain) && !f.Clock.Now().Before(f.storeAgain)
+// followUpstreams follows the upstreams one after the other, each until it
+// fails. It reports whether one of them has only just started.
+func (f *Feed) followUpstreams(ctx context.Context) (starting bool) {
+	resting := f.Clock.Now().Before(f.nextUpstreamTry) && !f.Clock.Now().Before(f.nextStoreCall)
 	if f.Tellers == nil || resting {
 		return false
 	}
 	began := f.Awake()
-	defer func() { f.passOver(began) }()
-	tellers := f.Tellers()
-	rand.Shuffle(len(tellers), func(i, j int) { tellers[i], tellers[j] = tellers[j], tellers[i] })
-	for _, p := range tellers {
-		err := f.followPeer(ctx, p)
+	defer func() { f.discountSilence(began) }()
+	upstreams := f.Tellers()
+	rand.Shuffle(len(upstreams), func(i, j int) { upstreams[i], upstreams[j] = upstreams[j], upstreams[i] })
+	for _, p := range upstreams {
+		err := f.followUpstream(ctx, p)
 		if ctx.Err() != nil {
 			return false
 		}
-		starting = starting || errors.Is(err, errNewTeller) || errors.Is(err, syscall.ECONNREFUSED)
+		starting = starting || errors.Is(err, errUpstreamEmpty) || errors.Is(err, syscall.ECONNREFUSED)
 		f.Log.Decide(trail.Decision{
 			Area: trail.AreaConfig, Action: "tellerLost", Choice: p.Address.String(), Reason: err.Error(),
 			Revision: f.Self.Revision.Load(),
 		})
 	}
 	if _, known := f.Age(); known {
-		f.tellersAgain = f.Clock.Now().Add(f.upstreamPause())
+		f.nextUpstreamTry = f.Clock.Now().Add(f.upstreamPause())
 	}
 	return starting
 }
 
 func retryPause(fails int) time.Duration {
-	bound := min(firstRetry<<min(fails, 8), mostRetry)
+	bound := min(retryBase<<min(fails, 8), retryMax)
 	return bound/2 + rand.N(bound/2)
 }
--- a/io/process/feed/note.go
+++ b/io/process/feed/log.go
@@ -11,13 +11,13 @@
 
 func versionText(v uint64) string { return strconv.FormatUint(v, 10) }
 
-// noteStore writes down that the store was lost or has come back.
-func (f *Feed) noteStore(err error) {
+// logStore logs that the store was lost or has come back.
+func (f *Feed) logStore(err error) {
 	up := err == nil
-	if up == f.storeUp && f.told {
+	if up == f.loggedStoreUp && f.storeLogged {
 		return
 	}
-	f.storeUp, f.told = up, true
+	f.loggedStoreUp, f.storeLogged = up, true
 	d := trail.Decision{Area: trail.AreaConfig, Action: "storeBack", Revision: f.Self.Revision.Load()}
 	if !up {
 		d.Action, d.Reason = "storeLost", err.Error()
@@ -25,7 +25,7 @@
 	f.Log.Decide(d)
 }
 
-func (f *Feed) noteTarget(action string, fact Fact, revision uint64) {
+func (f *Feed) logTarget(action string, fact Fact, revision uint64) {
 	t := fact.Target
 	if t == nil {
 		return
@@ -36,20 +36,20 @@
 	})
 }
 
-// noteDated writes down what peers have made known about the moments of namings;
-// before is what was known.
-func (f *Feed) noteDated(before []naming.Entry) {
-	for _, e := range f.namings.All() {
+// logAnnouncementTimes logs the announcement times that peers have changed;
+// before holds the entries before the change.
+func (f *Feed) logAnnouncementTimes(before []naming.Entry) {
+	for _, e := range f.announcements.All() {
 		i := slices.IndexFunc(before, func(b naming.Entry) bool { return b.Model == e.Model && b.Version == e.Version })
 		if i >= 0 && before[i].Heard == e.Heard && before[i].Returned == e.Returned {
 			continue
 		}
-		reason := "nobody is known to have heard it named"
+		reason := "no process is known to have received it when it was announced"
 		switch {
 		case e.Heard:
-			reason = "heard as it was named"
+			reason = "received when it was announced"
 		case e.Returned:
-			reason = "the store was away and returned"
+			reason = "the store was unreachable and came back"
 		}
 		f.Log.Decide(trail.Decision{
 			Area: trail.AreaConfig, Action: "versionDated", Subject: e.Model, Choice: versionText(e.Version),
@@ -58,10 +58,10 @@
 	}
 }
 
-// noteVersion writes down a version that this process hears of. AgeMS is how
-// long before that it last knew that there was none: it was named in between,
-// just now if it is said to be heard as it was named.
-func (f *Feed) noteVersion(v *facts.Named, revision uint64, live bool) {
+// logVersion logs a version that this process has read. AgeMS is how long ago
+// it last knew that there was no such version: the version was announced since
+// then, or just now if live is set.
+func (f *Feed) logVersion(v *facts.Named, revision uint64, live bool) {
 	d := trail.Decision{
 		Area: trail.AreaConfig, Action: "versionNamed", Subject: v.Model, Choice: versionText(v.Version), Revision: revision,
 	}
@@ -69,9 +69,9 @@
 	case !f.known:
 		d.Reason = "found at the start"
 	case live:
-		d.Reason = "heard as it was named"
+		d.Reason = "received when it was announced"
 	default:
-		d.Reason = "heard late or from a peer"
+		d.Reason = "received late or from a peer"
 	}
 	if f.known {
 		d.AgeMS = (f.Awake() - f.confirmed).Milliseconds()
--- a/io/process/feed/outage.go
+++ b/io/process/feed/outage.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// storeAnswered notes that the store answered a call that may take up to most while
-// all is well, and whether it is back after it was away: nobody was in touch with it
-// for longer, or the teller that was left had lost it too. It is called with the
-// feed locked.
-func (f *Feed) storeAnswered(most time.Duration) {
+// recordStoreAnswer records that the store answered a call that normally takes
+// at most most, and whether it has come back after an outage. That is so if no
+// process is known to have reached it for longer than that, or an upstream went
+// on replying after it had lost the store. f.mu must be held.
+func (f *Feed) recordStoreAnswer(maxDuration time.Duration) {
 	now := f.Awake()
-	if f.known && (now-f.upUntil > most+outage || f.toldAt-f.upUntil > outage) {
-		f.backSince = f.Clock.Now()
+	if f.known && (now-f.storeUpUntil > maxDuration+minOutage || f.upstreamRepliedAt-f.storeUpUntil > minOutage) {
+		f.storeBackAt = f.Clock.Now()
 	}
-	f.upUntil = now
-	f.lost = false
+	f.storeUpUntil = now
+	f.storeLost = false
 }
 
-// peerTold notes that a peer answered whose belief has the given age; it is called
-// with the feed locked. One as young as that of a reader in touch tells that the
-// store is up. Only the answers that a teller gives to one who waits for news come
-// without a gap, and tell that the store is away.
-func (f *Feed) peerTold(waited bool, age time.Duration) {
+// recordPeerReply records the reply of a peer whose state has the given age. A
+// state as young as that of a process in contact with the store shows that the
+// store is up. Only an upstream's replies to requests that wait for a change
+// come without gaps, so only these can show that the store is down. f.mu must
+// be held.
+func (f *Feed) recordPeerReply(waited bool, age time.Duration) {
 	now := f.Awake()
-	f.upUntil = max(f.upUntil, now-max(0, age-readerLag))
+	f.storeUpUntil = max(f.storeUpUntil, now-max(0, age-maxReaderAge))
 	if waited {
-		f.toldAt = now
+		f.upstreamRepliedAt = now
 	}
 }
 
-// passOver notes that a try to be told, which began at the given moment, has ended.
-// The tellers' silence since the last answer says nothing of the store: taken for
-// an outage, a target that left was used on as one that may register anew.
-func (f *Feed) passOver(began time.Duration) {
+// discountSilence is called when the attempt to follow upstreams that began at
+// the given time has ended. While upstreams are silent nothing is known of the
+// store, so that time must not count as an outage: a target that had left was
+// used on as one that may register again.
+func (f *Feed) discountSilence(began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Awake()
-	silent := now - max(began, f.toldAt)
-	f.upUntil = min(now, f.upUntil+silent)
-	f.toldAt += silent
+	silent := now - max(began, f.upstreamRepliedAt)
+	f.storeUpUntil = min(now, f.storeUpUntil+silent)
+	f.upstreamRepliedAt += silent
 }
--- a/io/process/feed/pack.go
+++ b/io/process/feed/pack.go
@@ -10,13 +10,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// maxUnpacked bounds the items of one message once they are unpacked, in bytes:
-// a part holds about tellBytes of them, and one item up to a megabyte.
+// maxUnpacked bounds the unpacked items of one message, in bytes: a part holds
+// about replyPartBytes of them, and a single item may take a megabyte.
 const maxUnpacked = 4 << 20
 
-// packers are kept between messages: each holds the tables of its algorithm.
-var packers = sync.Pool{New: func() any {
-	// The level is one of the package's own, so that this cannot fail.
+// compressors are reused between messages, since each allocates the tables of
+// its algorithm.
+var compressors = sync.Pool{New: func() any {
+	// Fails only for an invalid level.
 	w, err := flate.NewWriter(io.Discard, flate.BestSpeed)
 	if err != nil {
 		panic(err)
@@ -24,19 +25,19 @@
 	return w
 }}
 
-// packItems writes items compressed. Their values are JSON that repeats itself;
-// when all machines start, each side is told all of them, and unpacked they fill
-// the links between regions for longer than a process waits.
+// packItems encodes and compresses items. Their values are repetitive JSON.
+// When all machines start, each side is sent all items, and uncompressed they
+// would fill the links between regions for longer than a process waits.
 func packItems(items []Item) ([]byte, error) {
 	if len(items) == 0 {
 		return nil, nil
 	}
 	var b bytes.Buffer
-	w, ok := packers.Get().(*flate.Writer)
+	w, ok := compressors.Get().(*flate.Writer)
 	if !ok {
-		return nil, errors.AssertionFailedf("packers hold something else")
+		return nil, errors.AssertionFailedf("compressor pool holds another type")
 	}
-	defer packers.Put(w)
+	defer compressors.Put(w)
 	w.Reset(&b)
 	if err := msgpack.NewEncoder(w).Encode(items); err != nil {
 		return nil, errors.Wrap(err, "pack items")
@@ -47,7 +48,7 @@
 	return b.Bytes(), nil
 }
 
-// unpackItems reads what packItems wrote.
+// unpackItems decodes the result of packItems.
 func unpackItems(b []byte) ([]Item, error) {
 	if len(b) == 0 {
 		return nil, nil
@@ -58,7 +59,7 @@
 		return nil, errors.Wrap(err, "unpack items")
 	}
 	if len(raw) > maxUnpacked {
-		return nil, errors.Newf("items are over %d bytes", maxUnpacked)
+		return nil, errors.Newf("unpacked items exceed %d bytes", maxUnpacked)
 	}
 	var items []Item
 	if err := msgpack.Unmarshal(raw, &items); err != nil {
--- a/io/process/feed/pack_test.go
+++ b/io/process/feed/pack_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// All machines start at once and every side is told all items over the links
-// between regions. Sent as they are, those of a hundred targets would fill the
+// When all machines start at once, every side is sent all items over the links
+// between regions. Uncompressed, those of a hundred targets would fill the
 // links for longer than a process waits for them.
 func TestPackedItemsAreSmall(t *testing.T) {
 	var items []Item
@@ -37,7 +37,7 @@
 	}
 }
 
-// A peer that is broken, or worse, sends a few bytes that unpack to gigabytes.
+// A broken or malicious peer may send a few bytes that unpack to gigabytes.
 func TestUnpackIsBounded(t *testing.T) {
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
@@ -51,9 +51,9 @@
 		t.Fatal(err)
 	}
 	if _, err := unpackItems(b.Bytes()); err == nil {
-		t.Error("items over the bound were taken")
+		t.Error("items over the limit were accepted")
 	}
 	if _, err := unpackItems([]byte("nonsense")); err == nil {
-		t.Error("nonsense was taken")
+		t.Error("invalid data was accepted")
 	}
 }
--- a/io/process/feed/publish.go
+++ b/io/process/feed/publish.go
@@ -7,38 +7,40 @@
 	"hawthornferry/core/process/facts"
 )
 
-// confirm makes what is held the belief of the moment asked; it is called
-// with the feed locked.
-func (f *Feed) confirm(asked time.Duration, at uint64) {
+// confirm records that the state at revision at was current at the time asked,
+// and publishes it. f.mu must be held.
+func (f *Feed) confirm(since time.Duration, at uint64) {
 	c := f.contact()
 	if !c.Known {
-		f.gone.from = at
+		f.removed.completeAfter = at
 	}
-	c.Confirm(asked, at)
+	c.Confirm(since, at)
 	f.known, f.revision, f.confirmed = c.Known, c.Revision, c.Confirmed
-	f.lapse()
+	f.dropExpired()
 	f.publish()
 }
 
-// lapse drops the targets whose grace has ended.
-func (f *Feed) lapse() {
+// dropExpired drops the missing targets whose grace has ended. f.mu must be
+// held.
+func (f *Feed) dropExpired() {
 	now := f.Clock.Now()
-	for key, end := range f.lapsing {
+	for key, end := range f.graceEnds {
 		if now.Before(end) {
 			continue
 		}
-		f.noteTarget("lost", f.facts[key], f.revision)
-		delete(f.lapsing, key)
-		delete(f.facts, key)
+		f.logTarget("lost", f.decoded[key], f.revision)
+		delete(f.graceEnds, key)
+		delete(f.decoded, key)
 	}
 }
 
-// publish hands the belief out when it has changed.
+// publish makes the state available to Current and, if it has changed, closes
+// the channel of Changed. f.mu must be held.
 func (f *Feed) publish() {
 	old := f.current.Load()
 	now := &facts.Facts{Revision: f.revision, Versions: f.versions()}
-	for _, key := range sortedKeys(f.facts) {
-		fact := f.facts[key]
+	for _, key := range sortedKeys(f.decoded) {
+		fact := f.decoded[key]
 		switch {
 		case fact.Config != nil:
 			now.Table, now.Origin = fact.Config.Table, fact.Config.Origin
--- /dev/null
+++ b/io/process/feed/query.go
@@ -0,0 +1,280 @@
+package feed
+
+import (
+	"context"
+	"math/rand/v2"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"hawthornferry/core/process/naming"
+	"hawthornferry/core/process/trail"
+	"hawthornferry/io/conn/link"
+)
+
+// pollPeersWhileStale asks peers while the state is older than it can be when
+// the store or an upstream answers.
+func (f *Feed) pollPeersWhileStale(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-f.Clock.After(peerPollInterval):
+		}
+		age, known := f.Age()
+		if known && age <= f.Wait+f.TellWait+peerPollInterval {
+			continue
+		}
+		f.queryPeers(ctx)
+	}
+}
+
+// Intervals of the queries for when versions were announced.
+const (
+	// announcementQueryBase and announcementQueryMax bound the pauses between
+	// the queries. The pauses double and are randomized, because all processes
+	// of a fleet that starts at once have the same queries.
+	announcementQueryBase = 100 * time.Millisecond
+	announcementQueryMax  = 1600 * time.Millisecond
+)
+
+// queryAnnouncements asks peers when the versions that this process has read
+// were announced: until that is known or naming.MostQuestions is reached, and
+// naming.LeastQuestions times in any case.
+func (f *Feed) queryAnnouncements(ctx context.Context) {
+	for {
+		changed := f.Changed()
+		var due <-chan time.Time
+		if pause, ask := f.nextAnnouncementQuery(); ask {
+			due = f.Clock.After(pause)
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-changed:
+			// A new version restarts the queries at the shortest pause, however
+			// long the pause for the previous version has become.
+		case <-due:
+			f.countQuery()
+			f.queryPeers(ctx, f.randomReader()...)
+		}
+	}
+}
+
+// randomReader returns a random process that watches the store, if one is
+// known. It learns of an announcement earlier than the processes that get their
+// state from it.
+func (f *Feed) randomReader() []Peer {
+	if f.Readers == nil {
+		return nil
+	}
+	readers := f.Readers()
+	if len(readers) == 0 {
+		return nil
+	}
+	return readers[rand.N(len(readers)):][:1]
+}
+
+// nextAnnouncementQuery returns how long to wait until peers are asked about
+// the newest announcement, and whether to ask at all.
+func (f *Feed) nextAnnouncementQuery() (time.Duration, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.nextQuery - f.Awake(), f.announcements.Questions(f.queries)
+}
+
+// countQuery counts a query and schedules the next one.
+func (f *Feed) countQuery() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.queries++
+	f.scheduleQuery()
+}
+
+// scheduleQuery sets the time of the next query. f.mu must be held.
+func (f *Feed) scheduleQuery() {
+	pause := min(announcementQueryBase<<f.queries, announcementQueryMax)
+	f.nextQuery = f.Awake() + pause/2 + rand.N(pause)
+}
+
+// queryPeers asks a few peers in parallel, the given ones first. Asked in turn,
+// an unresponsive peer would delay the next one by its timeout.
+func (f *Feed) queryPeers(ctx context.Context, first ...Peer) {
+	others := slices.Clone(f.Peers())
+	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	others = slices.DeleteFunc(others, func(p Peer) bool { return slices.Contains(first, p) })
+	peers := slices.Concat(first, others)
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	for _, p := range peers[:min(peersPerRound, len(peers))] {
+		wg.Go(func() {
+			if err := f.queryPeer(ctx, p); err != nil {
+				f.Metrics.Counter("peer_asks_failed_total").Inc(1)
+			}
+		})
+	}
+}
+
+func (f *Feed) queryPeer(ctx context.Context, p Peer) error {
+	c, end, err := f.dial(ctx, p, peerTimeout)
+	if err != nil {
+		return err
+	}
+	defer end()
+	if err := c.SetReadDeadline(time.Now().Add(f.replyTimeout())); err != nil {
+		return err
+	}
+	_, err = f.exchange(c, 0)
+	return err
+}
+
+// dial connects to a peer within the given time. The connection lasts until end
+// is called or ctx ends.
+func (f *Feed) dial(ctx context.Context, p Peer, within time.Duration) (c *link.Conn, end func(), err error) {
+	dialCtx, cancel := context.WithTimeout(ctx, within)
+	defer cancel()
+	if c, err = link.Dial(dialCtx, f.Self, p.Address, link.PurposeConfig, kinds()); err != nil {
+		return nil, nil, err
+	}
+	stop := context.AfterFunc(ctx, func() { c.Close() })
+	return c, func() {
+		stop()
+		c.Close()
+	}, nil
+}
+
+// replyTimeout is how long a peer's reply may take. It is long only for a
+// process without any state, which gets all of it.
+func (f *Feed) replyTimeout() time.Duration {
+	if _, known := f.Age(); known {
+		return peerTimeout
+	}
+	return fullReplyTimeout
+}
+
+// exchange sends one request, applies the reply and returns it.
+func (f *Feed) exchange(c *link.Conn, wait time.Duration) (*factsReply, error) {
+	asked := f.Awake()
+	f.mu.Lock()
+	after := f.revision
+	f.mu.Unlock()
+	if err := c.Send(&factsRequest{After: after, Wait: wait}); err != nil {
+		return nil, err
+	}
+	whole, err := receiveReply(c)
+	if err != nil {
+		return nil, err
+	}
+	f.adoptReply(asked, wait > 0, c.Peer.VM.Name, whole)
+	return whole, nil
+}
+
+// receiveReply receives and joins the parts of one reply.
+func receiveReply(c *link.Conn) (*factsReply, error) {
+	whole := &factsReply{}
+	for !whole.Last {
+		m, err := c.Receive()
+		if err != nil {
+			return nil, err
+		}
+		t, ok := m.(*factsReply)
+		if !ok {
+			return nil, errors.Newf("reply is a %s message, want factsTell", m.Kind())
+		}
+		if t.Items, err = unpackItems(t.Packed); err != nil {
+			return nil, err
+		}
+		if len(t.Announced) == 0 {
+			t.Announced = whole.Announced
+		}
+		t.Away, t.StoreLost = t.Away || whole.Away, t.StoreLost || whole.StoreLost
+		t.Items = append(whole.Items, t.Items...)
+		t.Keys = append(whole.Keys, t.Keys...)
+		whole = t
+	}
+	return whole, nil
+}
+
+// Reasons to stop following an upstream.
+var (
+	errUpstreamStale     = errors.New("the peer's state is too old")
+	errUpstreamEmpty     = errors.New("the peer has no state yet")
+	errUpstreamLostStore = errors.New("the peer has lost the store")
+)
+
+// followUpstream requests changes from one upstream for as long as its state is
+// recent. Only the upstream's own replies count for that, not the age of this
+// process's state: other peers also refresh that now and then, so a
+// disconnected upstream would be kept for good, and changes would arrive only
+// with the queries to other peers.
+func (f *Feed) followUpstream(ctx context.Context, p Peer) error {
+	c, end, err := f.dial(ctx, p, upstreamDialTimeout)
+	if err != nil {
+		return err
+	}
+	defer end()
+	for ctx.Err() == nil {
+		if err := c.SetReadDeadline(time.Now().Add(f.TellWait + f.replyTimeout())); err != nil {
+			return err
+		}
+		asked := f.Awake()
+		t, err := f.exchange(c, f.TellWait)
+		if err != nil {
+			return err
+		}
+		if t.StoreLost {
+			return errUpstreamLostStore
+		}
+		if !t.Known {
+			return errUpstreamEmpty
+		}
+		if age := f.Awake() - asked + t.Age; age > 2*f.TellWait+upstreamAgeMargin {
+			return errUpstreamStale
+		}
+	}
+	return nil
+}
+
+// adoptReply applies a peer's reply to a request sent at asked. waited is set
+// if the request waited for a change.
+func (f *Feed) adoptReply(asked time.Duration, waited bool, peer string, t *factsReply) {
+	if !t.Known {
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	r := naming.Reply{Asked: asked, Got: f.Awake(), Waited: waited, Away: t.Away}
+	f.mergeAnnouncements(r, t.Announced)
+	f.recordPeerReply(waited, t.Age)
+	since := r.Since(t.Age)
+	if !f.contact().Adopts(since, t.At) {
+		return
+	}
+	if t.At > f.revision {
+		f.applyReply(t)
+	}
+	if age := f.Awake() - f.confirmed; !f.known || age > f.Wait+watchSlack {
+		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + t.Age.String(), Revision: t.At})
+	}
+	f.confirm(since, t.At)
+}
+
+func (f *Feed) applyReply(t *factsReply) {
+	if t.Changes {
+		f.apply(t.Items, naming.Moment{})
+		return
+	}
+	present := make(map[string]bool, len(t.Keys))
+	for _, k := range t.Keys {
+		present[k] = true
+	}
+	items := t.Items
+	for key := range f.items {
+		if !present[key] {
+			items = append(items, Item{Key: key, Revision: t.At, Deleted: true})
+		}
+	}
+	f.apply(items, naming.Moment{})
+}
--- /dev/null
+++ b/io/process/feed/relay.go
@@ -0,0 +1,216 @@
+package feed
+
+import (
+	"context"
+	"net/netip"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"hawthornferry/core/process/naming"
+	"hawthornferry/io/conn/frame"
+	"hawthornferry/io/conn/link"
+)
+
+// Timeouts, intervals and sizes of requests between peers.
+const (
+	// peerPollInterval is how often peers are asked while the state is not
+	// being confirmed.
+	peerPollInterval = 300 * time.Millisecond
+	// peerTimeout bounds the wait for a connection and for a short reply; peers
+	// are milliseconds apart. fullReplyTimeout bounds a reply that contains the
+	// whole state, over a link that is shared.
+	peerTimeout      = 600 * time.Millisecond
+	fullReplyTimeout = 3 * time.Second
+	// peersPerRound is how many peers are asked at a time: one of them may be
+	// disconnected itself.
+	peersPerRound = 2
+	// maxPollWait bounds how long a request may wait for a change.
+	maxPollWait = 10 * time.Second
+	// upstreamPauseDefault is how long a process without StoreRest calls the
+	// store before it tries its upstreams again after none of them reported:
+	// the settings may name machines that no longer exist, and each try delays
+	// its watch of the store.
+	upstreamPauseDefault = 2 * time.Second
+	// upstreamDialTimeout bounds the wait for a connection to an upstream: a
+	// machine without power doesn't answer, a running one does within
+	// milliseconds.
+	upstreamDialTimeout = 150 * time.Millisecond
+	// upstreamAgeMargin is the age that the state of an upstream in contact
+	// with the store may have, including one failed watch. followUpstream
+	// allows two waits of a request in addition.
+	upstreamAgeMargin = 2500 * time.Millisecond
+	// replyPartBytes is the size of the item values in one part of a reply,
+	// well below the limit of a frame.
+	replyPartBytes = 256 << 10
+)
+
+// Peer is a process that may have the platform's state.
+type Peer struct {
+	Address netip.AddrPort
+}
+
+// factsRequest is the request of a process that holds the store's revision
+// After. The peer replies once it has a newer revision or has lost the store,
+// at the latest after Wait.
+type factsRequest struct {
+	After uint64        `msgpack:"after"`
+	Wait  time.Duration `msgpack:"wait"`
+}
+
+// Kind returns the message's name on the wire.
+func (*factsRequest) Kind() frame.Kind { return "factsAsk" }
+
+// Check returns an error if the wait is out of range.
+func (a *factsRequest) Check() error {
+	if a.Wait < 0 || a.Wait > maxPollWait {
+		return errors.Newf("factsAsk: wait %s, want 0 to %s", a.Wait, maxPollWait)
+	}
+	return nil
+}
+
+// factsReply is one part of a reply. Ages are sent instead of times, because
+// the clocks of processes differ. Last marks the last part.
+type factsReply struct {
+	Known bool          `msgpack:"known"`
+	At    uint64        `msgpack:"at"`
+	Age   time.Duration `msgpack:"age"`
+	Items []Item        `msgpack:"-"`
+	// Packed is the result of packItems for Items.
+	Packed []byte `msgpack:"packed"`
+	// Changes is set when Items are all changes after the requested revision,
+	// including removals. Otherwise Keys lists all existing keys, and the
+	// requester removes every other key.
+	Changes bool     `msgpack:"changes"`
+	Keys    []string `msgpack:"keys"`
+	// Announced lists the announced versions, including replaced ones: the
+	// store holds only the newest, and the time limit that counts from an
+	// earlier announcement ends first.
+	Announced []naming.Statement `msgpack:"named"`
+	// Away is set if the sender has been unable to reach the store since Age
+	// ago.
+	Away bool `msgpack:"away"`
+	// StoreLost is set if the last two calls of the sender to the store failed.
+	StoreLost bool `msgpack:"lost"`
+	Last      bool `msgpack:"last"`
+}
+
+// Kind returns the message's name on the wire.
+func (*factsReply) Kind() frame.Kind { return "factsTell" }
+
+// Check returns an error for the first field that is out of range.
+func (t *factsReply) Check() error {
+	for i := range t.Announced {
+		if err := t.Announced[i].Check(); err != nil {
+			return err
+		}
+	}
+	if t.Age < 0 {
+		return errors.Newf("factsTell: age %s is below 0", t.Age)
+	}
+	return nil
+}
+
+func kinds() frame.Kinds {
+	k := frame.Kinds{}
+	k.Register(func() frame.Message { return &factsRequest{} })
+	k.Register(func() frame.Message { return &factsReply{} })
+	return k
+}
+
+// Handler serves requests of peers.
+func (f *Feed) Handler() link.Handler {
+	return link.Handler{Kinds: kinds(), Serve: f.serve}
+}
+
+func (f *Feed) serve(ctx context.Context, c *link.Conn) {
+	f.init()
+	for {
+		if err := c.SetReadDeadline(time.Now().Add(maxPollWait + peerTimeout)); err != nil {
+			return
+		}
+		m, err := c.Receive()
+		if err != nil {
+			return
+		}
+		req, ok := m.(*factsRequest)
+		if !ok {
+			return
+		}
+		f.awaitChange(ctx, req)
+		if err := c.SetWriteDeadline(time.Now().Add(fullReplyTimeout)); err != nil {
+			return
+		}
+		for _, t := range f.buildReply(req) {
+			// If the reply can't be sent, the peer asks another process.
+			if f.sendReply(c, t) != nil {
+				return
+			}
+		}
+	}
+}
+
+func (f *Feed) sendReply(c *link.Conn, t *factsReply) error {
+	var err error
+	if t.Packed, err = packItems(t.Items); err != nil {
+		return err
+	}
+	return c.Send(t)
+}
+
+// awaitChange returns once there is a newer revision than the requester holds,
+// the store is lost, or the request's wait is over.
+func (f *Feed) awaitChange(ctx context.Context, req *factsRequest) {
+	if req.Wait <= 0 {
+		return
+	}
+	over := f.Clock.After(req.Wait)
+	for {
+		changed := f.Changed()
+		if f.Current().Revision > req.After || f.isStoreLost() {
+			return
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-over:
+			return
+		case <-changed:
+		}
+	}
+}
+
+// buildReply returns the parts of the reply with all changes after the
+// requested revision.
+func (f *Feed) buildReply(req *factsRequest) []*factsReply {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	t := &factsReply{Known: f.known, At: f.revision, Age: max(0, f.Awake()-f.confirmed), Announced: f.announcements.Statements(f.Awake()), Away: f.contact().Away(f.ranSince), StoreLost: f.storeLost}
+	if !f.known || f.revision <= req.After {
+		t.Last = true
+		return []*factsReply{t}
+	}
+	changes := f.removed.completeSince(req.After)
+	var out []*factsReply
+	size := 0
+	for key, it := range f.items {
+		if !changes {
+			t.Keys = append(t.Keys, key)
+		}
+		if it.Revision <= req.After {
+			continue
+		}
+		t.Items = append(t.Items, it)
+		size += len(it.Value)
+		if size > replyPartBytes {
+			out = append(out, t)
+			t = &factsReply{Known: true, At: f.revision, Age: t.Age}
+			size = 0
+		}
+	}
+	if changes {
+		t.Items = append(t.Items, f.removed.after(req.After)...)
+	}
+	t.Changes, t.Last = changes, true
+	return append(out, t)
+}
--- a/io/process/feed/silent_test.go
+++ b/io/process/feed/silent_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// silentStore is a store that takes calls and answers none of them once it is silent.
+// silentStore is a store that doesn't answer while silent is set.
 type silentStore struct {
 	*fakeStore
 	silent atomic.Bool
@@ -30,8 +30,8 @@
 	return s.fakeStore.List(ctx, prefix)
 }
 
-// Guards against an entry that goes on by a replaced configuration for longer than the
-// bound, because the store does not answer those that tell the entry.
+// Guards against an entry that uses a replaced configuration for longer than
+// the bound, because the store doesn't answer the entry's upstreams.
 func TestTellersThatTheStoreIsSilentToAreLeftInTime(t *testing.T) {
 	const bound = 2 * time.Second
 	s := newFakeStore()
@@ -41,11 +41,11 @@
 	for _, name := range []string{"one", "two"} {
 		silent := &silentStore{fakeStore: newFakeStore()}
 		silent.set("config", "1", false)
-		_, teller := tellingFeed(t, name, silent)
+		_, teller := newUpstream(t, name, silent)
 		tellers, stores = append(tellers, teller), append(stores, silent)
 	}
 	f := newFeed(s)
-	entryTimes(f)
+	setEntryWaits(f)
 	f.Tellers = func() []Peer { return tellers }
 	f.Peers = func() []Peer { return tellers }
 	runFeed(t, f)
--- a/io/process/feed/start_test.go
+++ b/io/process/feed/start_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// silentPeer accepts connections and never says anything, as a machine without
-// power seems to for as long as it stays dark.
+// silentPeer returns an address that accepts connections and never sends
+// anything, which looks like a machine without power.
 func silentPeer(t *testing.T) Peer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,40 +19,39 @@
 	return Peer{Address: netip.MustParseAddrPort(l.Addr().String())}
 }
 
-// All machines have lost power and return, those that tell the others last. A side
-// that asked each of them first would begin to bring weights seconds late, and
-// callers would find no engine meanwhile. It turns to the store after one.
-func TestStartDoesNotWaitForDarkTellers(t *testing.T) {
+// All machines have lost power and start again, the upstreams last. A side must
+// turn to the store soon: if it waited long for each upstream, it would begin
+// to load weights seconds late, and callers would find no engine.
+func TestStartupDoesNotWaitForUnresponsiveUpstreams(t *testing.T) {
 	s := newFakeStore()
 	s.set("target/a", "", false)
 	f := newFeed(s)
-	dark := []Peer{silentPeer(t), silentPeer(t), silentPeer(t)}
-	f.Tellers = func() []Peer { return dark }
+	unresponsive := []Peer{silentPeer(t), silentPeer(t), silentPeer(t)}
+	f.Tellers = func() []Peer { return unresponsive }
 	runFeed(t, f)
-	took := eventually(t, "the store's belief", func() bool { return ids(f) == "a" })
-	if most := 2*followTimeout + 500*time.Millisecond; took > most {
-		t.Errorf("the first belief came after %s, want %s at most", took, most)
+	took := eventually(t, "the state from the store", func() bool { return targetIDs(f) == "a" })
+	if most := 2*upstreamDialTimeout + 500*time.Millisecond; took > most {
+		t.Errorf("the first state came after %s, want %s at most", took, most)
 	}
 }
 
-// The entry that tells this one freezes, on a connection that stays open. A
-// configuration is changed just then. It must be in force here within two seconds,
-// so the silence has to show well before, and the store is read in the teller's
-// place.
-func TestFrozenTellerIsLeft(t *testing.T) {
+// An upstream stops responding on a connection that stays open, just as a
+// configuration is changed. The change must be in force within two seconds, so
+// the silence has to be detected well before, and the store read instead.
+func TestFrozenUpstreamIsDropped(t *testing.T) {
 	s := newFakeStore()
 	s.set("target/a", "", false)
-	frozen := freezing(t, &tell{Known: true, At: 1, Last: true})
+	frozen := freezeAfterOneReply(t, &factsReply{Known: true, At: 1, Last: true})
 	f := newFeed(s)
 	f.TellWait = 500 * time.Millisecond
 	f.Tellers = func() []Peer { return []Peer{frozen} }
 	runFeed(t, f)
-	took := eventually(t, "the store is read", func() bool { return ids(f) == "a" })
-	if most := f.TellWait + askTimeout + 500*time.Millisecond; took > most {
+	took := eventually(t, "the store is read", func() bool { return targetIDs(f) == "a" })
+	if most := f.TellWait + peerTimeout + 500*time.Millisecond; took > most {
 		t.Errorf("the change came after %s, want %s at most", took, most)
 	}
 	s.set("target/b", "", false)
-	if took := eventually(t, "a change is heard", func() bool { return ids(f) == "a b" }); took > followTimeout+f.Wait+500*time.Millisecond {
-		t.Errorf("a change came after %s though the teller had fallen silent", took)
+	if took := eventually(t, "a change is received", func() bool { return targetIDs(f) == "a b" }); took > upstreamDialTimeout+f.Wait+500*time.Millisecond {
+		t.Errorf("a change came after %s although the upstream had stopped responding", took)
 	}
 }
--- a/io/process/feed/store.go
+++ b/io/process/feed/store.go
@@ -10,11 +10,11 @@
 	"hawthornferry/core/request/table"
 )
 
-// ErrHistory is returned by a watch whose starting point the store has
-// dropped; everything has to be listed anew.
+// ErrHistory is returned by a watch if the store no longer has the changes
+// after the given revision; everything has to be listed again.
 var ErrHistory = errors.New("the store no longer has this history")
 
-// Item is one key of the store. Deleted marks one that was removed at
+// Item is one key of the store. Deleted marks a key that was removed at
 // Revision; it has no value.
 type Item struct {
 	Key      string `msgpack:"key"`
@@ -30,27 +30,27 @@
 	At    uint64
 }
 
-// Changes are what a watch brought; the next one goes on from At.
+// Changes is the result of a watch; the next watch continues after revision At.
 type Changes struct {
 	Items []Item
 	At    uint64
 }
 
-// Store is the platform's store. Both calls return within their context.
+// Store is the platform's store. Both calls return once their context ends.
 type Store interface {
 	List(ctx context.Context, after string) (Page, error)
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
 }
 
-// Fact is what one item says. At most one field is set; none is for an item
-// that is not the system's concern.
+// Fact is the decoded value of one item. At most one field is set; none is for
+// an item that this system doesn't use.
 type Fact struct {
 	Config  *Config
 	Target  *facts.Target
 	Version *facts.Named
 }
 
-// Config is the operator's configuration with the origin that it names.
+// Config is the operator's configuration and the origin that it names.
 type Config struct {
 	Table  *table.Table
 	Origin facts.Origin
--- a/io/process/feed/versions.go
+++ b/io/process/feed/versions.go
@@ -7,70 +7,72 @@
 	"hawthornferry/core/process/naming"
 )
 
-// contact is how this process was last in touch; it is called with the feed locked.
+// contact returns the record of the last contact with the store. f.mu must be
+// held.
 func (f *Feed) contact() naming.Contact {
-	return naming.Contact{Known: f.known, Revision: f.revision, Confirmed: f.confirmed, Answered: f.answered, Failed: f.failed}
+	return naming.Contact{Known: f.known, Revision: f.revision, Confirmed: f.confirmed, Answered: f.answeredUntil, Failed: f.lastFailure}
 }
 
-// callFailed takes in that a call to the store failed, and how many before it in a
-// row. After a single one the store is not told to be lost: a watch that is cut ends
-// at all readers in the same moment, and all whom they tell would turn to the store.
-func (f *Feed) callFailed(before int) {
+// recordStoreFailure records that a call to the store failed, after before
+// failures in a row. After a single failure the store is not yet reported as
+// lost: a broken watch ends at all readers at the same time, and all processes
+// that follow them would turn to the store.
+func (f *Feed) recordStoreFailure(failuresBefore int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failed = f.Awake()
-	if !f.lost && before > 0 {
-		f.lost = true
+	f.lastFailure = f.Awake()
+	if !f.storeLost && failuresBefore > 0 {
+		f.storeLost = true
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
 }
 
-// lostStore reports whether the last call to the store failed.
-func (f *Feed) lostStore() bool {
+// isStoreLost reports whether the last two calls to the store failed.
+func (f *Feed) isStoreLost() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.lost
+	return f.storeLost
 }
 
-// hearStore takes in that the store answered; it is called with the feed locked.
-func (f *Feed) hearStore(call naming.Call) {
+// recordAnswerTime records when the store answered a call. f.mu must be held.
+func (f *Feed) recordAnswerTime(call naming.Call) {
 	c := f.contact()
 	c.Answer(call, f.ranSince)
-	f.answered = c.Answered
+	f.answeredUntil = c.Answered
 }
 
-// hear takes in a version that was just read from an item; it is called with the
-// feed locked. live is when the item was written, on Awake, if it came as that
-// happened.
-func (f *Feed) hear(v *facts.Named, live naming.Moment) {
+// addAnnouncement records a version that was just read from an item. live is
+// when the item was written, on the Awake clock, known only if it was received
+// as it was written. f.mu must be held.
+func (f *Feed) addAnnouncement(v *facts.Named, live naming.Moment) {
 	c := f.contact()
 	e := c.Read(v.Model, v.Version, live, f.Awake())
 	e.Away = c.Away(f.ranSince)
-	f.namings.Add(e)
-	f.asked = 0
-	f.planQuestion()
+	f.announcements.Add(e)
+	f.queries = 0
+	f.scheduleQuery()
 }
 
 func (f *Feed) ranSince(at time.Duration) bool { return f.RanSince == nil || f.RanSince(at) }
 
-// takeNamed adopts what a peer tells of the namings; it is called with the feed
-// locked.
-func (f *Feed) takeNamed(r naming.Reply, told []naming.Statement) {
-	before := f.namings.All()
-	if !f.namings.Take(r, told, f.ranSince) || !f.known {
+// mergeAnnouncements merges what a peer reports about announcements. f.mu must
+// be held.
+func (f *Feed) mergeAnnouncements(r naming.Reply, statements []naming.Statement) {
+	before := f.announcements.All()
+	if !f.announcements.Take(r, statements, f.ranSince) || !f.known {
 		return
 	}
-	f.noteDated(before)
+	f.logAnnouncementTimes(before)
 	f.publish()
 }
 
-// versions are the namings for those who go by the feed's clock; it is called with
-// the feed locked.
+// versions returns the announced versions with times on the feed's Clock. f.mu
+// must be held.
 func (f *Feed) versions() []facts.Named {
 	now, awake := f.Clock.Now(), f.Awake()
 	var out []facts.Named
-	for _, n := range f.namings.All() {
+	for _, n := range f.announcements.All() {
 		out = append(out, facts.Named{Model: n.Model, Version: n.Version, Since: now.Add(n.Since - awake), Read: n.Read})
 	}
 	return out
--- a/io/process/feed/watch.go
+++ b/io/process/feed/watch.go
@@ -9,12 +9,13 @@
 	"hawthornferry/core/process/trail"
 )
 
-// step lists the store, or waits for one set of changes.
-func (f *Feed) step(ctx context.Context) error {
+// syncOnce lists the store if there is no state yet; otherwise it waits for one
+// set of changes.
+func (f *Feed) syncOnce(ctx context.Context) error {
 	f.mu.Lock()
 	contact, wait := f.contact(), f.Wait
-	if len(f.lapsing) > 0 {
-		wait = min(wait, lapseEvery)
+	if len(f.graceEnds) > 0 {
+		wait = min(wait, graceCheckInterval)
 	}
 	f.mu.Unlock()
 	if !contact.Known {
@@ -22,13 +23,13 @@
 	}
 	asked := f.Awake()
 	wait = contact.WaitOf(asked, wait)
-	callCtx, cancel := context.WithTimeout(ctx, wait+callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	c, err := f.Store.Watch(callCtx, contact.Revision, wait)
 	got := f.Awake()
 	if errors.Is(err, ErrHistory) {
 		f.mu.Lock()
-		f.storeAnswered(f.Wait)
+		f.recordStoreAnswer(f.Wait)
 		f.mu.Unlock()
 		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "listAnew", Reason: err.Error(), Revision: contact.Revision})
 		return f.list(ctx)
@@ -38,19 +39,19 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// A peer may have told of more meanwhile.
+	// A peer may have sent a newer revision in the meantime.
 	if c.At >= f.revision {
 		call := naming.Call{Asked: asked, Got: got, Wait: wait}
 		live := f.contact().LiveAt(call, f.ranSince)
-		f.storeAnswered(f.Wait)
-		f.hearStore(call)
+		f.recordStoreAnswer(f.Wait)
+		f.recordAnswerTime(call)
 		f.apply(c.Items, live)
 		f.confirm(asked, c.At)
 	}
 	return nil
 }
 
-// list reads every page and takes it for the whole.
+// list reads all pages and replaces the state with them.
 func (f *Feed) list(ctx context.Context) error {
 	asked := f.Awake()
 	var items []Item
@@ -62,7 +63,7 @@
 			return err
 		}
 		f.mu.Lock()
-		f.storeAnswered(listTimeout)
+		f.recordStoreAnswer(pageTimeout)
 		f.mu.Unlock()
 		if after == "" {
 			first = p.At
@@ -75,19 +76,19 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// Pages are not a snapshot: what changed between them comes again with
-	// the watch from the first page's revision.
+	// Pages are not a consistent snapshot. What changed between two pages comes
+	// again with the watch, which starts at the revision of the first page.
 	if first < f.revision {
 		return nil
 	}
-	f.hearStore(naming.Call{Asked: asked, Got: f.Awake()})
-	f.replace(items, first)
+	f.recordAnswerTime(naming.Call{Asked: asked, Got: f.Awake()})
+	f.replaceAll(items, first)
 	f.confirm(asked, first)
 	return nil
 }
 
 func (f *Feed) page(ctx context.Context, after string) (Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, listTimeout)
+	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return f.Store.List(ctx, after)
 }
