--- a/io/process/watch/act.go
+++ b/io/process/watch/actions.go
@@ -8,14 +8,14 @@
 	"hawthornferry/core/process/view"
 )
 
-// perform carries out what the node wants done.
-func (w *Watcher) perform(actions []gossip.Action) {
+// performActions performs the actions that the node returned.
+func (w *Watcher) performActions(actions []gossip.Action) {
 	for _, a := range actions {
-		w.act(a)
+		w.performAction(a)
 	}
 }
 
-func (w *Watcher) act(a gossip.Action) {
+func (w *Watcher) performAction(a gossip.Action) {
 	switch a := a.(type) {
 	case gossip.SendMarks:
 		w.send(a.Peer, &marksMsg{a.Marks})
@@ -34,7 +34,8 @@
 	}
 }
 
-// accept is the node's check of a state before it is taken.
+// accept validates a state before the node adopts it, and keeps the decoded
+// state for adopt.
 func (w *Watcher) accept(t gossip.Topic, s gossip.State) error {
 	if t == gossip.TopicVMs {
 		vms, err := w.decoder.Decode(s)
@@ -52,7 +53,7 @@
 		return nil, err
 	}
 	if d.Name != w.Environment {
-		return nil, wrongEnvironment(d.Name, w.Environment)
+		return nil, environmentMismatch(d.Name, w.Environment)
 	}
 	return d, nil
 }
@@ -63,7 +64,7 @@
 		return
 	}
 	d := w.accepted
-	w.docs.held.Store(d.Revision)
+	w.documents.held.Store(d.Revision)
 	w.Self.Revision.Store(d.Revision)
 	w.update(func(v *view.View) { v.Document = d })
 	w.Metrics.Counter("config_adopted").Inc(1)
@@ -72,22 +73,22 @@
 
 func (w *Watcher) adoptVMs(s gossip.State) {
 	vms := w.acceptedVMs
-	w.noteVMs(w.Current().VMs, vms, s.Mark.Version)
-	w.members = zoneMembers(vms, w.Self.VM.Zone)
+	w.logVMChanges(w.Current().VMs, vms, s.Mark.Version)
+	w.zoneVMs = liveVMsInZone(vms, w.Self.VM.Zone)
 	w.dialer.candidates = gossip.Neighbours(w.Self.VM.Name, w.Self.VM.Zone, vms)
-	w.list.held.Store(s.Mark.Version)
+	w.vmList.held.Store(s.Mark.Version)
 	w.update(func(v *view.View) { v.VMs = vms })
 	now := w.Clock.Now()
-	w.elect(now)
+	w.electReader(now)
 	w.connect(now)
 }
 
-// noteVMs logs each VM that has come, gone or changed its state. Both lists
-// are sorted by name.
-func (w *Watcher) noteVMs(old, next []fleet.VM, version uint64) {
+// logVMChanges logs each VM that was added, removed or changed. Both lists are
+// sorted by name.
+func (w *Watcher) logVMChanges(old, next []fleet.VM, version uint64) {
 	for _, v := range next {
 		for len(old) > 0 && old[0].Name < v.Name {
-			w.noteVM("gone", old[0].Name, version)
+			w.logVM("gone", old[0].Name, version)
 			old = old[1:]
 		}
 		if len(old) > 0 && old[0].Name == v.Name {
@@ -97,14 +98,14 @@
 				continue
 			}
 		}
-		w.noteVM(string(v.State), v.Name, version)
+		w.logVM(string(v.State), v.Name, version)
 	}
 	for _, v := range old {
-		w.noteVM("gone", v.Name, version)
+		w.logVM("gone", v.Name, version)
 	}
 }
 
-func (w *Watcher) noteVM(state, name string, version uint64) {
+func (w *Watcher) logVM(state, name string, version uint64) {
 	w.Log.Decide(trail.Decision{Area: trail.AreaMember, Action: state, Subject: name, Revision: version})
 }
 
@@ -119,7 +120,7 @@
 func (w *Watcher) refuse(a gossip.Refuse) {
 	w.Metrics.Counter("config_refused").Inc(1)
 	if a.Topic == gossip.TopicDocument && a.Mark.Version > 0 {
-		w.docs.refused.Store(max(a.Mark.Version, w.docs.refused.Load()))
+		w.documents.refused.Store(max(a.Mark.Version, w.documents.refused.Load()))
 		w.setFault(a.Mark.Version, a.Err.Error())
 	}
 	w.Log.Decide(trail.Decision{
@@ -133,6 +134,6 @@
 	w.Log.Decide(trail.Decision{
 		Area: trail.AreaConfig, Action: "conflict", Subject: string(a.Topic),
 		Choice: w.peerName(a.Peer), Revision: a.Mark.Version,
-		Reason: "the same revision was given to other content; promote again",
+		Reason: "other content has the same revision; promote again",
 	})
 }
--- a/io/process/watch/conns_test.go
+++ b/io/process/watch/conns_test.go
@@ -15,19 +15,19 @@
 	"hawthornferry/io/conn/link"
 )
 
-// A connection goes silent for good without an error on either end. The
-// process that waits on it sees nothing; after five exchanges without a word
-// it closes the connection, which makes room for one that works.
+// A connection fails silently, without an error on either end. It must be
+// closed after five exchange intervals without a message, so that one that
+// works can replace it.
 func TestSilentConnectionIsClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	clock := clockwork.NewFakeClock()
-	m := newMember(t, "a", "z1", netip.AddrPort{})
+	m := newTestProcess(t, "a", "z1", netip.AddrPort{})
 	m.Clock = clock
 	m.Seeds = []netip.AddrPort{netip.MustParseAddrPort(l.Addr().String())}
-	silent := newMember(t, "silent", "z1", netip.AddrPort{})
+	silent := newTestProcess(t, "silent", "z1", netip.AddrPort{})
 	accepted := make(chan struct{})
 	closed := make(chan struct{})
 	listener := &link.Listener{Self: silent.Self, Net: l, Handlers: map[link.Purpose]link.Handler{
@@ -49,66 +49,67 @@
 		case <-closed:
 			return
 		default:
-			clock.Advance(exchange)
+			clock.Advance(exchangeInterval)
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// A process is stopped for a minute and wakes up. It has heard nobody in that
-// time, through no fault of its peers: it must not cut all of them at once,
-// which would leave it alone and make it read for itself. A peer that then
-// stays silent is cut as usual.
-func TestPausedProcessDoesNotBlamePeers(t *testing.T) {
+// A process is stopped for a minute and resumes. It has received nothing in
+// that time, through no fault of its peers, so it must not close all
+// connections at once: it would be disconnected and start to read for itself. A
+// peer that stays silent afterwards is disconnected as usual.
+func TestPausedProcessKeepsConnections(t *testing.T) {
 	start := time.Date(2026, 12, 3, 0, 0, 0, 0, time.UTC)
 	ended := false
-	p := &peerConn{id: 1, heard: start, end: func() { ended = true }}
-	w := &Watcher{last: start, conns: map[gossip.PeerID]*peerConn{1: p}}
+	p := &peerConn{id: 1, lastReceived: start, cancel: func() { ended = true }}
+	w := &Watcher{lastTick: start, conns: map[gossip.PeerID]*peerConn{1: p}}
 	tests := []struct {
 		after time.Duration
 		want  bool
 	}{
-		{after: exchange, want: false},
+		{after: exchangeInterval, want: false},
 		{after: time.Minute, want: false},
-		{after: time.Minute + 2*exchange, want: false},
-		{after: time.Minute + 4*exchange, want: false},
-		{after: time.Minute + 6*exchange, want: true},
+		{after: time.Minute + 2*exchangeInterval, want: false},
+		{after: time.Minute + 4*exchangeInterval, want: false},
+		{after: time.Minute + 6*exchangeInterval, want: true},
 	}
 	for _, tc := range tests {
 		w.closeSilent(start.Add(tc.after))
 		if diff := cmp.Diff(tc.want, ended); diff != "" {
-			t.Errorf("cut after %v (-want +got):\n%s", tc.after, diff)
+			t.Errorf("closed after %v (-want +got):\n%s", tc.after, diff)
 		}
 	}
 }
 
-// VMs are replaced for weeks, and each newcomer that ranks first gets a
-// connection. The older ones that are no longer preferred are ended once there
-// are many, those that peers opened and those that are young are left.
-func TestConnectionsDoNotCreepUp(t *testing.T) {
+// VMs are replaced over weeks, and each new one that ranks first gets a
+// connection. Once there are many connections, the older ones that are no
+// longer preferred must be closed, but not those opened by peers or opened
+// recently.
+func TestUnwantedConnectionsAreClosed(t *testing.T) {
 	now := time.Date(2026, 12, 3, 0, 0, 0, 0, time.UTC)
 	ended := map[string]bool{}
 	w := &Watcher{conns: map[gossip.PeerID]*peerConn{}}
-	for i := range 3 * enoughPeers {
+	for i := range 3 * expectedPeers {
 		name := fmt.Sprint(i)
-		p := &peerConn{link: &link.Conn{}, joined: now.Add(-time.Hour), end: func() { ended[name] = true }}
+		p := &peerConn{link: &link.Conn{}, connectedAt: now.Add(-time.Hour), cancel: func() { ended[name] = true }}
 		p.link.Peer.VM.Name = name
 		switch i % 3 {
 		case 0:
 			p.dialed = netip.MustParseAddrPort("127.0.0.1:1")
 		case 1:
 			p.dialed = netip.MustParseAddrPort("127.0.0.1:1")
-			p.joined = now
+			p.connectedAt = now
 		}
 		w.conns[gossip.PeerID(i)] = p
 	}
-	w.trim(map[string]bool{"0": true}, now)
-	if diff := cmp.Diff(enoughPeers-1, len(ended)); diff != "" {
-		t.Errorf("ended connections (-want +got):\n%s", diff)
+	w.closeUnwanted(map[string]bool{"0": true}, now)
+	if diff := cmp.Diff(expectedPeers-1, len(ended)); diff != "" {
+		t.Errorf("closed connections (-want +got):\n%s", diff)
 	}
-	for i := range 3 * enoughPeers {
+	for i := range 3 * expectedPeers {
 		if ended[fmt.Sprint(i)] && (i%3 != 0 || i == 0) {
-			t.Errorf("connection %d is ended, want it left", i)
+			t.Errorf("connection %d is closed, want it kept", i)
 		}
 	}
 }
--- a/io/process/watch/dial.go
+++ b/io/process/watch/dial.go
@@ -12,54 +12,60 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Bounds of dialing.
+// Timeouts and limits of dialing.
 const (
 	dialTimeout = 2 * time.Second
-	redialBase  = 500 * time.Millisecond
-	redialMax   = 30 * time.Second
-	maxRedials  = 1024
-	maxSeeds    = 2
-	// enoughPeers is the connections that a process has on average: those
+	// redialBase and redialMax bound the delay before an address that failed is
+	// dialed again.
+	redialBase = 500 * time.Millisecond
+	redialMax  = 30 * time.Second
+	// maxRedialEntries bounds the addresses whose failures are remembered; if
+	// there are more, all are forgotten and may be dialed at once.
+	maxRedialEntries = 1024
+	// maxSeeds is how many seeds a process connects to while it has no other
+	// peer.
+	maxSeeds = 2
+	// expectedPeers is how many connections a process has on average: those
 	// that it opens and about as many that others open to it.
-	enoughPeers = 2 * (gossip.ZoneLinks + gossip.OtherLinks)
-	// briefStay is how long a connection to a seed stays at least: time for
-	// a whole document and VM list.
-	briefStay = 3 * exchange
+	expectedPeers = 2 * (gossip.ZoneLinks + gossip.OtherLinks)
+	// minTemporaryLife is how long a temporary or unwanted connection is kept
+	// at least: time to transfer a whole document and VM list.
+	minTemporaryLife = 3 * exchangeInterval
 )
 
-// dialer keeps the connections that this process opens. It belongs to the
-// loop.
+// dialer holds the state of the connections that this process opens. Only the
+// event loop uses it.
 type dialer struct {
 	ctx        context.Context
 	wg         *sync.WaitGroup
 	candidates gossip.Candidates
 	retries    map[netip.AddrPort]*redial
-	dialingTo  map[netip.AddrPort]bool
+	dialing    map[netip.AddrPort]bool
 }
 
-// redial is when an address that failed may be tried again.
+// redial is when an address that failed may be dialed again.
 type redial struct {
-	backoff retry.Backoff
-	at      time.Time
+	backoff   retry.Backoff
+	notBefore time.Time
 }
 
-// connect opens the connections that are lacking.
+// connect opens the missing connections and closes superfluous ones.
 func (w *Watcher) connect(now time.Time) {
 	d := &w.dialer
 	wanted := map[string]bool{}
-	w.fill(d.candidates.Zone, gossip.ZoneLinks, wanted, now)
-	w.fill(d.candidates.Other, gossip.OtherLinks, wanted, now)
+	w.connectCandidates(d.candidates.Zone, gossip.ZoneLinks, wanted, now)
+	w.connectCandidates(d.candidates.Other, gossip.OtherLinks, wanted, now)
 	if len(w.peerNames()) == 0 {
-		w.fillSeeds(now)
+		w.connectSeeds(now)
 		return
 	}
-	w.dropBrief(now)
-	w.trim(wanted, now)
+	w.closeTemporary(now)
+	w.closeUnwanted(wanted, now)
 }
 
-// fill makes sure that want of the candidates are connected, whichever side
-// opened the connection, and adds their names to wanted.
-func (w *Watcher) fill(candidates []fleet.VM, want int, wanted map[string]bool, now time.Time) {
+// connectCandidates makes sure that want of the candidates are connected,
+// whichever side opened the connection, and adds their names to wanted.
+func (w *Watcher) connectCandidates(candidates []fleet.VM, want int, wanted map[string]bool, now time.Time) {
 	connected := w.peerNames()
 	have := 0
 	for _, v := range candidates {
@@ -73,25 +79,25 @@
 	}
 }
 
-// trim ends connections that this process opened and no longer prefers, when
-// there are many. VMs come and go for as long as a process lives, and each
-// newcomer that ranks before the others adds a connection; without an end to
-// the old ones their number would creep up to the bound over weeks. A peer
-// that counts one of them as its own choice opens it again and then keeps it.
-func (w *Watcher) trim(wanted map[string]bool, now time.Time) {
-	spare := len(w.conns) - enoughPeers
+// closeUnwanted closes connections that this process opened and no longer
+// prefers, if there are more than expectedPeers. Each new VM that ranks before
+// the others adds a connection, and VMs are replaced all the time, so the
+// number would otherwise grow to maxPeers over weeks. A peer that prefers a
+// closed connection opens it again and keeps it.
+func (w *Watcher) closeUnwanted(wanted map[string]bool, now time.Time) {
+	excess := len(w.conns) - expectedPeers
 	for _, p := range w.conns {
-		if spare <= 0 {
+		if excess <= 0 {
 			return
 		}
-		if p.dialed.IsValid() && !wanted[p.link.Peer.VM.Name] && now.Sub(p.joined) > briefStay {
-			p.end()
-			spare--
+		if p.dialed.IsValid() && !wanted[p.link.Peer.VM.Name] && now.Sub(p.connectedAt) > minTemporaryLife {
+			p.cancel()
+			excess--
 		}
 	}
 }
 
-func (w *Watcher) fillSeeds(now time.Time) {
+func (w *Watcher) connectSeeds(now time.Time) {
 	have := 0
 	for _, addr := range w.Seeds {
 		if have >= maxSeeds {
@@ -112,68 +118,70 @@
 	return false
 }
 
-// dropBrief ends the connections to seeds once others stand: every process
-// of a fleet may name the same few seeds, which could not carry them all.
-func (w *Watcher) dropBrief(now time.Time) {
+// closeTemporary closes temporary connections, mostly those to seeds, once
+// there are enough others. All processes of a fleet may have the same few
+// seeds, which could not serve them all.
+func (w *Watcher) closeTemporary(now time.Time) {
 	if len(w.peerNames()) < gossip.ZoneLinks {
 		return
 	}
 	for _, p := range w.conns {
-		if p.brief && now.Sub(p.joined) > briefStay {
-			p.end()
+		if p.temporary && now.Sub(p.connectedAt) > minTemporaryLife {
+			p.cancel()
 		}
 	}
 }
 
-// peerNames are the peers with a connection that is to stay.
+// peerNames returns the names of the peers with a connection that is not
+// temporary.
 func (w *Watcher) peerNames() map[string]bool {
 	out := map[string]bool{}
 	for _, p := range w.conns {
-		if !p.brief {
+		if !p.temporary {
 			out[p.link.Peer.VM.Name] = true
 		}
 	}
 	return out
 }
 
-// dial starts to connect to addr. It reports true when an attempt is under
-// way, false when the address has failed a short while ago.
-func (w *Watcher) dial(addr netip.AddrPort, brief bool, now time.Time) bool {
+// dial starts to connect to addr. It returns true if an attempt is in progress,
+// false if the address has failed a short time ago.
+func (w *Watcher) dial(addr netip.AddrPort, temporary bool, now time.Time) bool {
 	d := &w.dialer
-	if d.dialingTo[addr] {
+	if d.dialing[addr] {
 		return true
 	}
-	if r, ok := d.retries[addr]; ok && now.Before(r.at) {
+	if r, ok := d.retries[addr]; ok && now.Before(r.notBefore) {
 		return false
 	}
-	d.dialingTo[addr] = true
-	d.wg.Go(func() { w.open(d.ctx, addr, brief) })
+	d.dialing[addr] = true
+	d.wg.Go(func() { w.open(d.ctx, addr, temporary) })
 	return true
 }
 
-func (w *Watcher) open(ctx context.Context, addr netip.AddrPort, brief bool) {
+func (w *Watcher) open(ctx context.Context, addr netip.AddrPort, temporary bool) {
 	limited, cancel := context.WithTimeout(ctx, dialTimeout)
 	c, err := link.Dial(limited, w.Self, addr, link.PurposeConfig, kinds())
 	cancel()
 	if err == nil {
-		w.serve(ctx, &peerConn{link: c, dialed: addr, brief: brief})
+		w.serve(ctx, &peerConn{link: c, dialed: addr, temporary: temporary})
 		return
 	}
 	w.post(ctx, func(now time.Time) []gossip.Action {
-		delete(w.dialer.dialingTo, addr)
+		delete(w.dialer.dialing, addr)
 		w.Metrics.Counter("config_dial_errors").Inc(1)
-		w.backOff(addr, 0, now)
+		w.scheduleRedial(addr, 0, now)
 		w.connect(now)
 		return nil
 	})
 }
 
-// backOff keeps an address from being tried again at once. A peer that is
-// full or faulty accepts and then closes: that counts as a failure unless
-// the connection has lived for long.
-func (w *Watcher) backOff(addr netip.AddrPort, lived time.Duration, now time.Time) {
+// scheduleRedial delays the next attempt to dial an address. A peer that is
+// full or faulty accepts a connection and then closes it, so a connection that
+// ended counts as a failure unless it lasted for longer than redialMax.
+func (w *Watcher) scheduleRedial(addr netip.AddrPort, lived time.Duration, now time.Time) {
 	d := &w.dialer
-	if len(d.retries) >= maxRedials {
+	if len(d.retries) >= maxRedialEntries {
 		clear(d.retries)
 	}
 	r, ok := d.retries[addr]
@@ -181,5 +189,5 @@
 		r = &redial{backoff: retry.Backoff{Base: redialBase, Max: redialMax}}
 		d.retries[addr] = r
 	}
-	r.at = now.Add(r.backoff.Next(random()))
+	r.notBefore = now.Add(r.backoff.Next(random()))
 }
--- a/io/process/watch/fail_test.go
+++ b/io/process/watch/fail_test.go
@@ -12,8 +12,9 @@
 	"hawthornferry/io/conn/link"
 )
 
-// awaitLog waits until the process has logged a configuration decision.
-func awaitLog(t *testing.T, m *member, action string) {
+// awaitLog waits until the process has logged a configuration decision with the
+// given action.
+func awaitLog(t *testing.T, m *testProcess, action string) {
 	t.Helper()
 	for !m.log.has(action) {
 		if t.Context().Err() != nil {
@@ -23,10 +24,9 @@
 	}
 }
 
-// The operator restarts a process while the configuration service is down:
-// it answers no read, and before it went down it had given revision 2. The
-// process still gets revision 2, because its peers hold it, and the ones that
-// ran on have never lost it.
+// A process is restarted while the configuration service is down. It must get
+// revision 2, which the service had published before, from its peers, and the
+// processes that kept running must not lose it.
 func TestServiceDownRestartTakesPeersRevision(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.promote(2, document(time.Second))
@@ -36,7 +36,7 @@
 
 	old := all[0]
 	old.stop()
-	again := newMember(t, old.Self.VM.Name, "z1", addr)
+	again := newTestProcess(t, old.Self.VM.Name, "z1", addr)
 	again.Seeds = []netip.AddrPort{all[1].Self.VM.Address, all[4].Self.VM.Address}
 	again.run()
 	await(t, again.Watcher, 2)
@@ -47,10 +47,10 @@
 	}
 }
 
-// The service comes back from a restart with an older state: it serves
-// revision 3 while 5 is in force. The running processes ignore 3 and say so.
-// A process that starts then reads 3 from the service and may put it in
-// force for a moment, but its peers show 5, and it never goes down again.
+// The service is restored with an older state: it serves revision 3 while 5 is
+// in force. The running processes must ignore revision 3. A process that starts
+// then may put 3 in force for a moment, but must get 5 from its peers and never
+// go back to 3.
 func TestStaleServiceDoesNotRevert(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.promote(5, document(5*time.Second))
@@ -59,35 +59,35 @@
 
 	stale, staleAddr := newPlatform(t)
 	stale.promote(3, document(3*time.Second))
-	fresh := newMember(t, "fresh", "z1", staleAddr)
+	fresh := newTestProcess(t, "fresh", "z1", staleAddr)
 	fresh.Seeds = []netip.AddrPort{all[0].Self.VM.Address}
 	fresh.run()
 	await(t, fresh.Watcher, 5)
 	if got := fresh.log.inForce(); !slices.IsSorted(got) {
-		t.Errorf("fresh put %v in force, want rising revisions", got)
+		t.Errorf("fresh put %v in force, want increasing revisions", got)
 	}
 
 	p.change(func() {
 		p.texts[3] = document(3 * time.Second)
-		p.pins = []uint64{3, 3, 3, 3}
+		p.forcedRevisions = []uint64{3, 3, 3, 3}
 	})
 	p.promote(6, document(6*time.Second))
 	awaitAll(t, all, 6)
 	for _, m := range all {
 		got := m.log.inForce()
 		if slices.Contains(got, 3) || !slices.IsSorted(got) {
-			t.Errorf("%s put %v in force, want rising revisions without 3", m.Self.VM.Name, got)
+			t.Errorf("%s put %v in force, want increasing revisions without 3", m.Self.VM.Name, got)
 		}
 	}
 }
 
-// Neither the service nor a peer answers a process that starts: it has no
-// document and must not pretend to have one. It goes on asking, and takes
-// what the service says once it is back.
+// A process starts while neither the service nor a peer answers. It must not
+// put any document in force, must keep retrying, and must read the document
+// once the service is back.
 func TestNobodyAnswersThenServiceDoes(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.down = true
-	m := newMember(t, "alone", "z1", addr)
+	m := newTestProcess(t, "alone", "z1", addr)
 	m.run()
 	awaitLog(t, m, "readFailed")
 	if m.Current().Document != nil {
@@ -98,18 +98,18 @@
 	await(t, m.Watcher, 1)
 }
 
-// A partition splits the fleet; each half reaches a service of its own, and
-// one of the two is behind. Both halves serve on with what they hold. When
-// they see each other again, through the VM list, the half that is behind
-// takes the higher revision from its peers, though its service still has the
-// lower one, and the other half keeps what it has.
+// A partition splits the fleet. Each half reaches a service of its own, one of
+// which has an older revision, and both halves keep what they have. When the VM
+// list shows each half the other one, the half that is behind must take the
+// higher revision from its peers, though its service still serves the lower
+// one, and the other half must keep its revision.
 func TestPartitionHealsToHighest(t *testing.T) {
 	ahead, aheadAddr := newPlatform(t)
 	behind, behindAddr := newPlatform(t)
 	ahead.promote(8, document(8*time.Second))
 	behind.promote(7, document(7*time.Second))
 	one := startFleet(t, ahead, aheadAddr, 2)
-	two := startNamed(t, behind, behindAddr, 2, "two-")
+	two := startFleetWithPrefix(t, behind, behindAddr, 2, "two-")
 	awaitAll(t, one, 8)
 	awaitAll(t, two, 7)
 
@@ -122,14 +122,14 @@
 	awaitAll(t, two, 8)
 	for _, m := range one {
 		if got := m.log.inForce(); !slices.IsSorted(got) || slices.Contains(got, 7) {
-			t.Errorf("%s put %v in force, want rising revisions without 7", m.Self.VM.Name, got)
+			t.Errorf("%s put %v in force, want increasing revisions without 7", m.Self.VM.Name, got)
 		}
 	}
 }
 
-// Two operators promote at the same time. The service orders the two, but
-// readers see them in different orders: some are answered with 3 and then,
-// late, with 2. All processes end at 3, and none goes from 3 to 2.
+// Two operators promote at the same time. The service orders the two revisions,
+// but readers see them in different orders: some get 3 and then, late, 2. All
+// processes must end at 3, and none may go from 3 back to 2.
 func TestRacingPromotionsEndAtHighest(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.promote(1, document(time.Second))
@@ -139,40 +139,39 @@
 		p.texts[2] = document(2 * time.Second)
 		p.texts[3] = document(3 * time.Second)
 		p.revision = 3
-		p.pins = []uint64{3, 2, 2, 3, 2, 2}
+		p.forcedRevisions = []uint64{3, 2, 2, 3, 2, 2}
 	})
 	awaitAll(t, all, 3)
 	for _, m := range all {
 		if got := m.log.inForce(); !slices.IsSorted(got) {
-			t.Errorf("%s put %v in force, want rising revisions", m.Self.VM.Name, got)
+			t.Errorf("%s put %v in force, want increasing revisions", m.Self.VM.Name, got)
 		}
 	}
 }
 
-// The readers of a zone die while the service and the list are gone for that
-// zone, so that nobody there reads any more and the list goes on to name the
-// dead. The zone's last process still hears of the next revision, through
-// its connection to another zone.
-func TestReadersDieZoneHearsFromOther(t *testing.T) {
+// All readers of a zone stop, and the one process that remains there can't
+// reach the service or the VM list, which still names the stopped ones. It must
+// get the next revision through its connection to another zone.
+func TestZoneWithoutReadersLearnsFromOtherZone(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.promote(1, document(time.Second))
 	all := startFleet(t, p, addr, 4)
 	awaitAll(t, all, 1)
-	last := newMember(t, "z1-last", "z1", netip.AddrPort{})
-	last.Seeds = []netip.AddrPort{all[0].Self.VM.Address, all[5].Self.VM.Address}
-	last.run()
-	await(t, last.Watcher, 1)
+	remaining := newTestProcess(t, "z1-last", "z1", netip.AddrPort{})
+	remaining.Seeds = []netip.AddrPort{all[0].Self.VM.Address, all[5].Self.VM.Address}
+	remaining.run()
+	await(t, remaining.Watcher, 1)
 	for _, m := range all[:4] {
 		m.stop()
 	}
 	p.promote(2, document(2*time.Second))
-	await(t, last.Watcher, 2)
+	await(t, remaining.Watcher, 2)
 }
 
-// An operator promotes a document with a fault past the check. Nobody puts
-// it in force, the fault is named, and the readers do not ask for it again
-// and again, although the service would answer with it at once. The next
-// sound revision is taken as usual.
+// A faulty document is promoted, having passed the check before promotion. No
+// process may put it in force, the refusal must be logged, and the readers must
+// not request it again and again, although the service would return it at once.
+// The next valid revision must be adopted as usual.
 func TestFaultyDocumentIsRefusedOnce(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.promote(1, document(time.Second))
@@ -182,7 +181,7 @@
 	p.promote(3, document(3*time.Second))
 	awaitAll(t, all, 3)
 	p.promote(4, "[environment]\nname = other\nstage = trial\n")
-	for !slices.ContainsFunc(all, func(m *member) bool { return m.log.has("refuse") }) {
+	for !slices.ContainsFunc(all, func(m *testProcess) bool { return m.log.has("refuse") }) {
 		time.Sleep(time.Millisecond)
 	}
 	p.promote(5, document(5*time.Second))
@@ -194,16 +193,16 @@
 	}
 }
 
-// A connection for calls shows a revision that this process does not hold;
-// it has no configuration connection at all, since nobody lists it yet. It
-// asks that peer and does not wait for the VM list.
-func TestAheadPeerIsAsked(t *testing.T) {
+// A process that is in nobody's VM list has no configuration connection, but a
+// connection for calls shows that its peer has a higher revision. It must ask
+// that peer at once, not wait for the VM list.
+func TestPeerWithHigherRevisionIsAsked(t *testing.T) {
 	p, addr := newPlatform(t)
 	p.promote(4, document(time.Second))
-	ahead := newMember(t, "ahead", "z1", addr)
+	ahead := newTestProcess(t, "ahead", "z1", addr)
 	ahead.run()
 	await(t, ahead.Watcher, 4)
-	m := newMember(t, "behind", "z1", netip.AddrPort{})
+	m := newTestProcess(t, "behind", "z1", netip.AddrPort{})
 	m.run()
 	calls, err := link.Dial(t.Context(), m.Self, ahead.Self.VM.Address, link.PurposeCalls, nil)
 	if err != nil {
--- a/io/process/watch/fake_test.go
+++ b/io/process/watch/fake_test.go
@@ -15,24 +15,23 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// platform is a configuration service and a VM list on one address.
-type platform struct {
+// fakePlatform serves both the configuration and the VM list.
+type fakePlatform struct {
 	mu       sync.Mutex
 	changed  chan struct{}
 	revision uint64
 	texts    map[uint64]string
 	vms      []fleet.VM
 	down     bool
-	// pins are revisions that the next reads are answered with, whatever
-	// they ask for.
-	pins []uint64
-	// asked are the revisions above which documents were asked for.
+	// forcedRevisions are returned by the next reads, whatever they ask for.
+	forcedRevisions []uint64
+	// asked records the after parameter of each document read.
 	asked []uint64
 }
 
-func newPlatform(t *testing.T) (*platform, netip.AddrPort) {
+func newPlatform(t *testing.T) (*fakePlatform, netip.AddrPort) {
 	t.Helper()
-	p := &platform{changed: make(chan struct{}), texts: map[uint64]string{}}
+	p := &fakePlatform{changed: make(chan struct{}), texts: map[uint64]string{}}
 	srv := httptest.NewServer(p)
 	t.Cleanup(func() {
 		srv.CloseClientConnections()
@@ -41,8 +40,8 @@
 	return p, netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 }
 
-// change applies f and wakes the readers that wait.
-func (p *platform) change(f func()) {
+// change calls f and wakes the waiting reads.
+func (p *fakePlatform) change(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
@@ -50,14 +49,14 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *platform) promote(revision uint64, text string) {
+func (p *fakePlatform) promote(revision uint64, text string) {
 	p.change(func() {
 		p.revision = revision
 		p.texts[revision] = text
 	})
 }
 
-func (p *platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
 	down := p.down
 	p.mu.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-func (p *platform) document(w http.ResponseWriter, r *http.Request) {
+func (p *fakePlatform) document(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
 	end := time.After(wait)
@@ -101,17 +100,17 @@
 	}
 }
 
-// next returns the revision to answer with and whether it is pinned.
-func (p *platform) next() (uint64, bool) {
-	if len(p.pins) == 0 {
+// next returns the revision to serve and whether it is a forced one.
+func (p *fakePlatform) next() (uint64, bool) {
+	if len(p.forcedRevisions) == 0 {
 		return p.revision, false
 	}
-	pin := p.pins[0]
-	p.pins = p.pins[1:]
+	pin := p.forcedRevisions[0]
+	p.forcedRevisions = p.forcedRevisions[1:]
 	return pin, true
 }
 
-// document returns a small sound document whose service times out after d.
+// document returns a small valid document whose service has the timeout d.
 func document(d time.Duration) string {
 	return fmt.Sprintf(`[environment]
 name = pindan
--- a/io/process/watch/service.go
+++ b/io/process/watch/fetcher.go
@@ -19,39 +19,43 @@
 	"hawthornferry/core/process/inidoc"
 )
 
-// Bounds of a read from the platform.
+// Timeouts and limits of reads from the platform.
 const (
-	// watchWait is how long the service may hold a read. A reader whose
-	// connection has gone silent is blind until it gives up, so the wait is
-	// kept below the 3 s in which a configuration is in force; it costs each
-	// reader one read in 2 s.
+	// watchWait is how long the service may hold a read until there is a newer
+	// revision. A reader whose connection has silently failed learns nothing
+	// until it gives up, so this must stay below the 3 s within which a
+	// configuration has to be in force. It costs each reader one request in 2
+	// s.
 	watchWait = 2 * time.Second
-	// A read may take slack beyond its wait: little while the service answers
-	// fast, and more as it slows down, since giving up on a service that is
-	// merely slow would leave it unread for as long as it is slow.
-	minSlack  = time.Second
-	maxSlack  = 16 * time.Second
+	// slack is how much longer than its wait a read may take. It is small while
+	// the service answers fast and grows as the service slows down: with a
+	// fixed timeout a service that is merely slow could not be read at all.
+	minSlack = time.Second
+	maxSlack = 16 * time.Second
+	// maxVMList is the largest VM list in bytes that is read.
 	maxVMList = 16 << 20
 )
 
-// service reads from the platform over HTTP. It is for one goroutine.
-type service struct {
+// fetcher reads from the platform over HTTP. It must be used from one
+// goroutine.
+type fetcher struct {
 	addr   netip.AddrPort
 	client *http.Client
 	slack  time.Duration
-	// read is the bytes of bodies so far.
-	read atomic.Uint64
+	// bytesRead is the total size of the response bodies.
+	bytesRead atomic.Uint64
 }
 
-func newService(addr netip.AddrPort) *service {
-	return &service{addr: addr, client: &http.Client{Transport: &http.Transport{}}, slack: minSlack}
+func newFetcher(addr netip.AddrPort) *fetcher {
+	return &fetcher{addr: addr, client: &http.Client{Transport: &http.Transport{}}, slack: minSlack}
 }
 
-func (s *service) close() { s.client.CloseIdleConnections() }
+func (s *fetcher) close() { s.client.CloseIdleConnections() }
 
-// document waits for a revision above after and returns its text. When none
-// comes within the wait it returns revision 0; after 0 answers at once.
-func (s *service) document(ctx context.Context, environment string, after uint64, wait time.Duration) ([]byte, uint64, error) {
+// document waits for a revision above after and returns its text. If none comes
+// within the wait, it returns revision 0. With after 0 the service answers at
+// once.
+func (s *fetcher) document(ctx context.Context, environment string, after uint64, wait time.Duration) ([]byte, uint64, error) {
 	path := "/v1/documents/" + url.PathEscape(environment)
 	if after > 0 {
 		path += fmt.Sprintf("?after=%d&wait=%s", after, wait)
@@ -67,8 +71,8 @@
 	return b, revision, nil
 }
 
-// vms returns the VM list and the bytes that it took.
-func (s *service) vms(ctx context.Context) ([]fleet.VM, int, error) {
+// vms returns the VM list and its size in bytes.
+func (s *fetcher) vms(ctx context.Context) ([]fleet.VM, int, error) {
 	const step = "read VM list"
 	b, _, err := s.get(ctx, "/v1/vms", 0, maxVMList)
 	if err != nil {
@@ -81,20 +85,20 @@
 	return vms, len(b), nil
 }
 
-// get returns the body and the header of a read that the service may hold
-// for wait; both are nil for 304.
-func (s *service) get(ctx context.Context, path string, wait time.Duration, limit int64) ([]byte, http.Header, error) {
+// get returns the body and the header of a read that the service may hold for
+// wait. Both are nil if the service answers 304.
+func (s *fetcher) get(ctx context.Context, path string, wait time.Duration, limit int64) ([]byte, http.Header, error) {
 	limited, cancel := context.WithTimeout(ctx, wait+s.slack)
 	defer cancel()
 	begin := time.Now()
 	b, h, err := s.fetch(limited, path, limit)
-	s.adapt(time.Since(begin)-wait, err)
+	s.adjustSlack(time.Since(begin)-wait, err)
 	return b, h, err
 }
 
-// adapt sets the slack of the next read from how long this one took beyond
-// its wait.
-func (s *service) adapt(beyond time.Duration, err error) {
+// adjustSlack sets the slack of the next read from how much longer than its
+// wait this one took.
+func (s *fetcher) adjustSlack(beyond time.Duration, err error) {
 	next := 2 * beyond
 	switch {
 	case errors.Is(err, context.DeadlineExceeded):
@@ -105,7 +109,7 @@
 	s.slack = min(max(next, minSlack), maxSlack)
 }
 
-func (s *service) fetch(ctx context.Context, path string, limit int64) ([]byte, http.Header, error) {
+func (s *fetcher) fetch(ctx context.Context, path string, limit int64) ([]byte, http.Header, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.addr.String()+path, nil)
 	if err != nil {
 		return nil, nil, err
@@ -122,7 +126,7 @@
 		return nil, nil, errors.Newf("status %d", resp.StatusCode)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
-	s.read.Add(uint64(len(b)))
+	s.bytesRead.Add(uint64(len(b)))
 	if err == nil && int64(len(b)) > limit {
 		err = errors.Newf("answer is longer than %d bytes", limit)
 	}
--- a/io/process/watch/service_test.go
+++ b/io/process/watch/fetcher_test.go
@@ -10,11 +10,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A service that answers slowly is given more time after each read that was
-// given up, so that it is not left unread for as long as it is slow; once it
-// answers fast again a silent connection is given up soon again.
+// A service that answers slowly must get more time after each timeout, or it
+// could not be read for as long as it is slow. Once it answers fast again, the
+// timeout must shrink, so that a failed connection is detected soon.
 func TestSlackFollowsTheService(t *testing.T) {
-	s := newService(netip.AddrPort{})
+	s := newFetcher(netip.AddrPort{})
 	tests := []struct {
 		beyond time.Duration
 		err    error
@@ -29,7 +29,7 @@
 		{beyond: -time.Second, want: minSlack},
 	}
 	for _, tc := range tests {
-		s.adapt(tc.beyond, tc.err)
+		s.adjustSlack(tc.beyond, tc.err)
 		if diff := cmp.Diff(tc.want, s.slack); diff != "" {
 			t.Errorf("after %v, %v (-want +got):\n%s", tc.beyond, tc.err, diff)
 		}
--- a/io/process/watch/fleet_test.go
+++ b/io/process/watch/fleet_test.go
@@ -17,28 +17,28 @@
 	"hawthornferry/io/conn/link"
 )
 
-// member is one process of a test: a watcher, its listener and its log.
-type member struct {
+// testProcess is a process in a test: a watcher, its listener and its log.
+type testProcess struct {
 	*Watcher
 	ctx  context.Context
 	stop func()
-	log  *recorder
+	log  *decisionRecorder
 }
 
-// recorder keeps the decisions of one process.
-type recorder struct {
+// decisionRecorder records the logged decisions of one process.
+type decisionRecorder struct {
 	mu  sync.Mutex
 	all []trail.Decision
 }
 
-func (r *recorder) Decide(d trail.Decision) {
+func (r *decisionRecorder) Decide(d trail.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, d)
 }
 
-// inForce are the revisions that the process put in force, in order.
-func (r *recorder) inForce() []uint64 {
+// inForce returns the revisions that the process put in force, in order.
+func (r *decisionRecorder) inForce() []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []uint64
@@ -50,7 +50,7 @@
 	return out
 }
 
-func (r *recorder) has(action string) bool {
+func (r *decisionRecorder) has(action string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, d := range r.all {
@@ -61,24 +61,25 @@
 	return false
 }
 
-// newMember listens on an address of its own but does not run yet.
-func newMember(t *testing.T, name, zone string, services netip.AddrPort) *member {
+// newTestProcess creates a process that listens on its own address but doesn't
+// run yet.
+func newTestProcess(t *testing.T, name, zone string, services netip.AddrPort) *testProcess {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return memberOn(t, l, name, zone, services)
+	return newTestProcessOn(t, l, name, zone, services)
 }
 
-func memberOn(t *testing.T, l net.Listener, name, zone string, services netip.AddrPort) *member {
+func newTestProcessOn(t *testing.T, l net.Listener, name, zone string, services netip.AddrPort) *testProcess {
 	t.Helper()
 	self := &link.Self{Boot: fmt.Sprintf("%s-%d", name, time.Now().UnixNano())}
 	self.VM = fleet.VM{
 		Name: name, Role: fleet.RoleSide, Zone: zone, Region: "r", Service: "booking",
 		Address: netip.MustParseAddrPort(l.Addr().String()), State: fleet.StateLive,
 	}
-	m := &member{log: &recorder{}}
+	m := &testProcess{log: &decisionRecorder{}}
 	m.Watcher = &Watcher{
 		Self: self, Clock: clockwork.NewRealClock(), Log: m.log, Metrics: tally.NoopScope,
 		Environment: "pindan", Config: services, VMList: services,
@@ -103,7 +104,7 @@
 }
 
 // run starts the watcher.
-func (m *member) run() {
+func (m *testProcess) run() {
 	done := make(chan struct{})
 	stop := m.stop
 	go func() {
@@ -116,19 +117,20 @@
 	}
 }
 
-// startFleet runs perZone processes in each of two zones, all in the list.
-func startFleet(t *testing.T, p *platform, services netip.AddrPort, perZone int) []*member {
+// startFleet runs perZone processes in each of two zones and adds them to the
+// VM list.
+func startFleet(t *testing.T, p *fakePlatform, services netip.AddrPort, perZone int) []*testProcess {
 	t.Helper()
-	return startNamed(t, p, services, perZone, "")
+	return startFleetWithPrefix(t, p, services, perZone, "")
 }
 
-// startNamed is startFleet with a prefix of the names.
-func startNamed(t *testing.T, p *platform, services netip.AddrPort, perZone int, prefix string) []*member {
+// startFleetWithPrefix is startFleet with a prefix for the VM names.
+func startFleetWithPrefix(t *testing.T, p *fakePlatform, services netip.AddrPort, perZone int, prefix string) []*testProcess {
 	t.Helper()
-	var all []*member
+	var all []*testProcess
 	for _, zone := range []string{"z1", "z2"} {
 		for i := range perZone {
-			all = append(all, newMember(t, fmt.Sprintf("%s%s-%d", prefix, zone, i), zone, services))
+			all = append(all, newTestProcess(t, fmt.Sprintf("%s%s-%d", prefix, zone, i), zone, services))
 		}
 	}
 	p.change(func() {
@@ -142,7 +144,7 @@
 	return all
 }
 
-func awaitAll(t *testing.T, all []*member, revision uint64) {
+func awaitAll(t *testing.T, all []*testProcess, revision uint64) {
 	t.Helper()
 	for _, m := range all {
 		await(t, m.Watcher, revision)
--- a/io/process/watch/msgs.go
+++ b/io/process/watch/msgs.go
@@ -16,7 +16,7 @@
 func (*pullMsg) Kind() frame.Kind  { return "configPull" }
 func (*deltaMsg) Kind() frame.Kind { return "configDelta" }
 
-// kinds are the messages that a configuration connection carries.
+// kinds returns the messages of a configuration connection.
 func kinds() frame.Kinds {
 	k := frame.Kinds{}
 	k.Register(func() frame.Message { return &marksMsg{} })
--- a/io/process/watch/peer.go
+++ b/io/process/watch/peer.go
@@ -11,31 +11,34 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Bounds of the connections.
+// Limits of the connections.
 const (
-	// maxPeers bounds the connections; a process on its own asks elsewhere.
+	// maxPeers limits the connections of a process. A peer that is rejected
+	// connects to other processes.
 	maxPeers = 64
-	// maxOutgoing bounds the messages that wait for one peer. It holds a
-	// whole VM list in parts; a peer that lets it fill is cut.
+	// maxOutgoing limits the messages that are queued for one peer. It is
+	// enough for a whole VM list in parts. A peer whose queue is full is
+	// disconnected.
 	maxOutgoing = 128
-	// silentAfter is how long a peer may say nothing. Peers speak once in
-	// each exchange; a connection that something between the two ends has
-	// lost track of brings no error, only silence, and is replaced.
-	silentAfter = 5 * exchange
+	// silenceTimeout is how long a peer may send nothing. Peers send once in
+	// each exchangeInterval. If a device between the two ends has dropped the
+	// connection's state, there is no error, only silence, and the connection
+	// has to be replaced.
+	silenceTimeout = 5 * exchangeInterval
 )
 
-// peerConn is one connection to a peer. dialed is the address to which this
-// process has opened it; brief says that it need not stay. heard and joined
-// belong to the loop.
+// peerConn is one connection to a peer. dialed is the address if this process
+// opened it. temporary is set if it may be closed once there are enough others.
+// Only the event loop uses lastReceived and connectedAt.
 type peerConn struct {
-	id     gossip.PeerID
-	link   *link.Conn
-	dialed netip.AddrPort
-	brief  bool
-	out    chan frame.Message
-	end    context.CancelFunc
-	heard  time.Time
-	joined time.Time
+	id           gossip.PeerID
+	link         *link.Conn
+	dialed       netip.AddrPort
+	temporary    bool
+	outgoing     chan frame.Message
+	cancel       context.CancelFunc
+	lastReceived time.Time
+	connectedAt  time.Time
 }
 
 // Handler serves the configuration connections of peers.
@@ -49,31 +52,32 @@
 
 // serve runs one connection until either end closes it.
 func (w *Watcher) serve(ctx context.Context, p *peerConn) {
-	ctx, p.end = context.WithCancel(ctx)
-	defer p.end()
-	p.out = make(chan frame.Message, maxOutgoing)
-	// A peer that does not read would keep the writer in Send for ever.
+	ctx, p.cancel = context.WithCancel(ctx)
+	defer p.cancel()
+	p.outgoing = make(chan frame.Message, maxOutgoing)
+	// Otherwise a peer that doesn't read would block the writer in Send for
+	// ever.
 	stop := context.AfterFunc(ctx, func() { p.link.Close() })
 	defer stop()
-	if !w.post(ctx, func(now time.Time) []gossip.Action { return w.join(p, now) }) {
+	if !w.post(ctx, func(now time.Time) []gossip.Action { return w.addConn(p, now) }) {
 		return
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { p.write(ctx) })
 	w.receive(ctx, p)
-	p.end()
+	p.cancel()
 	p.link.Close()
 	wg.Wait()
-	w.post(context.Background(), func(now time.Time) []gossip.Action { return w.leave(p, now) })
+	w.post(context.Background(), func(now time.Time) []gossip.Action { return w.removeConn(p, now) })
 }
 
 func (p *peerConn) write(ctx context.Context) {
-	defer p.end()
+	defer p.cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-p.out:
+		case m := <-p.outgoing:
 			if p.link.Send(m) != nil {
 				return
 			}
@@ -93,29 +97,29 @@
 	}
 }
 
-// join adds a connection; over the bound it is closed.
-func (w *Watcher) join(p *peerConn, now time.Time) []gossip.Action {
-	delete(w.dialer.dialingTo, p.dialed)
+// addConn adds a connection, or closes it if there are maxPeers already.
+func (w *Watcher) addConn(p *peerConn, now time.Time) []gossip.Action {
+	delete(w.dialer.dialing, p.dialed)
 	if len(w.conns) >= maxPeers {
-		p.end()
+		p.cancel()
 		return nil
 	}
 	w.nextID++
 	p.id = w.nextID
-	p.heard = now
-	p.joined = now
+	p.lastReceived = now
+	p.connectedAt = now
 	w.conns[p.id] = p
 	return w.node.Connected(p.id, p.link.Peer.VM.Zone, now)
 }
 
-func (w *Watcher) leave(p *peerConn, now time.Time) []gossip.Action {
+func (w *Watcher) removeConn(p *peerConn, now time.Time) []gossip.Action {
 	if w.conns[p.id] != p {
 		return nil
 	}
 	delete(w.conns, p.id)
 	w.countBytes(p)
 	if p.dialed.IsValid() {
-		w.backOff(p.dialed, now.Sub(p.joined), now)
+		w.scheduleRedial(p.dialed, now.Sub(p.connectedAt), now)
 	}
 	out := w.node.Gone(p.id, now)
 	w.connect(now)
@@ -126,7 +130,7 @@
 	if w.conns[p.id] != p {
 		return nil
 	}
-	p.heard = now
+	p.lastReceived = now
 	switch m := m.(type) {
 	case *marksMsg:
 		return w.node.Marks(p.id, m.Marks, now)
@@ -138,38 +142,39 @@
 	return nil
 }
 
-// send queues a message; it never waits, since the loop serves all peers.
+// send queues a message. It never blocks, because the event loop serves all
+// peers.
 func (w *Watcher) send(id gossip.PeerID, m frame.Message) {
 	p, ok := w.conns[id]
 	if !ok {
 		return
 	}
 	select {
-	case p.out <- m:
+	case p.outgoing <- m:
 	default:
-		p.end()
+		p.cancel()
 	}
 }
 
-// closeSilent ends the connections from which nothing has come for long. A
-// process that was paused itself has heard nobody: it gives its peers a new
-// term instead of cutting all of them at once.
+// closeSilent closes the connections on which nothing has been received for
+// silenceTimeout. If this process was paused itself, it restarts the timeouts
+// instead of closing all connections at once.
 func (w *Watcher) closeSilent(now time.Time) {
-	paused := now.Sub(w.last) > silentAfter/2
-	w.last = now
+	paused := now.Sub(w.lastTick) > silenceTimeout/2
+	w.lastTick = now
 	for _, p := range w.conns {
 		if paused {
-			p.heard = now
+			p.lastReceived = now
 		}
-		if now.Sub(p.heard) > silentAfter {
-			p.end()
+		if now.Sub(p.lastReceived) > silenceTimeout {
+			p.cancel()
 		}
 	}
 }
 
 func (w *Watcher) closeAll() {
 	for _, p := range w.conns {
-		p.end()
+		p.cancel()
 	}
 }
 
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -18,78 +18,82 @@
 
 // Pauses between reads of the platform.
 const (
-	// startSpread spreads the first reads of processes that start together.
-	startSpread = 500 * time.Millisecond
-	readBase    = 200 * time.Millisecond
-	// readMax is how long the news of a service that has come back may wait;
-	// it is the readers alone that ask, so it can be short.
-	readMax = 2 * time.Second
-	// readPause parts two reads of a reader, so that a burst of promotions,
-	// or a service that does not hold a waiting read, cannot make it spin.
+	// startSpread is the range of the random delay before the first read, so
+	// that processes that start together don't read at once.
+	startSpread   = 500 * time.Millisecond
+	readRetryBase = 200 * time.Millisecond
+	// readRetryMax bounds the delay until a service that has come back is read
+	// again. It can be short, because only the readers retry.
+	readRetryMax = 2 * time.Second
+	// readPause is the pause between two reads, so that a burst of promotions,
+	// or a service that doesn't hold a waiting read, can't make a reader spin.
 	readPause = 100 * time.Millisecond
-	// vmPause is the pause between two reads of the VM list by one reader; a
-	// zone has three, so its list is about a second old on average.
-	vmPause = gossip.Readers * time.Second
-	// vmBudget is the bytes a second that a reader may draw from the VM list
-	// during its turn; a longer list is read less often.
-	vmBudget = 512 << 10
+	// vmReadPause is the mean pause between two reads of the VM list by one
+	// reader. A zone has three readers, so its list is about a second old on
+	// average.
+	vmReadPause = gossip.Readers * time.Second
+	// vmListBytesPerSecond limits the bandwidth that a reader uses for the VM
+	// list. A list that is too long for it is read less often.
+	vmListBytesPerSecond = 512 << 10
 )
 
-// feed is what a reading goroutine and the loop share.
-type feed struct {
-	service *service
-	reads   atomic.Bool
+// readerState is shared by a reading goroutine and the event loop. reading is
+// set while this process is a reader. held and refused are the highest
+// revisions that were adopted and refused. wake wakes the goroutine.
+type readerState struct {
+	fetcher *fetcher
+	reading atomic.Bool
 	held    atomic.Uint64
 	refused atomic.Uint64
-	turn    chan struct{}
-	// told is the reason of the last failure that was logged; it belongs to
-	// the reading goroutine.
-	told string
+	wake    chan struct{}
+	// lastLogged is the reason of the last failure that was logged. Only the
+	// reading goroutine uses it.
+	lastLogged string
 }
 
-// set says whether this process reads, and wakes the goroutine if so.
-func (f *feed) set(reads bool) {
-	f.reads.Store(reads)
-	if !reads {
+// setReading sets whether this process reads, and wakes the goroutine if so.
+func (f *readerState) setReading(reading bool) {
+	f.reading.Store(reading)
+	if !reading {
 		return
 	}
 	select {
-	case f.turn <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// await returns once this process is to read, or ctx has ended. A process
-// that holds nothing reads whatever its rank: it has only just started.
-func (f *feed) await(ctx context.Context) {
-	for !f.reads.Load() && f.held.Load() > 0 && ctx.Err() == nil {
+// awaitReading returns once this process is a reader or ctx has ended. A
+// process that has just started and holds nothing reads in any case.
+func (f *readerState) awaitReading(ctx context.Context) {
+	for !f.reading.Load() && f.held.Load() > 0 && ctx.Err() == nil {
 		select {
-		case <-f.turn:
+		case <-f.wake:
 		case <-ctx.Done():
 		}
 	}
 }
 
-// after is the revision above which a document is asked for. A refused one
-// counts: the service would answer with it again at once.
-func (f *feed) after() uint64 { return max(f.held.Load(), f.refused.Load()) }
+// after returns the revision above which to request a document. Refused
+// revisions count, because the service would return them again at once.
+func (f *readerState) after() uint64 { return max(f.held.Load(), f.refused.Load()) }
 
-// readDocuments reads once at the start, since the peers may be behind, and
-// then while this process is a reader.
+// readDocuments reads the document once at the start, since the peers may be
+// behind, and then while this process is a reader.
 func (w *Watcher) readDocuments(ctx context.Context) {
 	if !w.Config.IsValid() {
 		return
 	}
-	s := w.docs.service
+	s := w.documents.fetcher
 	defer s.close()
-	back := retry.Backoff{Base: readBase, Max: readMax}
-	w.spread(ctx)
+	backoff := retry.Backoff{Base: readRetryBase, Max: readRetryMax}
+	w.delayStart(ctx)
 	for first := true; ctx.Err() == nil; first = false {
 		if !first {
-			w.docs.await(ctx)
+			w.documents.awaitReading(ctx)
 		}
-		after, wait := w.docs.after(), watchWait
-		if !w.docs.reads.Load() {
+		after, wait := w.documents.after(), watchWait
+		if !w.documents.reading.Load() {
 			wait = 0
 		}
 		text, revision, err := s.document(ctx, w.Environment, after, wait)
@@ -97,24 +101,25 @@
 		pause := readPause
 		switch {
 		case err == nil && revision > after:
-			back.Reset()
-			w.docs.told = ""
+			backoff.Reset()
+			w.documents.lastLogged = ""
 			w.readDocument(ctx, revision, text)
 		case err == nil && revision == 0:
-			back.Reset()
-			w.docs.told = ""
+			backoff.Reset()
+			w.documents.lastLogged = ""
 		default:
-			w.readFailed(ctx, err, revision, after)
-			pause = back.Next(random())
+			w.logReadFailure(ctx, err, revision, after)
+			pause = backoff.Next(random())
 		}
 		w.sleep(ctx, pause)
 	}
 }
 
-// readFailed tells of a read that brought nothing. A service that answers
-// with a revision that is not above the asked one is stale. The service may
-// be down or stale for long: each reason is logged once, and counted always.
-func (w *Watcher) readFailed(ctx context.Context, err error, revision, after uint64) {
+// logReadFailure logs a read that brought nothing new: it failed, or the
+// service is behind and returned a revision that is not above the requested
+// one. As that may last, each reason is logged only once; the counters count
+// every time.
+func (w *Watcher) logReadFailure(ctx context.Context, err error, revision, after uint64) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -123,17 +128,17 @@
 		d.Action, d.Reason = "readFailed", err.Error()
 		w.Metrics.Counter("config_read_errors").Inc(1)
 	} else {
-		d.Reason = fmt.Sprintf("the service is behind: %d is held", after)
+		d.Reason = fmt.Sprintf("the service is behind: want a revision above %d", after)
 		w.Metrics.Counter("config_ignored").Inc(1)
 	}
-	if d.Reason != w.docs.told {
-		w.docs.told = d.Reason
+	if d.Reason != w.documents.lastLogged {
+		w.documents.lastLogged = d.Reason
 		w.Log.Decide(d)
 	}
 }
 
-// readDocument hands a document that was read to the loop and waits until
-// it has been taken or refused, so that the next read asks above it.
+// readDocument passes a document to the event loop and waits until it has been
+// adopted or refused, so that the next read requests a revision above it.
 func (w *Watcher) readDocument(ctx context.Context, revision uint64, text []byte) {
 	f := inidoc.Parse(w.Environment, text)
 	s, err := gossip.EncodeDocument(revision, f.Contents())
@@ -147,7 +152,7 @@
 			return []gossip.Action{gossip.Refuse{Topic: gossip.TopicDocument, Mark: gossip.Mark{Version: revision}, Err: err}}
 		}
 		w.setService(revision)
-		w.perform(w.node.Read(gossip.TopicDocument, s, now))
+		w.performActions(w.node.Read(gossip.TopicDocument, s, now))
 		return nil
 	})
 	select {
@@ -156,49 +161,50 @@
 	}
 }
 
-// readVMs reads once at the start and then while this process is a reader.
+// readVMs reads the VM list once at the start and then while this process is a
+// reader.
 func (w *Watcher) readVMs(ctx context.Context) {
 	if !w.VMList.IsValid() {
 		return
 	}
-	s := w.list.service
+	s := w.vmList.fetcher
 	defer s.close()
-	back := retry.Backoff{Base: readBase, Max: readMax}
-	var o gossip.Observer
-	w.spread(ctx)
+	backoff := retry.Backoff{Base: readRetryBase, Max: readRetryMax}
+	var observer gossip.Observer
+	w.delayStart(ctx)
 	for first := true; ctx.Err() == nil; first = false {
 		if !first {
-			w.list.await(ctx)
+			w.vmList.awaitReading(ctx)
 		}
 		vms, size, err := s.vms(ctx)
 		w.Metrics.Counter("vmlist_reads").Inc(1)
 		if err != nil {
 			w.Metrics.Counter("vmlist_read_errors").Inc(1)
-			w.sleep(ctx, back.Next(random()))
+			w.sleep(ctx, backoff.Next(random()))
 			continue
 		}
-		w.observe(ctx, &o, vms)
+		w.observeVMs(ctx, &observer, vms)
 		if len(vms) == 0 {
-			w.sleep(ctx, back.Next(random()))
+			w.sleep(ctx, backoff.Next(random()))
 			continue
 		}
-		back.Reset()
+		backoff.Reset()
 		w.sleep(ctx, vmInterval(size, random()))
 	}
 }
 
-// vmInterval is the pause after a list of size bytes, drawn around its mean
-// so that the readers of a zone do not read in step.
+// vmInterval returns the pause after a list of the given size. It is randomized
+// so that the readers of a zone don't read at the same time.
 func vmInterval(size int, random float64) time.Duration {
-	mean := max(vmPause, time.Duration(size)*time.Second/vmBudget)
+	mean := max(vmReadPause, time.Duration(size)*time.Second/vmListBytesPerSecond)
 	return mean/2 + time.Duration(random*float64(mean))
 }
 
-func (w *Watcher) observe(ctx context.Context, o *gossip.Observer, vms []fleet.VM) {
+func (w *Watcher) observeVMs(ctx context.Context, observer *gossip.Observer, vms []fleet.VM) {
 	done := make(chan struct{})
 	w.post(ctx, func(now time.Time) []gossip.Action {
 		defer close(done)
-		next, changed, err := o.Observe(w.node.Held(gossip.TopicVMs), vms)
+		next, changed, err := observer.Observe(w.node.Held(gossip.TopicVMs), vms)
 		if err != nil {
 			return []gossip.Action{gossip.Refuse{Topic: gossip.TopicVMs, Err: err}}
 		}
@@ -213,13 +219,14 @@
 	}
 }
 
-// spread waits a part of startSpread when there are peers to ask meanwhile.
-func (w *Watcher) spread(ctx context.Context) {
+// delayStart sleeps for a random part of startSpread if there are seeds, from
+// which the state may come in the meantime.
+func (w *Watcher) delayStart(ctx context.Context) {
 	if len(w.Seeds) > 0 {
 		w.sleep(ctx, time.Duration(random()*float64(startSpread)))
 	}
 }
 
-func wrongEnvironment(got, want string) error {
-	return fault.At("check document", "", errors.Newf("it is of environment %q, want %q", got, want))
+func environmentMismatch(got, want string) error {
+	return fault.At("check document", "", errors.Newf("document is for environment %q, want %q", got, want))
 }
--- a/io/process/watch/stats.go
+++ b/io/process/watch/stats.go
@@ -4,12 +4,13 @@
 	"hawthornferry/core/process/gossip"
 )
 
-// Stats says how the configuration gets here, for the administration API.
-// Service is the highest revision that this process has read itself, Refused
-// the highest that was refused and Fault why, Conflict the revision in force
-// when it was given to other content as well. Received and Sent are bytes
-// over all configuration connections so far, Platform those of documents and
-// VM lists that this process has read itself.
+// Stats describes the distribution of the configuration, for the administration
+// API. Service is the revision that this process has last read from the service
+// itself. Refused is the revision that was last refused, and Fault the reason.
+// Conflict is the revision in force when another document with the same
+// revision was received. Received and Sent are the total bytes of all
+// configuration connections, Platform those of the documents and VM lists that
+// this process has read itself.
 type Stats struct {
 	Revision    uint64
 	Service     uint64
@@ -24,7 +25,8 @@
 	Platform    uint64
 }
 
-// Stats returns the latest figures; they are taken once in each exchange.
+// Stats returns the latest statistics, which are updated once in each
+// exchangeInterval.
 func (w *Watcher) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,14 +46,14 @@
 	w.stats.Fault = reason
 }
 
-// countBytes adds a connection that has ended to the totals.
+// countBytes adds the bytes of a connection that has ended to the totals.
 func (w *Watcher) countBytes(p *peerConn) {
 	w.closedReceived += p.link.Received()
 	w.closedSent += p.link.Sent()
 }
 
-// record takes the figures of this exchange.
-func (w *Watcher) record() {
+// updateStats updates the statistics and the gauges.
+func (w *Watcher) updateStats() {
 	received, sent := w.closedReceived, w.closedSent
 	for _, p := range w.conns {
 		received += p.link.Received()
@@ -62,11 +64,11 @@
 	w.stats.Revision = w.node.Held(gossip.TopicDocument).Mark.Version
 	w.stats.ListVersion = w.node.Held(gossip.TopicVMs).Mark.Version
 	w.stats.Conflict = w.node.Conflict(gossip.TopicDocument)
-	w.stats.Reader = w.docs.reads.Load()
+	w.stats.Reader = w.documents.reading.Load()
 	w.stats.Peers = len(w.conns)
 	w.stats.Received = received
 	w.stats.Sent = sent
-	w.stats.Platform = w.docs.service.read.Load() + w.list.service.read.Load()
+	w.stats.Platform = w.documents.fetcher.bytesRead.Load() + w.vmList.fetcher.bytesRead.Load()
 	w.Metrics.Gauge("config_revision").Update(float64(w.stats.Revision))
 	w.Metrics.Gauge("config_peers").Update(float64(w.stats.Peers))
 	w.Metrics.Gauge("config_received_bytes").Update(float64(received))
--- a/io/process/watch/watch.go
+++ b/io/process/watch/watch.go
@@ -1,6 +1,8 @@
-// Package watch keeps the configuration in force and the VM list of a
-// process up to date: it carries out what package gossip decides.
-// doc/config-propagation.md tells operators how.
+// Package watch keeps the configuration document and the VM list of a process
+// up to date. It reads both from the platform and exchanges them with peers;
+// package gossip decides which state to adopt, what to send and which processes
+// read. Package host runs a Watcher in each process. doc/config-propagation.md
+// describes it for operators.
 package watch
 
 import (
@@ -22,18 +24,19 @@
 	"hawthornferry/io/conn/link"
 )
 
-// exchange is how often peers tell each other what they hold. It bounds how
-// long a lost message can keep a process behind, and must leave room under
-// the 3 s in which a configuration is in force everywhere.
-const exchange = time.Second
+// exchangeInterval is how often peers tell each other which revisions they
+// hold. A lost message can keep a process behind for that long, so it must be
+// well below the 3 s within which a configuration has to be in force
+// everywhere.
+const exchangeInterval = time.Second
 
-// maxEvents bounds the events that wait for the loop; connections that bring
-// more wait in turn, and their peers with them.
+// maxEvents is the size of the event loop's queue. Connections that bring more
+// events block, and so do their peers.
 const maxEvents = 256
 
-// Watcher learns the document in force and the VM list, and is the
-// view.Source of its process. Set the exported fields before Run. Config and
-// VMList may be invalid: the process then depends on its peers alone.
+// Watcher keeps the document in force and the VM list up to date, and is the
+// view.Source of its process. Set the exported fields before Run. If Config and
+// VMList are invalid addresses, the process depends on its peers alone.
 type Watcher struct {
 	Self        *link.Self
 	Clock       clockwork.Clock
@@ -44,21 +47,21 @@
 	VMList      netip.AddrPort
 	Seeds       []netip.AddrPort
 
-	once    sync.Once
-	events  chan event
-	stopped chan struct{}
-	// lastAhead is when a peer that is ahead was last asked.
-	lastAhead atomic.Int64
-
-	// These belong to the loop.
-	node    gossip.Node
-	conns   map[gossip.PeerID]*peerConn
-	nextID  gossip.PeerID
-	dialer  dialer
-	last    time.Time
-	members []string
-	// accepted and acceptedVMs passed the node's last check of a document and
-	// of a VM list; the node adopts them right after.
+	initOnce sync.Once
+	events   chan event
+	stopped  chan struct{}
+	// lastAheadDial is when peerAhead last acted, in Unix nanoseconds.
+	lastAheadDial atomic.Int64
+
+	// Only the event loop uses the fields from here to closedSent.
+	node     gossip.Node
+	conns    map[gossip.PeerID]*peerConn
+	nextID   gossip.PeerID
+	dialer   dialer
+	lastTick time.Time
+	zoneVMs  []string
+	// accepted and acceptedVMs are the last document and VM list that accept
+	// validated. The node adopts them right afterwards.
 	accepted    *envdoc.Document
 	acceptedVMs []fleet.VM
 	decoder     gossip.VMs
@@ -66,8 +69,8 @@
 	closedReceived uint64
 	closedSent     uint64
 
-	docs feed
-	list feed
+	documents readerState
+	vmList    readerState
 
 	mu      sync.Mutex
 	view    view.View
@@ -77,24 +80,23 @@
 
 var _ view.Source = (*Watcher)(nil)
 
-// event is something that happened; the loop runs it and then carries out
-// the actions that it returns.
+// event is run by the event loop, which then performs the returned actions.
 type event func(now time.Time) []gossip.Action
 
 func (w *Watcher) init() {
-	w.once.Do(func() {
+	w.initOnce.Do(func() {
 		w.events = make(chan event, maxEvents)
 		w.stopped = make(chan struct{})
 		w.conns = map[gossip.PeerID]*peerConn{}
 		w.dialer.retries = map[netip.AddrPort]*redial{}
-		w.dialer.dialingTo = map[netip.AddrPort]bool{}
+		w.dialer.dialing = map[netip.AddrPort]bool{}
 		w.node.Zone = w.Self.VM.Zone
 		w.node.Accept = w.accept
-		w.docs.service = newService(w.Config)
-		w.list.service = newService(w.VMList)
-		w.docs.turn = make(chan struct{}, 1)
-		w.list.turn = make(chan struct{}, 1)
-		w.Self.NotifyAhead(w.ahead)
+		w.documents.fetcher = newFetcher(w.Config)
+		w.vmList.fetcher = newFetcher(w.VMList)
+		w.documents.wake = make(chan struct{}, 1)
+		w.vmList.wake = make(chan struct{}, 1)
+		w.Self.NotifyAhead(w.peerAhead)
 	})
 }
 
@@ -103,7 +105,7 @@
 	w.init()
 	now := w.Clock.Now()
 	w.node.Start(now)
-	w.last = now
+	w.lastTick = now
 	var wg sync.WaitGroup
 	wg.Go(func() { w.readDocuments(ctx) })
 	wg.Go(func() { w.readVMs(ctx) })
@@ -114,7 +116,7 @@
 }
 
 func (w *Watcher) loop(ctx context.Context) {
-	ticker := w.Clock.NewTicker(exchange)
+	ticker := w.Clock.NewTicker(exchangeInterval)
 	defer ticker.Stop()
 	defer close(w.stopped)
 	w.connect(w.Clock.Now())
@@ -124,15 +126,15 @@
 			w.closeAll()
 			return
 		case e := <-w.events:
-			w.perform(e(w.Clock.Now()))
+			w.performActions(e(w.Clock.Now()))
 		case <-ticker.Chan():
 			w.tick(w.Clock.Now())
 		}
 	}
 }
 
-// post hands an event to the loop. It reports false when ctx or the loop has
-// ended.
+// post passes an event to the event loop. It returns false if ctx or the loop
+// has ended.
 func (w *Watcher) post(ctx context.Context, e event) bool {
 	select {
 	case w.events <- e:
@@ -146,20 +148,20 @@
 
 func (w *Watcher) tick(now time.Time) {
 	w.closeSilent(now)
-	w.elect(now)
-	w.perform(w.node.Tick(now))
+	w.electReader(now)
+	w.performActions(w.node.Tick(now))
 	w.connect(now)
-	w.record()
+	w.updateStats()
 }
 
-// elect decides whether this process reads the platform.
-func (w *Watcher) elect(now time.Time) {
-	reads := w.node.IsReader(w.Self.VM.Name, w.members, now)
+// electReader decides whether this process reads from the platform.
+func (w *Watcher) electReader(now time.Time) {
+	reads := w.node.IsReader(w.Self.VM.Name, w.zoneVMs, now)
 	if reads {
 		w.node.Reading(now)
 	}
-	w.docs.set(reads)
-	w.list.set(reads)
+	w.documents.setReading(reads)
+	w.vmList.setReading(reads)
 }
 
 // Current returns the view in force.
@@ -179,14 +181,15 @@
 	return w.changed
 }
 
-// ahead is told of a peer that has shown a higher revision, on a connection
-// of whatever purpose, and asks that peer. Without it a process whose
-// configuration connections all lead to others that are behind would wait for
-// them, while a caller's connection already shows that there is more.
-func (w *Watcher) ahead(peer fleet.VM, revision uint64) {
+// peerAhead is called when a peer has shown a higher revision on a connection
+// for any purpose, and connects to that peer. Otherwise a process whose
+// configuration connections all lead to processes that are behind would wait
+// for these, although a caller's connection already shows that there is a newer
+// revision.
+func (w *Watcher) peerAhead(peer fleet.VM, revision uint64) {
 	now := w.Clock.Now().UnixNano()
-	last := w.lastAhead.Load()
-	if now-last < int64(exchange) || !w.lastAhead.CompareAndSwap(last, now) {
+	last := w.lastAheadDial.Load()
+	if now-last < int64(exchangeInterval) || !w.lastAheadDial.CompareAndSwap(last, now) {
 		return
 	}
 	ask := func(now time.Time) []gossip.Action {
@@ -201,7 +204,7 @@
 	}
 }
 
-// update changes the view and tells all who wait in Changed.
+// update changes the view and closes the channel of Changed.
 func (w *Watcher) update(change func(*view.View)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -212,8 +215,8 @@
 	}
 }
 
-// zoneMembers are the names of the zone's live VMs.
-func zoneMembers(vms []fleet.VM, zone string) []string {
+// liveVMsInZone returns the names of the zone's live VMs.
+func liveVMsInZone(vms []fleet.VM, zone string) []string {
 	var names []string
 	for _, v := range vms {
 		if v.Zone == zone && v.State == fleet.StateLive {
@@ -230,5 +233,5 @@
 	}
 }
 
-// random is from 0 up to 1; it only spreads retries in time.
+// random returns a number in [0, 1). It is only used to spread retries.
 func random() float64 { return rand.Float64() }
--- a/io/process/watch/watch_test.go
+++ b/io/process/watch/watch_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// await waits until the watcher holds revision; the test's own end is the
-// only bound.
+// await waits until the watcher holds the revision, or fails when the test's
+// context ends.
 func await(t *testing.T, w *Watcher, revision uint64) {
 	t.Helper()
 	for {
@@ -82,7 +82,7 @@
 	}
 	for _, m := range all {
 		if got := m.log.inForce(); !slices.IsSorted(got) {
-			t.Errorf("%s put %v in force, want rising revisions", m.Self.VM.Name, got)
+			t.Errorf("%s put %v in force, want increasing revisions", m.Self.VM.Name, got)
 		}
 	}
 }
