--- a/io/process/feed/feed.go
+++ b/io/process/feed/feed.go
@@ -255,6 +255,8 @@
 // followUpstreams follows the upstreams one after the other, each until it
 // fails. It reports whether one of them has only just started.
 func (f *Feed) followUpstreams(ctx context.Context) (starting bool) {
+	// The upstreams are left alone for a while after none of them reported,
+	// unless the store must not be called either.
 	resting := f.Clock.Now().Before(f.nextUpstreamTry) && !f.Clock.Now().Before(f.nextStoreCall)
 	if f.Tellers == nil || resting {
 		return false
@@ -280,6 +282,8 @@
 	return starting
 }
 
+// retryPause returns the randomized pause after the given number of failures in
+// a row; it doubles up to retryMax.
 func retryPause(fails int) time.Duration {
 	bound := min(retryBase<<min(fails, 8), retryMax)
 	return bound/2 + rand.N(bound/2)
--- a/io/process/feed/outage.go
+++ b/io/process/feed/outage.go
@@ -3,9 +3,10 @@
 import "time"
 
 // recordStoreAnswer records that the store answered a call that normally takes
-// at most most, and whether it has come back after an outage. That is so if no
-// process is known to have reached it for longer than that, or an upstream went
-// on replying after it had lost the store. f.mu must be held.
+// at most maxDuration, and whether it has come back after an outage. That is so
+// if no process is known to have reached it for minOutage longer than that, or
+// if an upstream replied minOutage or more after the store was last known to be
+// up. f.mu must be held.
 func (f *Feed) recordStoreAnswer(maxDuration time.Duration) {
 	now := f.Awake()
 	if f.known && (now-f.storeUpUntil > maxDuration+minOutage || f.upstreamRepliedAt-f.storeUpUntil > minOutage) {
@@ -29,9 +30,10 @@
 }
 
 // discountSilence is called when the attempt to follow upstreams that began at
-// the given time has ended. While upstreams are silent nothing is known of the
-// store, so that time must not count as an outage: a target that had left was
-// used on as one that may register again.
+// the given time has ended. It adds the time since the last reply to
+// storeUpUntil and upstreamRepliedAt. While upstreams are silent nothing is
+// known of the store, so that time must not count as an outage: a target that
+// had left was used on as one that may register again.
 func (f *Feed) discountSilence(began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/io/process/feed/query.go
+++ b/io/process/feed/query.go
@@ -163,38 +163,38 @@
 	if err := c.Send(&factsRequest{After: after, Wait: wait}); err != nil {
 		return nil, err
 	}
-	whole, err := receiveReply(c)
+	reply, err := receiveReply(c)
 	if err != nil {
 		return nil, err
 	}
-	f.adoptReply(asked, wait > 0, c.Peer.VM.Name, whole)
-	return whole, nil
+	f.adoptReply(asked, wait > 0, c.Peer.VM.Name, reply)
+	return reply, nil
 }
 
 // receiveReply receives and joins the parts of one reply.
 func receiveReply(c *link.Conn) (*factsReply, error) {
-	whole := &factsReply{}
-	for !whole.Last {
+	reply := &factsReply{}
+	for !reply.Last {
 		m, err := c.Receive()
 		if err != nil {
 			return nil, err
 		}
-		t, ok := m.(*factsReply)
+		part, ok := m.(*factsReply)
 		if !ok {
 			return nil, errors.Newf("reply is a %s message, want factsTell", m.Kind())
 		}
-		if t.Items, err = unpackItems(t.Packed); err != nil {
+		if part.Items, err = unpackItems(part.Packed); err != nil {
 			return nil, err
 		}
-		if len(t.Announced) == 0 {
-			t.Announced = whole.Announced
+		if len(part.Announced) == 0 {
+			part.Announced = reply.Announced
 		}
-		t.Away, t.StoreLost = t.Away || whole.Away, t.StoreLost || whole.StoreLost
-		t.Items = append(whole.Items, t.Items...)
-		t.Keys = append(whole.Keys, t.Keys...)
-		whole = t
+		part.Away, part.StoreLost = part.Away || reply.Away, part.StoreLost || reply.StoreLost
+		part.Items = append(reply.Items, part.Items...)
+		part.Keys = append(reply.Keys, part.Keys...)
+		reply = part
 	}
-	return whole, nil
+	return reply, nil
 }
 
 // Reasons to stop following an upstream.
@@ -220,17 +220,17 @@
 			return err
 		}
 		asked := f.Awake()
-		t, err := f.exchange(c, f.TellWait)
+		reply, err := f.exchange(c, f.TellWait)
 		if err != nil {
 			return err
 		}
-		if t.StoreLost {
+		if reply.StoreLost {
 			return errUpstreamLostStore
 		}
-		if !t.Known {
+		if !reply.Known {
 			return errUpstreamEmpty
 		}
-		if age := f.Awake() - asked + t.Age; age > 2*f.TellWait+upstreamAgeMargin {
+		if age := f.Awake() - asked + reply.Age; age > 2*f.TellWait+upstreamAgeMargin {
 			return errUpstreamStale
 		}
 	}
@@ -239,41 +239,43 @@
 
 // adoptReply applies a peer's reply to a request sent at asked. waited is set
 // if the request waited for a change.
-func (f *Feed) adoptReply(asked time.Duration, waited bool, peer string, t *factsReply) {
-	if !t.Known {
+func (f *Feed) adoptReply(asked time.Duration, waited bool, peer string, reply *factsReply) {
+	if !reply.Known {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := naming.Reply{Asked: asked, Got: f.Awake(), Waited: waited, Away: t.Away}
-	f.mergeAnnouncements(r, t.Announced)
-	f.recordPeerReply(waited, t.Age)
-	since := r.Since(t.Age)
-	if !f.contact().Adopts(since, t.At) {
+	r := naming.Reply{Asked: asked, Got: f.Awake(), Waited: waited, Away: reply.Away}
+	f.mergeAnnouncements(r, reply.Announced)
+	f.recordPeerReply(waited, reply.Age)
+	since := r.Since(reply.Age)
+	if !f.contact().Adopts(since, reply.At) {
 		return
 	}
-	if t.At > f.revision {
-		f.applyReply(t)
+	if reply.At > f.revision {
+		f.applyReply(reply)
 	}
 	if age := f.Awake() - f.confirmed; !f.known || age > f.Wait+watchSlack {
-		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + t.Age.String(), Revision: t.At})
+		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + reply.Age.String(), Revision: reply.At})
 	}
-	f.confirm(since, t.At)
+	f.confirm(since, reply.At)
 }
 
-func (f *Feed) applyReply(t *factsReply) {
-	if t.Changes {
-		f.apply(t.Items, naming.Moment{})
+// applyReply applies the items of a reply with a higher revision. f.mu must be
+// held.
+func (f *Feed) applyReply(reply *factsReply) {
+	if reply.Changes {
+		f.apply(reply.Items, naming.Moment{})
 		return
 	}
-	present := make(map[string]bool, len(t.Keys))
-	for _, k := range t.Keys {
+	present := make(map[string]bool, len(reply.Keys))
+	for _, k := range reply.Keys {
 		present[k] = true
 	}
-	items := t.Items
+	items := reply.Items
 	for key := range f.items {
 		if !present[key] {
-			items = append(items, Item{Key: key, Revision: t.At, Deleted: true})
+			items = append(items, Item{Key: key, Revision: reply.At, Deleted: true})
 		}
 	}
 	f.apply(items, naming.Moment{})
--- a/io/process/feed/relay.go
+++ b/io/process/feed/relay.go
@@ -25,7 +25,8 @@
 	// peersPerRound is how many peers are asked at a time: one of them may be
 	// disconnected itself.
 	peersPerRound = 2
-	// maxPollWait bounds how long a request may wait for a change.
+	// maxPollWait bounds how long a request may wait for a change, and how long
+	// a connection is kept without a request.
 	maxPollWait = 10 * time.Second
 	// upstreamPauseDefault is how long a process without StoreRest calls the
 	// store before it tries its upstreams again after none of them reported:
@@ -150,12 +151,12 @@
 	}
 }
 
-func (f *Feed) sendReply(c *link.Conn, t *factsReply) error {
+func (f *Feed) sendReply(c *link.Conn, part *factsReply) error {
 	var err error
-	if t.Packed, err = packItems(t.Items); err != nil {
+	if part.Packed, err = packItems(part.Items); err != nil {
 		return err
 	}
-	return c.Send(t)
+	return c.Send(part)
 }
 
 // awaitChange returns once there is a newer revision than the requester holds,
--- a/io/process/feed/removals_test.go
+++ b/io/process/feed/removals_test.go
@@ -71,13 +71,13 @@
 
 // pullFromPeer makes f apply the reply of a peer.
 func pullFromPeer(f, peer *Feed) {
-	whole := &factsReply{}
-	for _, t := range peer.buildReply(&factsRequest{After: f.revision}) {
-		t.Items = append(whole.Items, t.Items...)
-		t.Keys = append(whole.Keys, t.Keys...)
-		whole = t
+	reply := &factsReply{}
+	for _, part := range peer.buildReply(&factsRequest{After: f.revision}) {
+		part.Items = append(reply.Items, part.Items...)
+		part.Keys = append(reply.Keys, part.Keys...)
+		reply = part
 	}
-	f.adoptReply(f.Awake(), false, "peer", whole)
+	f.adoptReply(f.Awake(), false, "peer", reply)
 }
 
 // A process is disconnected while more targets leave than removals are
--- a/io/process/feed/upstream_test.go
+++ b/io/process/feed/upstream_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// An entry that has lost the store asks two peers, the first of which is
+// An entry that has lost the store asks two peers, one of which is
 // unresponsive. They must be asked in parallel: the second one, which knows of
 // a changed configuration, was asked only after the first had timed out.
 func TestUnresponsivePeerDelaysNoOther(t *testing.T) {
