--- a/core/request/place/candidates.go
+++ b/core/request/place/candidates.go
@@ -24,13 +24,13 @@
 )
 
 // exclusionOf returns why a target may not get the request, regardless of its load.
-func exclusionOf(now time.Time, s *service, t *target, w *Work) exclusion {
+func exclusionOf(now time.Time, s *service, t *target, w *Request) exclusion {
 	switch {
 	case t.Leaving:
 		return excludedLeaving
 	case now.Before(t.pausedUntil):
 		return excludedPaused
-	case slices.Contains(w.Avoid, t.ID):
+	case slices.Contains(w.FailedTargets, t.ID):
 		return excludedTried
 	case s.engine == nil:
 		return notExcluded
@@ -40,7 +40,7 @@
 		return excludedLoading
 	}
 	v := t.servedVersion(now, s.engine.Model)
-	if t.reportsLost(now) && v < w.Newest {
+	if t.reportsLost(now) && v < w.NewestVersion {
 		// The request may arrive when the old version may no longer begin it, long
 		// after its caller and this entry have given it up.
 		return excludedUnheard
@@ -54,7 +54,7 @@
 // candidates counts the targets of the service by what kept each from getting a refused
 // request. Without the counts, the log says only that a service was full, and not
 // whether its targets were busy, had failed or were about to leave.
-func (s *service) candidates(now time.Time, w *Work) trail.Candidates {
+func (s *service) candidates(now time.Time, w *Request) trail.Candidates {
 	searchedTargets := s.searchedTargets(now, w)
 	c := trail.Candidates{Targets: len(searchedTargets), Waiting: len(s.waiting)}
 	for _, t := range searchedTargets {
@@ -92,21 +92,21 @@
 }
 
 // Served is the model version that a target serves, 0 for none.
-type Served struct {
+type TargetVersion struct {
 	Service string
 	Address netip.AddrPort
 	Version uint64
 }
 
 // Served returns the versions that the targets of engine services serve.
-func (p *Placer) Served(now time.Time) []Served {
-	var out []Served
+func (p *Placer) TargetVersions(now time.Time) []TargetVersion {
+	var out []TargetVersion
 	for _, s := range p.services {
 		if s.engine == nil {
 			continue
 		}
 		for _, t := range s.all {
-			out = append(out, Served{Service: s.name, Address: t.Address, Version: t.servedVersion(now, s.engine.Model)})
+			out = append(out, TargetVersion{Service: s.name, Address: t.Address, Version: t.servedVersion(now, s.engine.Model)})
 		}
 	}
 	return out
--- a/core/request/place/candidates_test.go
+++ b/core/request/place/candidates_test.go
@@ -18,7 +18,7 @@
 	f.Targets[0].Leaving = true
 	p := testPlacer(f)
 	first := p.Offer(start, testWork("1"))[0]
-	p.Done(start, "1", ResultFailed)
+	p.RequestEnded(start, "1", ResultFailed)
 	for i := range 1 + plainQueueLength {
 		if v := p.Offer(start, testWork(fmt.Sprint("w", i)))[0]; v.Decision != Placed || v.Target.ID == first.Target.ID {
 			t.Fatalf("request %d: got %v, want it at the target that has not failed", i, decisions([]Verdict{v}))
@@ -44,9 +44,9 @@
 // the required one.
 func TestRefusalCountsEngineExclusions(t *testing.T) {
 	p := testPlacer(testFacts(usualEngine, 16, "a", "b", "c"))
-	p.Report(start, "a", Report{Alive: true, Busy: true, Serving: 1})
-	p.Report(start, "b", Report{})
-	p.Report(start, "c", Report{Alive: true, Serving: 1})
+	p.Report(start, "a", LoadReport{Alive: true, Loading: true, ServedVersion: 1})
+	p.Report(start, "b", LoadReport{})
+	p.Report(start, "c", LoadReport{Alive: true, ServedVersion: 1})
 	w := testWork("1")
 	w.Limits = []VersionLimit{{Version: 2, Until: start}}
 	got := p.Offer(start, w)
@@ -66,9 +66,9 @@
 func TestLateWorkIsNotRefusedAsFull(t *testing.T) {
 	const slots = 4
 	p := testPlacer(testFacts(usualEngine, slots, "a"))
-	p.Report(start, "a", Report{Alive: true, Serving: 1, Active: slots / 2})
+	p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1, Active: slots / 2})
 	w := testWork("1")
-	w.Asked = start.Add(-time.Second)
+	w.FirstRequestedAt = start.Add(-time.Second)
 	got := p.Offer(start, w)
 	if diff := cmp.Diff([]string{"1 refused noRoomForLate"}, decisions(got)); diff != "" {
 		t.Fatalf("decision (-want +got):\n%s", diff)
@@ -94,7 +94,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			p := testPlacer(testFacts(usualEngine, 16, "a"))
-			p.Report(start, "a", Report{Alive: true, Serving: 1})
+			p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1})
 			w := testWork("1")
 			w.Limits = []VersionLimit{{Version: 2, Until: start.Add(tc.left)}}
 			var got Decision
--- a/core/request/place/choose.go
+++ b/core/request/place/choose.go
@@ -89,26 +89,26 @@
 	p.active[q.work.ID] = r
 	s.recordPlacement(&q.work, true)
 	t.ownRequests++
-	t.unreadPrompt += q.work.Prompt
-	t.unreported = append(t.unreported, sentRequest{at: now, prompt: q.work.Prompt})
+	t.unreadPrompt += q.work.PromptTokens
+	t.unreported = append(t.unreported, sentRequest{at: now, prompt: q.work.PromptTokens})
 	var serving uint64
 	if s.engine != nil {
 		serving = t.servedVersion(now, s.engine.Model)
 	}
 	return Verdict{
-		Serving: serving,
-		ID:      q.work.ID, Decision: Placed, Target: t.Target,
-		Waited: now.Sub(q.since), Expected: o.expected, Load: t.load(now),
+		ServedVersion: serving,
+		ID:            q.work.ID, Decision: Placed, Target: t.Target,
+		Waited: now.Sub(q.since), ExpectedFirstAnswer: o.expected, Load: t.load(now),
 	}
 }
 
 // chooseTarget picks one of the targets with room whose cost is about the lowest.
-func (p *Placer) chooseTarget(now time.Time, s *service, w *Work) (option, bool) {
+func (p *Placer) chooseTarget(now time.Time, s *service, w *Request) (option, bool) {
 	return p.drawCheapest(s.openTo(now, w, func(*target) bool { return true }))
 }
 
 // openTo returns an option for each target that has room and satisfies suits.
-func (s *service) openTo(now time.Time, w *Work, suits func(t *target) bool) []option {
+func (s *service) openTo(now time.Time, w *Request, suits func(t *target) bool) []option {
 	var open []option
 	for _, t := range s.searchedTargets(now, w) {
 		if o, ok := s.optionAt(now, t, w); ok && suits(t) {
@@ -134,7 +134,7 @@
 
 // searchedTargets returns the targets to choose from: the entry's subset, or all
 // targets of the service if none in the subset is usable.
-func (s *service) searchedTargets(now time.Time, w *Work) []*target {
+func (s *service) searchedTargets(now time.Time, w *Request) []*target {
 	if len(s.subset) == len(s.all) || slices.ContainsFunc(s.subset, func(t *target) bool { return usable(now, s, t, w) }) {
 		return s.subset
 	}
@@ -143,12 +143,12 @@
 
 // outdated reports whether a target serves a version older than the newest. It is due
 // to load that one, and rejects requests that it has not begun by then.
-func (s *service) outdated(now time.Time, t *target, w *Work) bool {
-	return s.engine != nil && t.servedVersion(now, s.engine.Model) < w.Newest
+func (s *service) outdated(now time.Time, t *target, w *Request) bool {
+	return s.engine != nil && t.servedVersion(now, s.engine.Model) < w.NewestVersion
 }
 
 // optionAt returns the option of placing the request at a target, if that has room.
-func (s *service) optionAt(now time.Time, t *target, w *Work) (option, bool) {
+func (s *service) optionAt(now time.Time, t *target, w *Request) (option, bool) {
 	if !usable(now, s, t, w) {
 		return option{}, false
 	}
@@ -160,7 +160,7 @@
 	if t.reportsLost(now) {
 		cost += reportsLostPenalty
 	}
-	if w.Begun && s.outdated(now, t, w) {
+	if w.Resumed && s.outdated(now, t, w) {
 		cost += outdatedPenalty
 	}
 	return option{t, expected, cost}, true
@@ -168,7 +168,7 @@
 
 // beginsInTime reports whether the version that the target serves may still begin the
 // request at the estimated time of its first answer.
-func (s *service) beginsInTime(now time.Time, t *target, w *Work, expected time.Duration) bool {
+func (s *service) beginsInTime(now time.Time, t *target, w *Request, expected time.Duration) bool {
 	return s.engine == nil || w.mayBegin(t.servedVersion(now, s.engine.Model), now.Add(expected))
 }
 
@@ -182,12 +182,12 @@
 
 // usable reports whether nothing but a lack of room keeps a target from getting the
 // request.
-func usable(now time.Time, s *service, t *target, w *Work) bool {
+func usable(now time.Time, s *service, t *target, w *Request) bool {
 	return exclusionOf(now, s, t, w) == notExcluded
 }
 
 // estimateFirstAnswer estimates the time to the first answer at a target.
-func (s *service) estimateFirstAnswer(now time.Time, t *target, w *Work) time.Duration {
+func (s *service) estimateFirstAnswer(now time.Time, t *target, w *Request) time.Duration {
 	if s.engine == nil {
 		over := max(0, t.load(now)+1-slotsOf(t.Target))
 		return baseRoundTrip + t.answerTime*time.Duration(1+over)
@@ -197,9 +197,9 @@
 
 // readTime is the part of the time to a first answer that covers the round trip and the
 // reading of this prompt and all unread prompts ahead of it.
-func (s *service) readTime(now time.Time, t *target, w *Work) time.Duration {
+func (s *service) readTime(now time.Time, t *target, w *Request) time.Duration {
 	e := s.engine
-	unreadPrompt := t.unreadPrompt + w.Prompt
+	unreadPrompt := t.unreadPrompt + w.PromptTokens
 	if t.reportFresh(now) {
 		_, unseen := t.unseen()
 		unreadPrompt += t.otherQueued*e.UsualPrompt + unseen
@@ -229,13 +229,13 @@
 }
 
 // hasRoom reports whether a target can take the request now.
-func (s *service) hasRoom(now time.Time, t *target, w *Work, expected time.Duration) bool {
+func (s *service) hasRoom(now time.Time, t *target, w *Request, expected time.Duration) bool {
 	load := t.load(now)
 	slots := slotsOf(t.Target)
 	if s.engine == nil {
 		return load < s.maxRequests(t)
 	}
-	if w.Begun {
+	if w.Resumed {
 		return load < slots+plainQueueLength && expected < maxResumeDelay
 	}
 	if t.reportsLost(now) && float64(load) >= reportsLostShare*float64(slots) {
@@ -250,11 +250,11 @@
 	return load < slots && !s.isLate(now, w, expected)
 }
 
-// Other reports whether a target of the service other than the given one has room.
-func (p *Placer) Other(now time.Time, serviceName, target string) bool {
+// HasRoomElsewhere reports whether a target of the service other than the given one has room.
+func (p *Placer) HasRoomElsewhere(now time.Time, serviceName, target string) bool {
 	p.initMaps()
 	s := p.service(serviceName)
-	w := &Work{Avoid: []string{target}, Begun: true}
+	w := &Request{FailedTargets: []string{target}, Resumed: true}
 	for _, t := range s.searchedTargets(now, w) {
 		if usable(now, s, t, w) && s.hasRoom(now, t, w, 0) {
 			return true
--- a/core/request/place/entrycount.go
+++ b/core/request/place/entrycount.go
@@ -5,21 +5,21 @@
 	"net/netip"
 )
 
-// Census estimates the number of entries in the system, for which there is no central
+// EntryEstimator estimates the number of entries in the system, for which there is no central
 // list. Each side (the process beside a target) reports how many entries listen to it.
 // An entry listens only to the sides of the targets in its subset, so the estimate
 // scales up what those report. It is not safe for concurrent use; the zero value is
 // ready.
-type Census struct {
+type EntryEstimator struct {
 	estimates map[netip.Addr]float64
 	sum       float64
 	maxSeen   int
 }
 
-// Note records the report of one side: how many entries of its own zone and of other
+// Record records the report of one side: how many entries of its own zone and of other
 // zones listen to it. targets is the number of targets in the side's zone, zones the
 // number of zones.
-func (c *Census) Note(side netip.Addr, own, other, targets, zones int) {
+func (c *EntryEstimator) Record(side netip.Addr, own, other, targets, zones int) {
 	ownShare, otherShare := SubsetShares(targets, zones)
 	estimate := float64(own)/ownShare + float64(other)/otherShare
 	if c.estimates == nil {
@@ -31,14 +31,14 @@
 }
 
 // Forget removes the report of a side that this entry no longer listens to.
-func (c *Census) Forget(side netip.Addr) {
+func (c *EntryEstimator) Forget(side netip.Addr) {
 	c.sum -= c.estimates[side]
 	delete(c.estimates, side)
 }
 
-// Entries returns the estimate. It is never below the highest count that one side has
+// Listeners returns the estimate. It is never below the highest count that one side has
 // reported, and 0 before the first report.
-func (c *Census) Entries() int {
+func (c *EntryEstimator) Entries() int {
 	if len(c.estimates) == 0 {
 		return c.maxSeen
 	}
--- a/core/request/place/fairness.go
+++ b/core/request/place/fairness.go
@@ -120,7 +120,7 @@
 }
 
 // kindOf returns the state of the request's kind, created on first use.
-func (s *service) kindOf(w *Work) *kind {
+func (s *service) kindOf(w *Request) *kind {
 	k := s.kinds[w.Kind]
 	if k == nil {
 		k = &kind{}
@@ -134,33 +134,33 @@
 
 // sizeClassOf returns the request's size class, and false if the service declares no
 // usual prompt to derive it from.
-func (s *service) sizeClassOf(w *Work) (sizeClass, bool) {
+func (s *service) sizeClassOf(w *Request) (sizeClass, bool) {
 	if s.engine == nil || s.engine.UsualPrompt <= 0 {
 		return sizeUsual, false
 	}
-	return s.kindOf(w).classify(w.Prompt, s.engine.UsualPrompt), true
+	return s.kindOf(w).classify(w.PromptTokens, s.engine.UsualPrompt), true
 }
 
 // recordPlacement updates the placement rates with whether the request was placed.
-func (s *service) recordPlacement(w *Work, placed bool) {
+func (s *service) recordPlacement(w *Request, placed bool) {
 	if z, ok := s.sizeClassOf(w); ok {
 		s.kindOf(w).observe(z, placed)
 	}
 }
 
 // underserved reports whether the request's size class is underserved.
-func (s *service) underserved(w *Work) bool {
+func (s *service) underserved(w *Request) bool {
 	z, ok := s.sizeClassOf(w)
 	return ok && s.kindOf(w).underserved(z)
 }
 
 // holdsBackOthers reports whether other requests wait behind w, so that a gap large
 // enough for w can form.
-func (s *service) holdsBackOthers(w *Work) bool { return s.underserved(w) }
+func (s *service) holdsBackOthers(w *Request) bool { return s.underserved(w) }
 
 // isHeldBack reports whether a new request must wait because an underserved one waits.
-func (s *service) isHeldBack(w *Work) bool {
-	if w.Begun || s.underserved(w) {
+func (s *service) isHeldBack(w *Request) bool {
+	if w.Resumed || s.underserved(w) {
 		return false
 	}
 	return slices.ContainsFunc(s.waiting, func(q *waitingRequest) bool { return s.underserved(&q.work) })
--- a/core/request/place/networkcut_test.go
+++ b/core/request/place/networkcut_test.go
@@ -31,13 +31,13 @@
 			var used []string
 			for i := range targets {
 				w := testWork(fmt.Sprint(i))
-				w.Avoid = used
+				w.FailedTargets = used
 				used = append(used, p.Offer(start, w)[0].Target.ID)
 			}
 			now := start
 			for i := range tc.failed {
 				now = now.Add(tc.apart)
-				p.Done(now, fmt.Sprint(i), ResultFailed)
+				p.RequestEnded(now, fmt.Sprint(i), ResultFailed)
 			}
 			w := testWork("next")
 			if diff := cmp.Diff(tc.paused, p.service("svc").candidates(now, &w).Paused); diff != "" {
--- a/core/request/place/place.go
+++ b/core/request/place/place.go
@@ -27,29 +27,29 @@
 // pointless is refused within that time.
 const TickEvery = 20 * time.Millisecond
 
-// Work is a request to be placed. Objective is the time from Asked, when its caller
+// Request is a request to be placed. Objective is the time from Asked, when its caller
 // first asked, to when the first answer is due. Prompt and Answer are in tokens.
-type Work struct {
+type Request struct {
 	ID      string
 	Service string
 	// Kind groups requests whose sizes are compared with each other, such as by route.
-	Kind   string
-	Prompt int
-	Answer int
-	Asked  time.Time
+	Kind             string
+	PromptTokens     int
+	AnswerTokens     int
+	FirstRequestedAt time.Time
 	// Objective is zero for a request without one.
 	Objective time.Duration
 	Deadline  time.Time
 	Priority  int
 	// Limits bound until when older versions of the model may begin the request.
 	Limits []VersionLimit
-	// Newest is the newest version named for the service's model, 0 without an engine.
-	Newest uint64
-	// Avoid lists the targets that have failed this request.
-	Avoid []string
-	// Begun is set if the caller already has a part of the answer. Such a request goes
+	// NewestVersion is the newest version named for the service's model, 0 without an engine.
+	NewestVersion uint64
+	// FailedTargets lists the targets that have failed this request.
+	FailedTargets []string
+	// Resumed is set if the caller already has a part of the answer. Such a request goes
 	// before all others, and waits until its deadline rather than being refused.
-	Begun bool
+	Resumed bool
 }
 
 // VersionLimit is the time until which a request may begin at a target that serves an
@@ -61,7 +61,7 @@
 
 // mayBegin reports whether the request may begin at the given time at a target that
 // serves the given version.
-func (w *Work) mayBegin(serving uint64, at time.Time) bool {
+func (w *Request) mayBegin(serving uint64, at time.Time) bool {
 	for _, l := range w.Limits {
 		if serving < l.Version && !at.Before(l.Until) {
 			return false
@@ -87,9 +87,9 @@
 	ReasonNoTarget Reason = "noTarget"
 	ReasonLate     Reason = "objectiveCannotBeMet"
 	ReasonFull     Reason = "full"
-	// ReasonLateFull is for a caller that came back after its objective had passed.
+	// ReasonNoRoomForLate is for a caller that came back after its objective had passed.
 	// Such requests may use only part of the slots.
-	ReasonLateFull Reason = "noRoomForLate"
+	ReasonNoRoomForLate Reason = "noRoomForLate"
 )
 
 // Verdict is the decision on one request. Target is set for a placed one, RetryAfter
@@ -101,11 +101,11 @@
 	Reason     Reason
 	RetryAfter time.Duration
 	Waited     time.Duration
-	// Expected is the estimated time to the first answer. For a request refused with
+	// ExpectedFirstAnswer is the estimated time to the first answer. For a request refused with
 	// ReasonLate it is that at an engine with a single slot left.
-	Expected time.Duration
-	// Serving is the version of the model that the target is known to serve.
-	Serving uint64
+	ExpectedFirstAnswer time.Duration
+	// ServedVersion is the version of the model that the target is known to serve.
+	ServedVersion uint64
 	// Load is the number of requests at the target, this one included.
 	Load int
 	// Candidates counts the targets that were considered for a refused request.
@@ -116,13 +116,13 @@
 type Result string
 
 // The results. ResultUnreached means that the request never reached its target,
-// ResultTurned that the target rejected it, and ResultLeft that the caller went away.
+// ResultRejected that the target rejected it, and ResultCallerGone that the caller went away.
 const (
-	ResultDone      Result = "done"
-	ResultFailed    Result = "failed"
-	ResultUnreached Result = "unreached"
-	ResultTurned    Result = "turnedAway"
-	ResultLeft      Result = "callerLeft"
+	ResultDone       Result = "done"
+	ResultFailed     Result = "failed"
+	ResultUnreached  Result = "unreached"
+	ResultRejected   Result = "turnedAway"
+	ResultCallerGone Result = "callerLeft"
 )
 
 // Placer places the requests of one entry. Set the exported fields before the first
@@ -144,7 +144,7 @@
 
 // activeRequest is a request that was placed and has not ended.
 type activeRequest struct {
-	work      Work
+	work      Request
 	target    *target
 	since     time.Time
 	answering bool
@@ -220,12 +220,12 @@
 }
 
 // Offer places, queues or refuses a new request.
-func (p *Placer) Offer(now time.Time, w Work) []Verdict {
+func (p *Placer) Offer(now time.Time, w Request) []Verdict {
 	p.initMaps()
 	s := p.service(w.Service)
 	q := &waitingRequest{work: w, since: now}
-	if !w.Begun {
-		s.kindOf(&w).addPrompt(w.Prompt)
+	if !w.Resumed {
+		s.kindOf(&w).addPrompt(w.PromptTokens)
 	}
 	if !s.isHeldBack(&w) {
 		if v, ok := p.tryPlace(now, s, q); ok {
@@ -251,15 +251,15 @@
 	}
 }
 
-// Began records that the target has sent the first part of an answer, which means that
+// AnswerBegan records that the target has sent the first part of an answer, which means that
 // it has read the prompt.
-func (p *Placer) Began(now time.Time, id string) []Verdict {
+func (p *Placer) AnswerBegan(now time.Time, id string) []Verdict {
 	r, ok := p.active[id]
 	if !ok || r.answering {
 		return nil
 	}
 	r.answering = true
-	r.target.unreadPrompt -= r.work.Prompt
+	r.target.unreadPrompt -= r.work.PromptTokens
 	r.target.resetFailures(now)
 	s := p.service(r.work.Service)
 	if s.engine != nil && r.passDelay > 0 {
@@ -268,15 +268,15 @@
 	return p.placeAt(now, s, r.target)
 }
 
-// Done records that a placed request has ended at its target.
-func (p *Placer) Done(now time.Time, id string, result Result) []Verdict {
+// RequestEnded records that a placed request has ended at its target.
+func (p *Placer) RequestEnded(now time.Time, id string, result Result) []Verdict {
 	r, ok := p.active[id]
 	if !ok {
 		return nil
 	}
 	delete(p.active, id)
 	if !r.answering {
-		r.target.unreadPrompt -= r.work.Prompt
+		r.target.unreadPrompt -= r.work.PromptTokens
 	}
 	r.target.ownRequests--
 	r.target.recordEnd(now, result, now.Sub(r.since))
@@ -288,8 +288,8 @@
 	return p.placeAt(now, s, r.target)
 }
 
-// Report records a load report of a target.
-func (p *Placer) Report(now time.Time, id string, r Report) []Verdict {
+// LoadReport records a load report of a target.
+func (p *Placer) Report(now time.Time, id string, r LoadReport) []Verdict {
 	t, ok := p.targets[id]
 	if !ok {
 		return nil
--- a/core/request/place/place_test.go
+++ b/core/request/place/place_test.go
@@ -33,9 +33,9 @@
 	return p
 }
 
-func testWork(id string) Work {
-	return Work{
-		ID: id, Service: "svc", Prompt: 1000, Answer: 90, Asked: start, Objective: 400 * time.Millisecond,
+func testWork(id string) Request {
+	return Request{
+		ID: id, Service: "svc", PromptTokens: 1000, AnswerTokens: 90, FirstRequestedAt: start, Objective: 400 * time.Millisecond,
 		Deadline: start.Add(6 * time.Second),
 	}
 }
@@ -53,7 +53,7 @@
 func TestTargetThatRejectsIsPaused(t *testing.T) {
 	p := testPlacer(testFacts(nil, 8, "a", "b"))
 	first := p.Offer(start, testWork("1"))[0].Target.ID
-	p.Done(start, "1", ResultTurned)
+	p.RequestEnded(start, "1", ResultRejected)
 	for _, id := range []string{"2", "3", "4"} {
 		v := p.Offer(start.Add(time.Millisecond), testWork(id))[0]
 		if v.Target.ID == first {
@@ -69,16 +69,16 @@
 func TestUnreadPromptsMakeRequestLate(t *testing.T) {
 	p := testPlacer(testFacts(usualEngine, 16, "a"))
 	long := testWork("long")
-	long.Prompt = 6000
+	long.PromptTokens = 6000
 	long.Objective = time.Second
 	p.Offer(start, long)
 	if vs := p.Offer(start, testWork("1")); len(vs) != 0 {
 		t.Fatalf("got %v, want the request to wait", decisions(vs))
 	}
-	if diff := cmp.Diff([]string{"1 placed a"}, decisions(p.Began(start.Add(100*time.Millisecond), "long"))); diff != "" {
+	if diff := cmp.Diff([]string{"1 placed a"}, decisions(p.AnswerBegan(start.Add(100*time.Millisecond), "long"))); diff != "" {
 		t.Errorf("once the prompt is read (-want +got):\n%s", diff)
 	}
-	p.Done(start, "1", ResultDone)
+	p.RequestEnded(start, "1", ResultDone)
 	again := long
 	again.ID = "long2"
 	p.Offer(start, again)
@@ -99,7 +99,7 @@
 	slow.ReadRate = 8000
 	p := testPlacer(testFacts(&slow, 16, "a"))
 	w := testWork("long")
-	w.Prompt = 3800
+	w.PromptTokens = 3800
 	if diff := cmp.Diff([]string{"long placed a"}, decisions(p.Offer(start, w))); diff != "" {
 		t.Errorf("verdicts (-want +got):\n%s", diff)
 	}
@@ -128,9 +128,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := testPlacer(testFacts(&slow, 16, "a"))
 			p.service("svc").passFactor.value = tc.passFactor
-			p.Report(start, "a", Report{Alive: true, Serving: 1, Pace: 1, Active: tc.load})
+			p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1, Slowness: 1, Active: tc.load})
 			w := testWork("new")
-			w.Prompt, w.Objective = tc.prompt, 500*time.Millisecond
+			w.PromptTokens, w.Objective = tc.prompt, 500*time.Millisecond
 			got := p.Offer(start, w)
 			got = append(got, p.Tick(start.Add(100*time.Millisecond))...)
 			if diff := cmp.Diff([]string{tc.want}, decisions(got)); diff != "" {
@@ -157,7 +157,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := testPlacer(testFacts(nil, 1, "a"))
 			w := testWork("1")
-			w.Limits, w.Avoid, w.Deadline = nil, []string{"a"}, start.Add(tc.deadline)
+			w.Limits, w.FailedTargets, w.Deadline = nil, []string{"a"}, start.Add(tc.deadline)
 			got := p.Offer(start, w)
 			if diff := cmp.Diff([]string{"1 refused noTarget"}, decisions(got)); diff != "" {
 				t.Fatalf("verdicts (-want +got):\n%s", diff)
@@ -177,9 +177,9 @@
 	}
 	p.Offer(start, testWork("new"))
 	begun := testWork("begun")
-	begun.Begun = true
+	begun.Resumed = true
 	p.Offer(start, begun)
-	got := p.Done(start, "1", ResultDone)
+	got := p.RequestEnded(start, "1", ResultDone)
 	if diff := cmp.Diff([]string{"begun placed a"}, decisions(got)); diff != "" {
 		t.Errorf("verdicts (-want +got):\n%s", diff)
 	}
@@ -188,20 +188,20 @@
 // Guards against sending a request to a target that is leaving, has failed it, is dead
 // or loading, has no weights, or serves too old ones.
 func TestUnusableTargets(t *testing.T) {
-	alive := Report{Alive: true, Serving: 1, Pace: 1}
+	alive := LoadReport{Alive: true, ServedVersion: 1, Slowness: 1}
 	tests := []struct {
 		name   string
 		target func(f *facts.Target)
-		report *Report
-		work   func(w *Work)
+		report *LoadReport
+		work   func(w *Request)
 	}{
 		{"leaving", func(f *facts.Target) { f.Leaving = true }, nil, nil},
-		{"failed it", nil, nil, func(w *Work) { w.Avoid = []string{"a"} }},
-		{"dead", nil, &Report{}, nil},
-		{"loading", nil, &Report{Alive: true, Serving: 1, Busy: true}, nil},
+		{"failed it", nil, nil, func(w *Request) { w.FailedTargets = []string{"a"} }},
+		{"dead", nil, &LoadReport{}, nil},
+		{"loading", nil, &LoadReport{Alive: true, ServedVersion: 1, Loading: true}, nil},
 		{"no weights", func(f *facts.Target) { f.Serving = nil }, nil, nil},
-		{"lost its weights", nil, &Report{Alive: true, Serving: 0}, nil},
-		{"old weights", nil, &alive, func(w *Work) { w.Limits = []VersionLimit{{Version: 2, Until: start}} }},
+		{"lost its weights", nil, &LoadReport{Alive: true, ServedVersion: 0}, nil},
+		{"old weights", nil, &alive, func(w *Request) { w.Limits = []VersionLimit{{Version: 2, Until: start}} }},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -232,16 +232,16 @@
 func TestTargetWithoutReportsGetsLess(t *testing.T) {
 	f := testFacts(usualEngine, 16, "a", "b")
 	p := testPlacer(f)
-	p.Report(start, "a", Report{Alive: true, Serving: 1, Pace: 1})
+	p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1, Slowness: 1})
 	now := start.Add(maxReportAge + time.Millisecond)
-	p.Report(now, "b", Report{Alive: true, Serving: 1, Pace: 1})
+	p.Report(now, "b", LoadReport{Alive: true, ServedVersion: 1, Slowness: 1})
 	w := testWork("1")
-	w.Asked = now
+	w.FirstRequestedAt = now
 	if got := p.Offer(now, w)[0].Target.ID; got != "b" {
 		t.Errorf("placed at %s, whose side is silent", got)
 	}
 	p.Update(now, testFacts(usualEngine, 16, "a"))
-	w.ID, w.Newest = "2", 2
+	w.ID, w.NewestVersion = "2", 2
 	if got := p.Offer(now, w); len(got) > 0 && got[0].Decision == Placed {
 		t.Error("placed at a target of the old version whose side is silent")
 	}
@@ -256,10 +256,10 @@
 	placed := 0
 	for e := range entries {
 		p := testPlacer(f)
-		p.Report(start, "a", Report{Alive: true, Serving: 1, Pace: 1, Entries: entries})
+		p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1, Slowness: 1, Listeners: entries})
 		for i := range 16 {
 			w := testWork(string(rune('a' + i)))
-			w.Prompt = 100
+			w.PromptTokens = 100
 			for _, v := range p.Offer(start, w) {
 				if v.Decision == Placed {
 					placed++
@@ -328,7 +328,7 @@
 			f := testFacts(usualEngine, 16, "a")
 			f.Targets[0].Born = tc.listed
 			p := testPlacer(f)
-			p.Report(start, "a", Report{Alive: true, Serving: 1, Born: present})
+			p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1, StartedAt: present})
 			if diff := cmp.Diff(tc.want, decisions(p.Offer(start, testWork("1")))); diff != "" {
 				t.Errorf("verdicts (-want +got):\n%s", diff)
 			}
--- a/core/request/place/queue.go
+++ b/core/request/place/queue.go
@@ -7,7 +7,7 @@
 
 // waitingRequest is a request that waits for a target.
 type waitingRequest struct {
-	work  Work
+	work  Request
 	since time.Time
 }
 
@@ -60,7 +60,7 @@
 	kept := s.waiting[:0]
 	held := false
 	for _, q := range s.waiting {
-		if v, ok := decide(q, !held || q.work.Begun); ok {
+		if v, ok := decide(q, !held || q.work.Resumed); ok {
 			out = append(out, v)
 			continue
 		}
@@ -76,8 +76,8 @@
 // be on time.
 func (s *service) sortByUrgency(now time.Time) {
 	slices.SortStableFunc(s.waiting, func(a, b *waitingRequest) int {
-		if a.work.Begun != b.work.Begun {
-			if a.work.Begun {
+		if a.work.Resumed != b.work.Resumed {
+			if a.work.Resumed {
 				return -1
 			}
 			return 1
@@ -97,10 +97,10 @@
 
 // latestPlacement is the latest time at which a request can be placed for its prompt to
 // be read by its objective.
-func (s *service) latestPlacement(w *Work) time.Time {
-	at := w.Asked.Add(w.Objective)
+func (s *service) latestPlacement(w *Request) time.Time {
+	at := w.FirstRequestedAt.Add(w.Objective)
 	if s.engine != nil {
-		at = at.Add(-time.Duration(float64(w.Prompt) / s.engine.ReadRate * float64(time.Second)))
+		at = at.Add(-time.Duration(float64(w.PromptTokens) / s.engine.ReadRate * float64(time.Second)))
 	}
 	return at
 }
--- a/core/request/place/refuse.go
+++ b/core/request/place/refuse.go
@@ -6,11 +6,11 @@
 )
 
 // isLate reports whether a first answer after the expected time comes too late.
-func (s *service) isLate(now time.Time, w *Work, expected time.Duration) bool {
+func (s *service) isLate(now time.Time, w *Request, expected time.Duration) bool {
 	if w.Objective <= 0 {
 		return false
 	}
-	return now.Add(expected).Sub(w.Asked) > s.allowedTime(now, w)
+	return now.Add(expected).Sub(w.FirstRequestedAt) > s.allowedTime(now, w)
 }
 
 // allowedTime is the longest time that a first answer may take. A request that no
@@ -18,7 +18,7 @@
 // slow engines, gets its shortest possible time plus an allowance. If it were held to
 // its objective, the largest requests would hardly ever be served.
 // An underserved request gets the allowance on top of its usual time.
-func (s *service) allowedTime(now time.Time, w *Work) time.Duration {
+func (s *service) allowedTime(now time.Time, w *Request) time.Duration {
 	usual := time.Duration(onTimeShare * float64(w.Objective))
 	if s.engine == nil {
 		return usual
@@ -37,14 +37,14 @@
 
 // objectivePassed reports whether the objective has passed already, as for a caller
 // that was refused before and has come back.
-func (w *Work) objectivePassed(now time.Time) bool {
-	return w.Objective > 0 && now.Sub(w.Asked) > w.Objective
+func (w *Request) objectivePassed(now time.Time) bool {
+	return w.Objective > 0 && now.Sub(w.FirstRequestedAt) > w.Objective
 }
 
 // retryAfter returns the Retry-After for the caller. A caller that is told to come back
 // after its deadline never does.
-func (w *Work) retryAfter() time.Duration {
-	whole := w.Deadline.Sub(w.Asked)
+func (w *Request) retryAfter() time.Duration {
+	whole := w.Deadline.Sub(w.FirstRequestedAt)
 	return min(maxRetryAfter, time.Duration(retryAfterShare*float64(whole)))
 }
 
@@ -61,7 +61,7 @@
 		RetryAfter: w.retryAfter(), Waited: now.Sub(q.since), Candidates: s.candidates(now, w),
 	}
 	if reason == ReasonLate {
-		v.Expected = s.minFirstAnswer(now, w)
+		v.ExpectedFirstAnswer = s.minFirstAnswer(now, w)
 	}
 	return v, true
 }
@@ -70,7 +70,7 @@
 // reason says why.
 func (p *Placer) worthWaiting(now time.Time, s *service, q *waitingRequest) (Reason, bool) {
 	w := &q.work
-	if w.Begun {
+	if w.Resumed {
 		// A refusal would lose the part that the caller has, so wait until the
 		// deadline.
 		return ReasonFull, now.Before(w.Deadline)
@@ -82,7 +82,7 @@
 		return ReasonFull, now.Sub(q.since) < w.Objective/2
 	}
 	if w.objectivePassed(now) {
-		return ReasonLateFull, false
+		return ReasonNoRoomForLate, false
 	}
 	least := s.minFirstAnswer(now, w)
 	if s.isLate(now, w, least) {
@@ -93,22 +93,22 @@
 
 // minFirstAnswer is the estimated time to the first answer at an engine with a single
 // slot left.
-func (s *service) minFirstAnswer(now time.Time, w *Work) time.Duration {
-	read := time.Duration(float64(w.Prompt) / s.engine.ReadRate * float64(time.Second))
+func (s *service) minFirstAnswer(now time.Time, w *Request) time.Duration {
+	read := time.Duration(float64(w.PromptTokens) / s.engine.ReadRate * float64(time.Second))
 	pass := passTime(s.engine, s.engine.Slots)
 	return baseRoundTrip + s.minExtraRoundTrip(now, w) + pass + pass/2 + read
 }
 
 // anyMayServe reports whether some target may run the request now or once it has room.
-func anyMayServe(now time.Time, s *service, w *Work) bool {
+func anyMayServe(now time.Time, s *service, w *Request) bool {
 	return slices.ContainsFunc(s.all, func(t *target) bool {
 		return s.mayServe(now, t, w)
 	})
 }
 
 // mayServe reports whether a target may run the request now or once it has room.
-func (s *service) mayServe(now time.Time, t *target, w *Work) bool {
-	if t.Leaving || slices.Contains(w.Avoid, t.ID) {
+func (s *service) mayServe(now time.Time, t *target, w *Request) bool {
+	if t.Leaving || slices.Contains(w.FailedTargets, t.ID) {
 		return false
 	}
 	if s.engine == nil {
--- a/core/request/place/relocate.go
+++ b/core/request/place/relocate.go
@@ -9,12 +9,12 @@
 // count as few.
 const fewRequestsShare = 0.2
 
-// FewLeft reports whether a target that waits to load a version has few requests left.
+// NearlyDrained reports whether a target that waits to load a version has few requests left.
 // Its other slots stay empty until the last of them has ended. Moving them to another
 // target costs only one prompt to read for each.
-func (p *Placer) FewLeft(target string, r Report) bool {
+func (p *Placer) NearlyDrained(target string, r LoadReport) bool {
 	t, ok := p.targets[target]
-	if !ok || !r.Alive || !r.Busy || r.Active == 0 {
+	if !ok || !r.Alive || !r.Loading || r.Active == 0 {
 		return false
 	}
 	return float64(r.Active) <= fewRequestsShare*float64(slotsOf(t.Target))
@@ -29,7 +29,7 @@
 // on within the given time, and only while no request waits. The request counts at its
 // new target at once, so that answers that leave a target together do not overfill
 // another.
-func (p *Placer) Relocate(now time.Time, w Work, within time.Duration) (Verdict, bool) {
+func (p *Placer) Relocate(now time.Time, w Request, within time.Duration) (Verdict, bool) {
 	p.initMaps()
 	s := p.service(w.Service)
 	if len(s.waiting) > 0 {
@@ -45,9 +45,9 @@
 	return p.assign(now, s, &waitingRequest{work: w, since: now}, o), true
 }
 
-// Replace places an answer under way whose target has gone silent at any other target
+// Reassign places an answer under way whose target has gone silent at any other target
 // that has room now.
-func (p *Placer) Replace(now time.Time, w Work) (Verdict, bool) {
+func (p *Placer) Reassign(now time.Time, w Request) (Verdict, bool) {
 	p.initMaps()
 	return p.tryPlace(now, p.service(w.Service), &waitingRequest{work: w, since: now})
 }
--- a/core/request/place/relocate_test.go
+++ b/core/request/place/relocate_test.go
@@ -10,19 +10,19 @@
 func TestFewLeft(t *testing.T) {
 	tests := []struct {
 		name   string
-		report Report
+		report LoadReport
 		want   bool
 	}{
-		{"a few before a load", Report{Alive: true, Busy: true, Active: 3}, true},
-		{"many before a load", Report{Alive: true, Busy: true, Active: 8}, false},
-		{"none", Report{Alive: true, Busy: true}, false},
-		{"no load", Report{Alive: true, Active: 3}, false},
-		{"silent", Report{Busy: true, Active: 3}, false},
+		{"a few before a load", LoadReport{Alive: true, Loading: true, Active: 3}, true},
+		{"many before a load", LoadReport{Alive: true, Loading: true, Active: 8}, false},
+		{"none", LoadReport{Alive: true, Loading: true}, false},
+		{"no load", LoadReport{Alive: true, Active: 3}, false},
+		{"silent", LoadReport{Loading: true, Active: 3}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			p := testPlacer(testFacts(usualEngine, 16, "a"))
-			if diff := cmp.Diff(tc.want, p.FewLeft("a", tc.report)); diff != "" {
+			if diff := cmp.Diff(tc.want, p.NearlyDrained("a", tc.report)); diff != "" {
 				t.Errorf("few left (-want +got):\n%s", diff)
 			}
 		})
@@ -30,9 +30,9 @@
 }
 
 // interruptedWork is an answer under way at target a that is to go on elsewhere.
-func interruptedWork(id string, newest uint64) Work {
+func interruptedWork(id string, newest uint64) Request {
 	w := testWork(id)
-	w.Prompt, w.Begun, w.Newest, w.Avoid = 10, true, newest, []string{"a"}
+	w.PromptTokens, w.Resumed, w.NewestVersion, w.FailedTargets = 10, true, newest, []string{"a"}
 	return w
 }
 
@@ -40,7 +40,7 @@
 // one that leaves while every other slot is taken.
 func TestStreamMovesToFreeSlotOnly(t *testing.T) {
 	p := testPlacer(testFacts(usualEngine, 2, "a", "b"))
-	p.Report(start, "a", Report{Alive: true, Busy: true, Active: 1, Serving: 1})
+	p.Report(start, "a", LoadReport{Alive: true, Loading: true, Active: 1, ServedVersion: 1})
 	var got []bool
 	for i := range 3 {
 		_, ok := p.Relocate(start, interruptedWork(fmt.Sprint(i), 1), maxResumeDelay)
@@ -68,8 +68,8 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			p := testPlacer(testFacts(usualEngine, slots, "a", "b"))
-			p.Report(start, "a", Report{Alive: true, Busy: true, Active: 1, Serving: 1})
-			p.Report(start, "b", Report{Alive: true, Serving: 1, Active: slots})
+			p.Report(start, "a", LoadReport{Alive: true, Loading: true, Active: 1, ServedVersion: 1})
+			p.Report(start, "b", LoadReport{Alive: true, ServedVersion: 1, Active: slots})
 			if tc.waiting && len(p.Offer(start, testWork("1"))) > 0 {
 				t.Fatal("the request does not wait")
 			}
@@ -86,15 +86,15 @@
 // Relocate does not choose it, and Offer does not while another one has room.
 func TestBegunAnswerAvoidsEngineDueToLoad(t *testing.T) {
 	p := testPlacer(testFacts(usualEngine, 8, "a", "b", "c"))
-	p.Report(start, "a", Report{Alive: true, Busy: true, Active: 1, Serving: 1})
-	p.Report(start, "b", Report{Alive: true, Serving: 1})
-	p.Report(start, "c", Report{Alive: true, Serving: 2, Active: 6})
+	p.Report(start, "a", LoadReport{Alive: true, Loading: true, Active: 1, ServedVersion: 1})
+	p.Report(start, "b", LoadReport{Alive: true, ServedVersion: 1})
+	p.Report(start, "c", LoadReport{Alive: true, ServedVersion: 2, Active: 6})
 	_, ok := p.Relocate(start, interruptedWork("2", 2), maxResumeDelay)
 	if diff := cmp.Diff(false, ok); diff != "" {
 		t.Errorf("moved with only the old version idle (-want +got):\n%s", diff)
 	}
 	w := testWork("1")
-	w.Begun, w.Newest, w.Avoid = true, 2, []string{"a"}
+	w.Resumed, w.NewestVersion, w.FailedTargets = true, 2, []string{"a"}
 	if diff := cmp.Diff([]string{"1 placed c"}, decisions(p.Offer(start, w))); diff != "" {
 		t.Errorf("where a begun answer goes on (-want +got):\n%s", diff)
 	}
--- a/core/request/place/roundtrip.go
+++ b/core/request/place/roundtrip.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Way sets the shortest time measured for connecting to the targets of a zone, which is
+// SetRoundTrip sets the shortest time measured for connecting to the targets of a zone, which is
 // one round trip.
-func (p *Placer) Way(zone string, roundTrip time.Duration) {
+func (p *Placer) SetRoundTrip(zone string, roundTrip time.Duration) {
 	p.initMaps()
 	if p.roundTrips == nil {
 		p.roundTrips = map[string]time.Duration{}
@@ -26,7 +26,7 @@
 
 // minExtraRoundTrip is the shortest extraRoundTrip of the targets that may run the
 // request now or once they have room.
-func (s *service) minExtraRoundTrip(now time.Time, w *Work) time.Duration {
+func (s *service) minExtraRoundTrip(now time.Time, w *Request) time.Duration {
 	least := time.Duration(math.MaxInt64)
 	for _, t := range s.all {
 		if s.mayServe(now, t, w) {
--- a/core/request/place/roundtrip_test.go
+++ b/core/request/place/roundtrip_test.go
@@ -30,10 +30,10 @@
 			f := testFacts(usualEngine, 16, "near", "far")
 			f.Targets[1].Zone = "z1"
 			p := testPlacer(f)
-			p.Way("z0", time.Millisecond)
-			p.Way("z1", tc.roundTrip)
+			p.SetRoundTrip("z0", time.Millisecond)
+			p.SetRoundTrip("z1", tc.roundTrip)
 			before := testWork("before")
-			before.Prompt = 2500
+			before.PromptTokens = 2500
 			p.Offer(start, before)
 			if diff := cmp.Diff([]string{"next placed " + tc.target}, decisions(p.Offer(start, testWork("next")))); diff != "" {
 				t.Errorf("verdicts (-want +got):\n%s", diff)
@@ -49,23 +49,23 @@
 	f := testFacts(usualEngine, 16, "far")
 	f.Targets[0].Zone = "z1"
 	p := testPlacer(f)
-	p.Way("z1", farRoundTrip)
+	p.SetRoundTrip("z1", farRoundTrip)
 	now := start
 	for _, id := range []string{"1", "2", "3", "4", "5", "6", "7", "8", "9", "10"} {
 		w := testWork(id)
-		w.Asked = now
+		w.FirstRequestedAt = now
 		if diff := cmp.Diff([]string{id + " placed far"}, decisions(p.Offer(now, w))); diff != "" {
 			t.Errorf("verdicts (-want +got):\n%s", diff)
 		}
 		now = now.Add(2*farRoundTrip + 120*time.Millisecond)
-		p.Began(now, id)
-		p.Done(now, id, ResultDone)
+		p.AnswerBegan(now, id)
+		p.RequestEnded(now, id, ResultDone)
 	}
 	if got := p.service("svc").passFactor.value; got > 1.1 {
 		t.Errorf("pass factor is %.2f, want at most 1.1", got)
 	}
 	back := testWork("back")
-	back.Asked = now.Add(-2 * time.Second)
+	back.FirstRequestedAt = now.Add(-2 * time.Second)
 	back.Deadline = now.Add(4 * time.Second)
 	if diff := cmp.Diff([]string{"back placed far"}, decisions(p.Offer(now, back))); diff != "" {
 		t.Errorf("verdicts (-want +got):\n%s", diff)
--- a/core/request/place/simulation_test.go
+++ b/core/request/place/simulation_test.go
@@ -167,10 +167,10 @@
 
 // policy places the requests of one simulated entry. Placer is the one under test.
 type policy interface {
-	Offer(now time.Time, w Work) []Verdict
-	Began(now time.Time, id string) []Verdict
-	Done(now time.Time, id string, r Result) []Verdict
-	Report(now time.Time, id string, r Report) []Verdict
+	Offer(now time.Time, w Request) []Verdict
+	AnswerBegan(now time.Time, id string) []Verdict
+	RequestEnded(now time.Time, id string, r Result) []Verdict
+	Report(now time.Time, id string, r LoadReport) []Verdict
 	Tick(now time.Time) []Verdict
 }
 
@@ -235,8 +235,8 @@
 	weight := func(j *job) float64 { return 0.3 + 0.7*float64(j.prompt+10*j.answer)/1900 }
 	var deliver func(now time.Duration, vs []Verdict)
 	offer := func(now time.Duration, j *job) {
-		deliver(now, policies[j.entry].Offer(simStart.Add(now), Work{
-			ID: j.id, Service: "svc", Prompt: j.prompt, Answer: j.answer, Asked: simStart.Add(j.asked),
+		deliver(now, policies[j.entry].Offer(simStart.Add(now), Request{
+			ID: j.id, Service: "svc", PromptTokens: j.prompt, AnswerTokens: j.answer, FirstRequestedAt: simStart.Add(j.asked),
 			Objective: j.objective, Deadline: simStart.Add(j.asked + simDeadline),
 		}))
 	}
@@ -287,7 +287,7 @@
 		}
 		for _, e := range sims {
 			e.step(now, func(j *job) {
-				after(now+networkLatency, func(now time.Duration) { deliver(now, policies[j.entry].Began(simStart.Add(now), j.id)) })
+				after(now+networkLatency, func(now time.Duration) { deliver(now, policies[j.entry].AnswerBegan(simStart.Add(now), j.id)) })
 			}, func(j *job) {
 				on := j.first+networkLatency-j.asked <= j.objective
 				if on {
@@ -304,12 +304,14 @@
 				if j.prompt > largePrompt {
 					o.largeServed++
 				}
-				after(now+networkLatency, func(now time.Duration) { deliver(now, policies[j.entry].Done(simStart.Add(now), j.id, ResultDone)) })
+				after(now+networkLatency, func(now time.Duration) {
+					deliver(now, policies[j.entry].RequestEnded(simStart.Add(now), j.id, ResultDone))
+				})
 			})
 		}
 		if now%reportEvery == 0 {
 			for _, e := range sims {
-				r := Report{Alive: true, Active: len(e.active), Queued: len(e.queue), Pace: 1, Serving: 1, Busy: e.busy(now), Entries: len(policies)}
+				r := LoadReport{Alive: true, Active: len(e.active), Queued: len(e.queue), Slowness: 1, ServedVersion: 1, Loading: e.busy(now), Listeners: len(policies)}
 				after(now+networkLatency, func(now time.Duration) {
 					for _, p := range policies {
 						deliver(now, p.Report(simStart.Add(now), e.id, r))
@@ -339,7 +341,7 @@
 	return &fewestRequests{limit: limit, targets: f.Targets, own: map[string]int{}, at: map[string]string{}}
 }
 
-func (c *fewestRequests) Offer(_ time.Time, w Work) []Verdict {
+func (c *fewestRequests) Offer(_ time.Time, w Request) []Verdict {
 	best := -1
 	for i, t := range c.targets {
 		if best < 0 || c.own[t.ID] < c.own[c.targets[best].ID] {
@@ -355,15 +357,15 @@
 	return []Verdict{{ID: w.ID, Decision: Placed, Target: t}}
 }
 
-func (c *fewestRequests) Began(time.Time, string) []Verdict { return nil }
+func (c *fewestRequests) AnswerBegan(time.Time, string) []Verdict { return nil }
 
-func (c *fewestRequests) Done(_ time.Time, id string, _ Result) []Verdict {
+func (c *fewestRequests) RequestEnded(_ time.Time, id string, _ Result) []Verdict {
 	c.own[c.at[id]]--
 	return nil
 }
 
-func (c *fewestRequests) Report(time.Time, string, Report) []Verdict { return nil }
-func (c *fewestRequests) Tick(time.Time) []Verdict                   { return nil }
+func (c *fewestRequests) Report(time.Time, string, LoadReport) []Verdict { return nil }
+func (c *fewestRequests) Tick(time.Time) []Verdict                       { return nil }
 
 func newSimPlacer(entry int, f *facts.Facts) policy {
 	p := &Placer{
--- a/core/request/place/subset_test.go
+++ b/core/request/place/subset_test.go
@@ -107,13 +107,13 @@
 	p.Update(start, f)
 	kept := subsetOf("entry", "z0", f)
 	for _, id := range kept[1:] {
-		p.Report(start, id, Report{})
+		p.Report(start, id, LoadReport{})
 	}
 	v := p.Offer(start, testWork("1"))[0]
 	if diff := cmp.Diff(kept[0], v.Target.ID); diff != "" {
 		t.Errorf("while one of its own serves (-want +got):\n%s", diff)
 	}
-	p.Report(start, kept[0], Report{})
+	p.Report(start, kept[0], LoadReport{})
 	v = p.Offer(start, testWork("2"))[0]
 	if v.Decision != Placed || cmp.Equal(kept[0], v.Target.ID) {
 		t.Errorf("when none of its own serves: got %v, want it at another target", decisions([]Verdict{v}))
@@ -139,11 +139,11 @@
 				}
 			}
 		}
-		var c Census
+		var c EntryEstimator
 		for i, kept := range Subset("entry0-0", "z0", f.Targets) {
 			if kept {
 				target := f.Targets[i]
-				c.Note(target.Address.Addr(), own[target.ID], other[target.ID], each, zones)
+				c.Record(target.Address.Addr(), own[target.ID], other[target.ID], each, zones)
 			}
 		}
 		if got, want := float64(c.Entries()), float64(zones*entries); math.Abs(got-want) > want/5 {
@@ -157,7 +157,7 @@
 // tick.
 func TestWaitingWorkIsPlacedByAReport(t *testing.T) {
 	p := testPlacer(testFacts(usualEngine, 8, "a", "b"))
-	full := Report{Alive: true, Serving: 1, Active: 8}
+	full := LoadReport{Alive: true, ServedVersion: 1, Active: 8}
 	p.Report(start, "a", full)
 	p.Report(start, "b", full)
 	if vs := p.Offer(start, testWork("1")); len(vs) != 0 {
@@ -167,7 +167,7 @@
 	if diff := cmp.Diff([]string(nil), decisions(p.Report(now, "a", full))); diff != "" {
 		t.Errorf("by a report of a full target (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff([]string{"1 placed b"}, decisions(p.Report(now, "b", Report{Alive: true, Serving: 1, Active: 2}))); diff != "" {
+	if diff := cmp.Diff([]string{"1 placed b"}, decisions(p.Report(now, "b", LoadReport{Alive: true, ServedVersion: 1, Active: 2}))); diff != "" {
 		t.Errorf("by a report of one with room (-want +got):\n%s", diff)
 	}
 }
@@ -200,7 +200,7 @@
 				if r := p.active[id]; r == nil || r.target.ID != "a" {
 					continue
 				}
-				for _, v := range append(p.Began(now, id), p.Done(now, id, ResultDone)...) {
+				for _, v := range append(p.AnswerBegan(now, id), p.RequestEnded(now, id, ResultDone)...) {
 					if v.Target.ID == "a" {
 						t.Errorf("request %s was placed at the target that is gone", v.ID)
 					}
@@ -219,7 +219,7 @@
 			f := zonedFacts(5, n/5)
 			p := &Placer{Name: "entry", Zone: "z0", Regions: map[string]string{}, Rand: rand.New(rand.NewPCG(1, 1))}
 			p.Update(start, f)
-			full := Report{Alive: true, Serving: 1, Active: 8, Pace: 1}
+			full := LoadReport{Alive: true, ServedVersion: 1, Active: 8, Slowness: 1}
 			for _, t := range f.Targets {
 				p.Report(start, t.ID, full)
 			}
--- a/core/request/place/target.go
+++ b/core/request/place/target.go
@@ -7,24 +7,24 @@
 	"hawthornferry/core/process/facts"
 )
 
-// Report is what the side, the process beside an engine, reports of it. Active and
+// LoadReport is what the side, the process beside an engine, reports of it. Active and
 // Queued count the requests of all entries; Serving is the version of the model that it
 // serves, 0 for none. Alive is false once the engine does not answer. Pace is how many
 // times longer than declared the engine's steps take, and Busy is set while it loads a
 // version or waits to.
-type Report struct {
-	Alive   bool
-	Active  int
-	Queued  int
-	Pace    float64
-	Serving uint64
-	Busy    bool
-	// Entries is how many entries listen to the same reports, and Fleet the estimated
+type LoadReport struct {
+	Alive         bool
+	Active        int
+	Queued        int
+	Slowness      float64
+	ServedVersion uint64
+	Loading       bool
+	// Listeners is how many entries listen to the same reports, and Fleet the estimated
 	// number of all entries.
-	Entries int
-	Fleet   int
-	// Born is when the engine started, zero if unknown.
-	Born time.Time
+	Listeners    int
+	TotalEntries int
+	// StartedAt is when the engine started, zero if unknown.
+	StartedAt time.Time
 }
 
 // Parameters of a target's health and load.
@@ -95,22 +95,22 @@
 	prompt int
 }
 
-func (t *target) applyReport(now time.Time, r Report) {
-	if !t.Born.IsZero() && !r.Born.IsZero() && !r.Born.Equal(t.Born) {
-		if r.Born.Before(t.Born) {
+func (t *target) applyReport(now time.Time, r LoadReport) {
+	if !t.Born.IsZero() && !r.StartedAt.IsZero() && !r.StartedAt.Equal(t.Born) {
+		if r.StartedAt.Before(t.Born) {
 			return
 		}
 		// Another engine runs at this address. The one in the list has ended, though
 		// the list does not show it yet.
-		r = Report{Entries: r.Entries}
+		r = LoadReport{Listeners: r.Listeners}
 	}
 	t.reportedAt = now
 	t.unreported = slices.DeleteFunc(t.unreported, func(s sentRequest) bool { return now.Sub(s.at) > reportLag+t.extraRoundTrip })
-	t.entries = r.Entries
+	t.entries = r.Listeners
 	t.alive = r.Alive
-	t.loading = r.Busy
-	t.pace = r.Pace
-	t.serving, t.servingKnown = r.Serving, true
+	t.loading = r.Loading
+	t.pace = r.Slowness
+	t.serving, t.servingKnown = r.ServedVersion, true
 	t.otherRequests = max(0, r.Active+r.Queued-(t.ownRequests-len(t.unreported)))
 	t.otherQueued = min(t.otherRequests, r.Queued)
 }
@@ -165,14 +165,14 @@
 	case ResultDone:
 		t.failures = 0
 		t.answerTime += (answerTime - t.answerTime) / 8
-	case ResultTurned:
+	case ResultRejected:
 		t.pausedUntil = later(t.pausedUntil, now.Add(rejectionPause))
 	case ResultFailed, ResultUnreached:
 		t.snapshotFailure(now)
 		pause := min(firstPause<<min(t.failures, 8), maxPause)
 		t.failures++
 		t.pausedUntil = later(t.pausedUntil, now.Add(pause))
-	case ResultLeft:
+	case ResultCallerGone:
 	}
 }
 
--- a/io/process/hosted/gauges.go
+++ b/io/process/hosted/gauges.go
@@ -66,7 +66,7 @@
 
 // update publishes the served versions. A known address that no longer has a target
 // gets 0.
-func (g *servedGauges) update(served []place.Served) {
+func (g *servedGauges) update(served []place.TargetVersion) {
 	now := make(map[servedKey]uint64, len(served))
 	for _, s := range served {
 		key := servedKey{s.Service, s.Address}
--- a/io/process/hosted/reports.go
+++ b/io/process/hosted/reports.go
@@ -20,11 +20,11 @@
 	// setSides sets the sides to which to keep connections, and report passes on the load
 	// report of one target.
 	setSides func(sides []netip.AddrPort)
-	report   func(target string, r place.Report)
+	report   func(target string, r place.LoadReport)
 
 	mu     sync.Mutex
 	vms    map[netip.Addr]sideVM
-	census place.Census
+	census place.EntryEstimator
 }
 
 // sideVM is a VM with a side to whose load reports this entry listens.
@@ -105,14 +105,14 @@
 	r.mu.Lock()
 	vm, known := r.vms[side.Addr()]
 	if known {
-		r.census.Note(side.Addr(), l.OwnZone, l.OtherZones, vm.zoneTargets, vm.zones)
+		r.census.Record(side.Addr(), l.OwnZone, l.OtherZones, vm.zoneTargets, vm.zones)
 	}
 	entries := r.census.Entries()
 	r.mu.Unlock()
 	for _, id := range vm.targets {
-		r.report(id, place.Report{
-			Alive: l.Alive, Active: l.Active, Queued: l.Queued, Pace: l.Pace, Serving: l.Serving, Busy: l.Loading,
-			Entries: l.OwnZone + l.OtherZones, Fleet: entries, Born: l.Born,
+		r.report(id, place.LoadReport{
+			Alive: l.Alive, Active: l.Active, Queued: l.Queued, Slowness: l.Pace, ServedVersion: l.Serving, Loading: l.Loading,
+			Listeners: l.OwnZone + l.OtherZones, TotalEntries: entries, StartedAt: l.Born,
 		})
 	}
 }
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -255,12 +255,12 @@
 
 // served returns the version that the engine next to this process serves; nil before the
 // engine's first answer.
-func (s *Side) served() []place.Served {
+func (s *Side) served() []place.TargetVersion {
 	version, known := s.loadPublisher.Serving()
 	if !known {
 		return nil
 	}
-	return []place.Served{{Service: s.Settings.VM.Service, Address: s.Settings.Target, Version: version}}
+	return []place.TargetVersion{{Service: s.Settings.VM.Service, Address: s.Settings.Target, Version: version}}
 }
 
 // verified returns the manifest of a version whose weights are completely staged and
--- a/io/process/hosted/state.go
+++ b/io/process/hosted/state.go
@@ -83,7 +83,7 @@
 }
 
 // servedCounts counts the targets of each service by the version that they serve.
-func servedCounts(served []place.Served) []trail.ServedCount {
+func servedCounts(served []place.TargetVersion) []trail.ServedCount {
 	counts := map[trail.ServedCount]int{}
 	for _, s := range served {
 		counts[trail.ServedCount{Service: s.Service, Version: s.Version}]++
--- a/io/request/direct/attempts.go
+++ b/io/request/direct/attempts.go
@@ -16,13 +16,13 @@
 var placeResults = map[resend.Outcome]place.Result{
 	resend.Relayed:   place.ResultDone,
 	resend.Failure:   place.ResultDone,
-	resend.NotRun:    place.ResultTurned,
+	resend.NotRun:    place.ResultRejected,
 	resend.Unsent:    place.ResultUnreached,
 	resend.Broken:    place.ResultFailed,
-	resend.Caller:    place.ResultLeft,
+	resend.Caller:    place.ResultCallerGone,
 	resend.LateReply: place.ResultFailed,
 	resend.Moved:     place.ResultFailed,
-	resend.Dropped:   place.ResultLeft,
+	resend.Dropped:   place.ResultCallerGone,
 }
 
 // responseRelay passes the responses of targets on to the caller. It is used for all
@@ -43,7 +43,7 @@
 // that was moved because its target waits to load does not count as a failure.
 func placeResultOf(o resend.Outcome, err error) place.Result {
 	if errors.Is(err, errLoading) {
-		return place.ResultLeft
+		return place.ResultCallerGone
 	}
 	return placeResults[o]
 }
@@ -103,10 +103,10 @@
 		// it must not be sent, because an idle engine would begin it at once. Or the
 		// request may have been found to crash targets. The next iteration offers it
 		// again or refuses it.
-		if _, blocked := s.blocked(q); !blocked && !s.versionTooOld(q, v.Serving) {
+		if _, blocked := s.blocked(q); !blocked && !s.versionTooOld(q, v.ServedVersion) {
 			return v, true
 		}
-		s.dispatcher.done(v.ID, place.ResultLeft)
+		s.dispatcher.done(v.ID, place.ResultCallerGone)
 	}
 }
 
--- a/io/request/direct/dispatcher.go
+++ b/io/request/direct/dispatcher.go
@@ -44,11 +44,11 @@
 
 // place offers w to the placer and waits for the verdict on it. It returns false
 // if ctx ends first; the place is then given back or the request withdrawn.
-func (d *dispatcher) place(ctx context.Context, w place.Work) (place.Verdict, bool) {
+func (d *dispatcher) place(ctx context.Context, w place.Request) (place.Verdict, bool) {
 	offer := func() []place.Verdict { return d.placer.Offer(d.clock.Now(), w) }
 	return d.Await(ctx, w.ID, offer, func(v *place.Verdict) []place.Verdict {
 		if v != nil && v.Decision == place.Placed {
-			return d.placer.Done(d.clock.Now(), w.ID, place.ResultLeft)
+			return d.placer.RequestEnded(d.clock.Now(), w.ID, place.ResultCallerGone)
 		}
 		d.placer.Withdraw(w.ID, w.Service)
 		return nil
@@ -57,19 +57,19 @@
 
 // responseBegan tells the placer that the target has sent the first part of a response.
 func (d *dispatcher) responseBegan(id string) {
-	d.Do(func() []place.Verdict { return d.placer.Began(d.clock.Now(), id) })
+	d.Do(func() []place.Verdict { return d.placer.AnswerBegan(d.clock.Now(), id) })
 }
 
 // done tells the placer how an attempt ended, which frees its place.
 func (d *dispatcher) done(id string, r place.Result) {
-	d.Do(func() []place.Verdict { return d.placer.Done(d.clock.Now(), id, r) })
+	d.Do(func() []place.Verdict { return d.placer.RequestEnded(d.clock.Now(), id, r) })
 }
 
 // otherHasRoom reports whether any target of the service except the given one can take
 // a request now.
 func (d *dispatcher) otherHasRoom(service, target string) (ok bool) {
 	d.Do(func() []place.Verdict {
-		ok = d.placer.Other(d.clock.Now(), service, target)
+		ok = d.placer.HasRoomElsewhere(d.clock.Now(), service, target)
 		return nil
 	})
 	return ok
@@ -78,10 +78,10 @@
 // placeHandover places a response under way at another target. If its present target is
 // silent, any target with room will do; otherwise only one that has ample room and is
 // expected to continue within the given time. It does not wait for a place.
-func (d *dispatcher) placeHandover(w place.Work, cause error, within time.Duration) (v place.Verdict, ok bool) {
+func (d *dispatcher) placeHandover(w place.Request, cause error, within time.Duration) (v place.Verdict, ok bool) {
 	d.Do(func() []place.Verdict {
 		if errors.Is(cause, errSilent) {
-			v, ok = d.placer.Replace(d.clock.Now(), w)
+			v, ok = d.placer.Reassign(d.clock.Now(), w)
 		} else {
 			v, ok = d.placer.Relocate(d.clock.Now(), w, within)
 		}
@@ -92,18 +92,18 @@
 
 // fewRequestsLeft reports whether a target that is waiting to load a version has few
 // requests left.
-func (d *dispatcher) fewRequestsLeft(target string, r place.Report) (ok bool) {
+func (d *dispatcher) fewRequestsLeft(target string, r place.LoadReport) (ok bool) {
 	d.Do(func() []place.Verdict {
-		ok = d.placer.FewLeft(target, r)
+		ok = d.placer.NearlyDrained(target, r)
 		return nil
 	})
 	return ok
 }
 
 // served returns the model version that each engine target serves.
-func (d *dispatcher) served() (out []place.Served) {
+func (d *dispatcher) served() (out []place.TargetVersion) {
 	d.Do(func() []place.Verdict {
-		out = d.placer.Served(d.clock.Now())
+		out = d.placer.TargetVersions(d.clock.Now())
 		return nil
 	})
 	return out
@@ -118,13 +118,13 @@
 // zone.
 func (d *dispatcher) setRoundTrip(zone string, roundTrip time.Duration) {
 	d.Do(func() []place.Verdict {
-		d.placer.Way(zone, roundTrip)
+		d.placer.SetRoundTrip(zone, roundTrip)
 		return nil
 	})
 }
 
 // report hands a target's report of its own load to the placer.
-func (d *dispatcher) report(target string, r place.Report) {
+func (d *dispatcher) report(target string, r place.LoadReport) {
 	d.Do(func() []place.Verdict { return d.placer.Report(d.clock.Now(), target, r) })
 }
 
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -249,15 +249,15 @@
 }
 
 // placerWork returns the request in the form that the placer takes.
-func (s *Server) placerWork(q *request) place.Work {
+func (s *Server) placerWork(q *request) place.Request {
 	answerTokens := q.call.Hint
 	if answerTokens <= 0 {
 		answerTokens = q.call.Answer
 	}
-	return place.Work{
-		ID: q.call.ID, Service: q.service.Name, Kind: q.route.Name, Prompt: q.call.Prompt, Answer: answerTokens,
-		Asked: q.firstAskedAt, Objective: q.route.Objective, Deadline: q.deadline, Priority: q.route.Priority,
-		Limits: s.versionLimits(q), Newest: s.newestVersion(q), Avoid: q.failedTargets, Begun: q.responseBegun,
+	return place.Request{
+		ID: q.call.ID, Service: q.service.Name, Kind: q.route.Name, PromptTokens: q.call.Prompt, AnswerTokens: answerTokens,
+		FirstRequestedAt: q.firstAskedAt, Objective: q.route.Objective, Deadline: q.deadline, Priority: q.route.Priority,
+		Limits: s.versionLimits(q), NewestVersion: s.newestVersion(q), FailedTargets: q.failedTargets, Resumed: q.responseBegun,
 	}
 }
 
@@ -334,7 +334,7 @@
 	}
 	s.Dialect.Forward(h, Forward{
 		Target: v.Target.ID, Left: q.deadline.Sub(s.Clock.Now()), Customer: q.customer,
-		LastEvent: q.lastEventID, Version: s.expectedVersion(q, v.Serving),
+		LastEvent: q.lastEventID, Version: s.expectedVersion(q, v.ServedVersion),
 	})
 	out := (&http.Request{Method: q.incoming.Method, Host: q.incoming.Host, Header: h, Close: true}).WithContext(ctx)
 	u := *q.incoming.URL
--- a/io/request/direct/handover.go
+++ b/io/request/direct/handover.go
@@ -88,14 +88,14 @@
 		return nil
 	}
 	w := s.placerWork(q)
-	w.ID, w.Begun = q.placementID+"+", true
-	w.Avoid = append(w.Avoid[:len(w.Avoid):len(w.Avoid)], q.targetID)
+	w.ID, w.Resumed = q.placementID+"+", true
+	w.FailedTargets = append(w.FailedTargets[:len(w.FailedTargets):len(w.FailedTargets)], q.targetID)
 	v, ok := s.dispatcher.placeHandover(w, cause, bufferingTime(q.route.Gap))
 	if !ok {
 		return nil
 	}
 	if !s.takeRetry(q.service.Name) {
-		s.dispatcher.done(v.ID, place.ResultLeft)
+		s.dispatcher.done(v.ID, place.ResultCallerGone)
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
--- a/io/request/direct/handover_test.go
+++ b/io/request/direct/handover_test.go
@@ -118,7 +118,7 @@
 	m.server.Source = &testSource{facts: known}
 	m.server.init()
 	m.server.dispatcher.update(known)
-	m.server.Report("b", place.Report{Alive: true, Busy: true, Serving: 1})
+	m.server.Report("b", place.LoadReport{Alive: true, Loading: true, ServedVersion: 1})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- m.server.Run(ctx) }()
@@ -134,8 +134,8 @@
 // requestLoad reports that a waits to load a version, with one request left, and that b
 // is idle.
 func (m *handoverTest) requestLoad() {
-	m.server.Report("b", place.Report{Alive: true, Serving: 1})
-	m.server.Report("a", place.Report{Alive: true, Busy: true, Active: 1, Serving: 1})
+	m.server.Report("b", place.LoadReport{Alive: true, ServedVersion: 1})
+	m.server.Report("a", place.LoadReport{Alive: true, Loading: true, Active: 1, ServedVersion: 1})
 }
 
 // startStream sends a request and returns the response once its first event has
@@ -316,7 +316,7 @@
 		requests <- struct{}{}
 	})
 	_, in := m.startStream()
-	m.server.Report("b", place.Report{Alive: true, Serving: 1})
+	m.server.Report("b", place.LoadReport{Alive: true, ServedVersion: 1})
 	select {
 	case <-requests:
 	case <-time.After(5 * time.Second):
--- a/io/request/direct/progress.go
+++ b/io/request/direct/progress.go
@@ -83,8 +83,8 @@
 	d := trail.Decision{
 		Area: trail.AreaCall, Action: action, Request: q.call.ID, Customer: q.customer,
 		Service: q.service.Name, Subject: q.route.Name, Choice: v.Target.ID, Revision: q.revision(),
-		Load: v.Load, Version: v.Serving, Demanded: q.progress.minVersion,
-		WaitedMS: v.Waited.Milliseconds(), ExpectedMS: v.Expected.Milliseconds(),
+		Load: v.Load, Version: v.ServedVersion, Demanded: q.progress.minVersion,
+		WaitedMS: v.Waited.Milliseconds(), ExpectedMS: v.ExpectedFirstAnswer.Milliseconds(),
 	}
 	if q.hasKey {
 		d.Fingerprint = q.key.String()
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -153,9 +153,9 @@
 }
 
 // Report handles a target's report of its own load.
-func (s *Server) Report(target string, r place.Report) {
+func (s *Server) Report(target string, r place.LoadReport) {
 	s.init()
-	s.noteEntryCount(r.Fleet)
+	s.noteEntryCount(r.TotalEntries)
 	s.dispatcher.report(target, r)
 	s.moveLastStreams(target, r)
 }
@@ -170,7 +170,7 @@
 }
 
 // Served returns the model version that each engine target serves.
-func (s *Server) Served() []place.Served {
+func (s *Server) Served() []place.TargetVersion {
 	s.init()
 	return s.dispatcher.served()
 }
--- a/io/request/direct/watchdog.go
+++ b/io/request/direct/watchdog.go
@@ -70,7 +70,7 @@
 // whether another target may take the request over.
 func (s *Server) startWatchdog(q *request, x *exchange, v place.Verdict, movable bool) *watchdog {
 	g := &watchdog{
-		server: s, q: q, x: x, targetID: v.Target.ID, servingVersion: v.Serving,
+		server: s, q: q, x: x, targetID: v.Target.ID, servingVersion: v.ServedVersion,
 		movable: movable, handoverRequests: make(chan error, 1),
 	}
 	g.checkVersion()
--- a/io/request/direct/watchdogset.go
+++ b/io/request/direct/watchdogset.go
@@ -45,7 +45,7 @@
 
 // moveLastStreams requests handovers of the last streams at a target that waits to load
 // a version, so that it can load without waiting for them to end.
-func (s *Server) moveLastStreams(target string, r place.Report) {
+func (s *Server) moveLastStreams(target string, r place.LoadReport) {
 	if !s.dispatcher.fewRequestsLeft(target, r) {
 		return
 	}
--- a/io/request/direct/watchdogset_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -19,18 +19,18 @@
 // Guards against an engine that stays almost empty for a second before it loads a
 // version, because of one long stream that could continue elsewhere.
 func TestLastStreamsMoveFromTargetWaitingToLoad(t *testing.T) {
-	waitingToLoad := place.Report{Alive: true, Busy: true, Active: 1, Serving: 1}
+	waitingToLoad := place.LoadReport{Alive: true, Loading: true, Active: 1, ServedVersion: 1}
 	tests := []struct {
 		name       string
 		repeatable bool
 		begun      bool
-		report     place.Report
+		report     place.LoadReport
 		want       bool
 	}{
 		{"stream under way", true, true, waitingToLoad, true},
 		{"response not begun", true, false, waitingToLoad, false},
 		{"not repeatable", false, true, waitingToLoad, false},
-		{"not waiting to load", true, true, place.Report{Alive: true, Active: 1, Serving: 1}, false},
+		{"not waiting to load", true, true, place.LoadReport{Alive: true, Active: 1, ServedVersion: 1}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
