--- a/core/request/spend/spend.go
+++ b/core/request/spend/spend.go
@@ -47,14 +47,14 @@
 	currentBucket int64
 }
 
-// Earn counts a request of a caller.
-func (b *Budget) Earn(now time.Time) {
+// CountRequest counts a request of a caller.
+func (b *Budget) CountRequest(now time.Time) {
 	b.advance(now)
 	b.requests[b.currentBucket%buckets]++
 }
 
-// Take reports whether a request may be repeated, and counts the repeat if so.
-func (b *Budget) Take(now time.Time) bool {
+// TryRepeat reports whether a request may be repeated, and counts the repeat if so.
+func (b *Budget) TryRepeat(now time.Time) bool {
 	b.advance(now)
 	allowed := ratioShare*b.Ratio*sum(b.requests[:]) + b.slackShare()
 	if sum(b.repeats[:])+1 > allowed {
--- a/core/request/spend/spend_test.go
+++ b/core/request/spend/spend_test.go
@@ -22,9 +22,9 @@
 		}
 		var x sent
 		for range perSecond {
-			b.Earn(now)
+			b.CountRequest(now)
 			x.requests++
-			if b.Take(now) {
+			if b.TryRepeat(now) {
 				x.repeats++
 			}
 			now = now.Add(time.Second / time.Duration(perSecond))
@@ -71,14 +71,14 @@
 // window.
 func newRunningBudget(now time.Time, window time.Duration) *Budget {
 	b := &Budget{Ratio: 0.2, Slack: 100, Window: window}
-	b.Earn(now.Add(-2 * window))
+	b.CountRequest(now.Add(-2 * window))
 	return b
 }
 
 // takeAll takes repeats until none is granted, and returns how many were.
 func takeAll(b *Budget, now time.Time) int {
 	n := 0
-	for b.Take(now) {
+	for b.TryRepeat(now) {
 		n++
 	}
 	return n
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -236,14 +236,14 @@
 func (s *Server) takeRetry(service string) bool {
 	s.budgetMu.Lock()
 	defer s.budgetMu.Unlock()
-	return s.retryBudget(service).Take(s.Clock.Now())
+	return s.retryBudget(service).TryRepeat(s.Clock.Now())
 }
 
 // countForRetries counts a caller's request; the retry budget is a fraction of these.
 func (s *Server) countForRetries(service string) {
 	s.budgetMu.Lock()
 	defer s.budgetMu.Unlock()
-	s.retryBudget(service).Earn(s.Clock.Now())
+	s.retryBudget(service).CountRequest(s.Clock.Now())
 }
 
 // retryBudget returns the budget of a service. The caller must hold budgetMu.
