--- a/core/request/poison/model_test.go
+++ b/core/request/poison/model_test.go
@@ -55,7 +55,7 @@
 type clientRequest struct {
 	key         Key
 	hot         bool
-	tries       resend.Tries
+	tries       resend.AttemptTracker
 	callerTries int
 	target      int
 	born        time.Duration
@@ -151,7 +151,7 @@
 // send starts the next try of a caller.
 func (p *simulation) send(now time.Duration, x *clientRequest) {
 	x.callerTries++
-	x.tries = resend.Tries{Repeatable: true, Most: 2}
+	x.tries = resend.AttemptTracker{Repeatable: true, MaxAttempts: 2}
 	p.attempt(now, x, -1)
 }
 
@@ -222,7 +222,7 @@
 func (p *simulation) breakOff(now time.Duration, x *clientRequest) {
 	p.ledger.Strike(epoch.Add(now), x.key, p.startOf(x), now-x.began-p.short)
 	switch {
-	case x.tries.After(resend.Broken):
+	case x.tries.Ended(resend.Broken):
 		p.attempt(now, x, x.target)
 	case x.callerTries < maxCallerTries:
 		x.waitUntil = now + retryDelay
--- a/core/request/resend/explore_test.go
+++ b/core/request/resend/explore_test.go
@@ -8,7 +8,7 @@
 // attempts is the type under test: Tries, or a variant without a safeguard.
 type attempts interface {
 	Sent()
-	After(o Outcome) bool
+	Ended(o Outcome) bool
 	MayRefuse() bool
 }
 
@@ -24,16 +24,16 @@
 // and the target can see it. After a broken connection or an answer to another request
 // it is open whether the request ran.
 var attemptResults = []attemptResult{
-	{Unsent, false, false},
+	{Unreached, false, false},
 	{NotRun, true, false},
 	{Broken, true, false},
 	{Broken, true, true},
-	{Failure, true, true},
-	{LateReply, true, false},
-	{LateReply, true, true},
+	{TargetFailure, true, true},
+	{MismatchedReply, true, false},
+	{MismatchedReply, true, true},
 	{Relayed, true, true},
-	{Caller, true, true},
-	{Caller, true, false},
+	{CallerGone, true, true},
+	{CallerGone, true, false},
 }
 
 // maxAttempts bounds the length of a sequence. Unsent attempts end after maxUnreached.
@@ -60,7 +60,7 @@
 				if m.ran {
 					runs++
 				}
-				more = t.After(m.outcome)
+				more = t.Ended(m.outcome)
 			}
 			switch {
 			case !repeatable && runs > 1, reached > maxTargets, runs > 0 && t.MayRefuse():
@@ -83,7 +83,7 @@
 func TestEveryOrderOfOutcomes(t *testing.T) {
 	for _, repeatable := range []bool{false, true} {
 		for most := 1; most <= 3; most++ {
-			newTries := func() attempts { return &Tries{Repeatable: repeatable, Most: most} }
+			newTries := func() attempts { return &AttemptTracker{Repeatable: repeatable, MaxAttempts: most} }
 			if bad := explore(newTries, repeatable, most); bad != nil {
 				t.Errorf("repeatable %v, %d targets: broken by %v", repeatable, most, bad)
 			}
@@ -93,23 +93,23 @@
 
 // Variants of Tries, each without one safeguard.
 type (
-	alwaysRepeats     struct{ Tries }
-	alwaysRefuses     struct{ Tries }
-	forgetsEarlierRun struct{ Tries }
-	trustsBroken      struct{ Tries }
-	countsNoTargets   struct{ Tries }
+	alwaysRepeats     struct{ AttemptTracker }
+	alwaysRefuses     struct{ AttemptTracker }
+	forgetsEarlierRun struct{ AttemptTracker }
+	trustsBroken      struct{ AttemptTracker }
+	countsNoTargets   struct{ AttemptTracker }
 )
 
-func (v *alwaysRepeats) After(o Outcome) bool {
+func (v *alwaysRepeats) Ended(o Outcome) bool {
 	v.Repeatable = true
-	return v.Tries.After(o)
+	return v.AttemptTracker.Ended(o)
 }
 
 func (v *alwaysRefuses) MayRefuse() bool { return true }
 
 // forgetsEarlierRun treats a rejection by the last target as one by all targets.
-func (v *forgetsEarlierRun) After(o Outcome) bool {
-	more := v.Tries.After(o)
+func (v *forgetsEarlierRun) Ended(o Outcome) bool {
+	more := v.AttemptTracker.Ended(o)
 	if o == NotRun {
 		v.mayHaveRun = false
 	}
@@ -117,23 +117,23 @@
 }
 
 // trustsBroken treats a broken connection as proof that the request did not run.
-func (v *trustsBroken) After(o Outcome) bool {
+func (v *trustsBroken) Ended(o Outcome) bool {
 	if o == Broken {
 		o = NotRun
 	}
-	return v.Tries.After(o)
+	return v.AttemptTracker.Ended(o)
 }
 
 func (v *countsNoTargets) Sent() {
-	v.Tries.Sent()
+	v.AttemptTracker.Sent()
 	v.reached = 0
 }
 
 // Guards against an exploration that finds nothing at all: it must find a broken rule
 // for each safeguard that is left out.
 func TestSafeguardsAreNeeded(t *testing.T) {
-	once := Tries{Most: 3}
-	often := Tries{Repeatable: true, Most: 2}
+	once := AttemptTracker{MaxAttempts: 3}
+	often := AttemptTracker{Repeatable: true, MaxAttempts: 2}
 	tests := []struct {
 		name       string
 		newTries   func() attempts
--- a/core/request/resend/resend.go
+++ b/core/request/resend/resend.go
@@ -10,32 +10,32 @@
 // NotRun that the target rejected the request before running it, and Unsent that the
 // target was not reached. Broken means that the answer ended early or never came, after
 // the request may have run. Failure is an error that the target itself answered, Caller
-// means that the caller went away, and LateReply is an answer to another request. Moved
+// means that the caller went away, and MismatchedReply is an answer to another request. Moved
 // is an attempt whose answer goes on at another target, Dropped one that the entry no
 // longer needs.
 const (
-	Relayed   Outcome = "relayed"
-	Failure   Outcome = "failureOfTarget"
-	NotRun    Outcome = "notRun"
-	Unsent    Outcome = "unsent"
-	Broken    Outcome = "broken"
-	Caller    Outcome = "callerGone"
-	LateReply Outcome = "replyOfAnother"
-	Moved     Outcome = "moved"
-	Dropped   Outcome = "dropped"
+	Relayed         Outcome = "relayed"
+	TargetFailure   Outcome = "failureOfTarget"
+	NotRun          Outcome = "notRun"
+	Unreached       Outcome = "unsent"
+	Broken          Outcome = "broken"
+	CallerGone      Outcome = "callerGone"
+	MismatchedReply Outcome = "replyOfAnother"
+	Moved           Outcome = "moved"
+	Dropped         Outcome = "dropped"
 )
 
 // maxUnreached bounds the attempts that did not reach a target. Each costs time that
 // the caller does not have.
 const maxUnreached = 4
 
-// Tries tracks the attempts at one request. Set the exported fields before the first
+// AttemptTracker tracks the attempts at one request. Set the exported fields before the first
 // call.
-type Tries struct {
+type AttemptTracker struct {
 	// Repeatable is set for a request that may run more than once.
 	Repeatable bool
-	// Most is the maximum number of targets that the request may reach.
-	Most int
+	// MaxAttempts is the maximum number of targets that the request may reach.
+	MaxAttempts int
 
 	reached   int
 	unreached int
@@ -47,39 +47,39 @@
 
 // Sent records that the request is about to be written to a target. From then on it may
 // run, even if the connection breaks.
-func (t *Tries) Sent() {
+func (t *AttemptTracker) Sent() {
 	t.reached++
 	t.mayHaveRunBefore = t.mayHaveRun
 	t.mayHaveRun = true
 }
 
-// After records how an attempt ended, and reports whether another may follow.
-func (t *Tries) After(o Outcome) bool {
+// Ended records how an attempt ended, and reports whether another may follow.
+func (t *AttemptTracker) Ended(o Outcome) bool {
 	switch o {
-	case Unsent:
+	case Unreached:
 		t.unreached++
 		return t.unreached < maxUnreached
 	case NotRun:
 		// Only the target's own answer proves that the request has not run.
 		t.mayHaveRun = t.mayHaveRunBefore
-	case Broken, Failure, LateReply:
+	case Broken, TargetFailure, MismatchedReply:
 		if !t.Repeatable {
 			return false
 		}
-	case Relayed, Caller:
+	case Relayed, CallerGone:
 		return false
 	}
-	return t.reached < t.Most
+	return t.reached < t.MaxAttempts
 }
 
-// Left returns how many more targets may get the request while one has it.
-func (t *Tries) Left() int {
+// Remaining returns how many more targets may get the request while one has it.
+func (t *AttemptTracker) Remaining() int {
 	if !t.Repeatable || t.unreached >= maxUnreached {
 		return 0
 	}
-	return max(t.Most-t.reached, 0)
+	return max(t.MaxAttempts-t.reached, 0)
 }
 
 // MayRefuse reports whether the caller may be told that its request has not run and
 // never will.
-func (t *Tries) MayRefuse() bool { return !t.mayHaveRun }
+func (t *AttemptTracker) MayRefuse() bool { return !t.mayHaveRun }
--- a/io/request/direct/attempts.go
+++ b/io/request/direct/attempts.go
@@ -14,15 +14,15 @@
 
 // placeResults maps the outcome of an attempt to what the placer is told of the target.
 var placeResults = map[resend.Outcome]place.Result{
-	resend.Relayed:   place.ResultDone,
-	resend.Failure:   place.ResultDone,
-	resend.NotRun:    place.ResultRejected,
-	resend.Unsent:    place.ResultUnreached,
-	resend.Broken:    place.ResultFailed,
-	resend.Caller:    place.ResultCallerGone,
-	resend.LateReply: place.ResultFailed,
-	resend.Moved:     place.ResultFailed,
-	resend.Dropped:   place.ResultCallerGone,
+	resend.Relayed:         place.ResultDone,
+	resend.TargetFailure:   place.ResultDone,
+	resend.NotRun:          place.ResultRejected,
+	resend.Unreached:       place.ResultUnreached,
+	resend.Broken:          place.ResultFailed,
+	resend.CallerGone:      place.ResultCallerGone,
+	resend.MismatchedReply: place.ResultFailed,
+	resend.Moved:           place.ResultFailed,
+	resend.Dropped:         place.ResultCallerGone,
 }
 
 // responseRelay passes the responses of targets on to the caller. It is used for all
@@ -52,7 +52,7 @@
 // allowed.
 func (s *Server) runAttempts(ctx context.Context, w http.ResponseWriter, q *request) {
 	out := s.newRelay(w, q)
-	q.tries = resend.Tries{Repeatable: q.route.Repeatable(), Most: q.route.Attempts}
+	q.tries = resend.AttemptTracker{Repeatable: q.route.Repeatable(), MaxAttempts: q.route.Attempts}
 	for {
 		v, ok := s.waitForTarget(ctx, w, q, out)
 		if !ok {
@@ -66,7 +66,7 @@
 			s.finishRequest(q, string(o), q.progress.status)
 			return
 		}
-		if ctx.Err() != nil || o == resend.Caller {
+		if ctx.Err() != nil || o == resend.CallerGone {
 			s.endUnanswered(w, q, out)
 			return
 		}
@@ -116,11 +116,11 @@
 	req := s.targetRequest(ctx, q, v)
 	x, err := s.connector.connect(ctx, v.Target)
 	if err != nil {
-		return resend.Unsent, err
+		return resend.Unreached, err
 	}
 	defer x.close()
 	q.tries.Sent()
-	wd := s.startWatchdog(q, x, v, q.tries.Left() > 0)
+	wd := s.startWatchdog(q, x, v, q.tries.Remaining() > 0)
 	defer wd.stop()
 	if o, err := s.sendAndCheck(q, x, req); o != "" {
 		return o, err
@@ -139,7 +139,7 @@
 		return resend.NotRun, errors.Newf("status %d", x.resp.StatusCode)
 	}
 	if reply.Call != "" && reply.Call != q.call.ID {
-		return resend.LateReply, errors.Newf("response is for request %q", reply.Call)
+		return resend.MismatchedReply, errors.Newf("response is for request %q", reply.Call)
 	}
 	if x.resp.StatusCode < http.StatusMultipleChoices && !reply.Signed {
 		return resend.Broken, errors.New("response is not signed by the target")
@@ -150,10 +150,10 @@
 // mayRetry reports whether another attempt may follow one with the given outcome, and
 // counts it in the retry budget. An attempt that reached no target is not counted.
 func (s *Server) mayRetry(q *request, o resend.Outcome) bool {
-	if !q.tries.After(o) {
+	if !q.tries.Ended(o) {
 		return false
 	}
-	if o == resend.Unsent || q.retryCounted.CompareAndSwap(true, false) {
+	if o == resend.Unreached || q.retryCounted.CompareAndSwap(true, false) {
 		return true
 	}
 	if !s.takeRetry(q.service.Name) {
--- a/io/request/direct/buffered.go
+++ b/io/request/direct/buffered.go
@@ -81,7 +81,7 @@
 	}
 	if x.resp.StatusCode >= http.StatusInternalServerError && r.q.route.Repeatable() {
 		r.heldFailure, r.heldBody = x.resp, b
-		return resend.Failure
+		return resend.TargetFailure
 	}
 	return r.send(x.resp, b)
 }
@@ -95,7 +95,7 @@
 	}
 	r.caller.writeHead(resp, length)
 	if err := r.caller.write(b); err != nil {
-		return resend.Caller
+		return resend.CallerGone
 	}
 	return resend.Relayed
 }
--- a/io/request/direct/forwarder.go
+++ b/io/request/direct/forwarder.go
@@ -108,7 +108,7 @@
 // forward sends one event to the caller.
 func (f *streamForwarder) forward(x *exchange, e event) resend.Outcome {
 	if f.sendEvent(x, e) != nil {
-		return resend.Caller
+		return resend.CallerGone
 	}
 	return ""
 }
@@ -190,7 +190,7 @@
 	if succ.sent {
 		f.q.tries.Sent()
 	}
-	f.q.tries.After(succ.outcome)
+	f.q.tries.Ended(succ.outcome)
 	if succ.outcome != resend.Dropped {
 		f.q.failedTargets = append(f.q.failedTargets, h.verdict.Target.ID)
 	}
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -51,7 +51,7 @@
 	firstAskedAt time.Time
 	deadline     time.Time
 
-	tries resend.Tries
+	tries resend.AttemptTracker
 	// failedTargets are the IDs of targets that must not get the request again.
 	failedTargets []string
 	// retryCounted is set if the next attempt has already been counted in the retry
--- a/io/request/direct/handover.go
+++ b/io/request/direct/handover.go
@@ -83,7 +83,7 @@
 // there. It returns nil if no target has room, the request is blocked, or it may not be
 // sent again.
 func (s *Server) beginHandover(ctx context.Context, q *request, cause error) *handover {
-	left := q.tries.Left()
+	left := q.tries.Remaining()
 	if _, blocked := s.blocked(q); blocked || left == 0 {
 		return nil
 	}
@@ -114,7 +114,7 @@
 	succ := successor{}
 	x, err := s.connector.connect(ctx, v.Target)
 	if err != nil {
-		return succ.fail(resend.Unsent, err)
+		return succ.fail(resend.Unreached, err)
 	}
 	succ.x, succ.sent, succ.watchdog = x, true, s.startWatchdog(q, x, v, movable)
 	if o, err := s.sendAndCheck(q, x, req); o != "" {
--- a/io/request/direct/progress.go
+++ b/io/request/direct/progress.go
@@ -144,7 +144,7 @@
 		s.metrics.countAborted(c)
 		s.endCounts.countAborted(c)
 	}
-	if begun && o != resend.NotRun && o != resend.Unsent {
+	if begun && o != resend.NotRun && o != resend.Unreached {
 		q.progress.endCause = c
 	}
 	if o == resend.Broken {
--- a/io/request/direct/suspects.go
+++ b/io/request/direct/suspects.go
@@ -63,7 +63,7 @@
 	case o == resend.Broken && (lostConnection(err) || lostConnection(q.progress.responseErr)):
 		s.Suspects.Struck(q.fingerprint(), at, q.progress.responseDuration(s.Clock.Now()))
 	case !s.Suspects.Any():
-	case o == resend.Relayed || o == resend.Failure:
+	case o == resend.Relayed || o == resend.TargetFailure:
 		s.Suspects.Answered(q.progress.attemptStart, at)
 		// With an error status, the request may not have run.
 		if q.progress.status < http.StatusBadRequest {
--- a/io/request/direct/suspects_test.go
+++ b/io/request/direct/suspects_test.go
@@ -109,13 +109,13 @@
 		{"target silent", resend.Broken, errors.CombineErrors(closed, errSilent), nil, 0, 0, nil},
 		{"events out of order", resend.Broken, nil, errOrder, 200, 0, nil},
 		{"not signed", resend.Broken, errors.New("response is not signed by the target"), nil, 200, 0, nil},
-		{"target not reached", resend.Unsent, reset, nil, 0, 0, nil},
+		{"target not reached", resend.Unreached, reset, nil, 0, 0, nil},
 		{"rejected by the target", resend.NotRun, errors.New("status 503"), nil, 0, 0, nil},
-		{"response to another request", resend.LateReply, errors.New("another"), nil, 0, 0, nil},
-		{"caller disconnected", resend.Caller, nil, nil, 200, 0, nil},
+		{"response to another request", resend.MismatchedReply, errors.New("another"), nil, 0, 0, nil},
+		{"caller disconnected", resend.CallerGone, nil, nil, 200, 0, nil},
 		{"success", resend.Relayed, nil, nil, 200, 0, []string{"answered i-1", "succeeded"}},
 		{"client error", resend.Relayed, nil, nil, 404, 0, []string{"answered i-1"}},
-		{"server error", resend.Failure, nil, nil, 500, 0, []string{"answered i-1"}},
+		{"server error", resend.TargetFailure, nil, nil, 500, 0, []string{"answered i-1"}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/io/request/direct/watchdog_test.go
+++ b/io/request/direct/watchdog_test.go
@@ -54,7 +54,7 @@
 }
 
 func (w *watchdogTest) start() {
-	w.watchdog = w.server.startWatchdog(w.q, w.x, place.Verdict{Target: facts.Target{ID: w.q.targetID}, ServedVersion: 1}, w.q.tries.Left() > 0)
+	w.watchdog = w.server.startWatchdog(w.q, w.x, place.Verdict{Target: facts.Target{ID: w.q.targetID}, ServedVersion: 1}, w.q.tries.Remaining() > 0)
 	w.t.Cleanup(w.watchdog.stop)
 }
 
--- a/io/request/direct/watchdogset_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -40,7 +40,7 @@
 			w.server.init()
 			w.server.dispatcher.update(idleEngines("a", "b"))
 			w.q.targetID = "a"
-			w.q.tries = resend.Tries{Repeatable: tc.repeatable, Most: 2}
+			w.q.tries = resend.AttemptTracker{Repeatable: tc.repeatable, MaxAttempts: 2}
 			w.q.tries.Sent()
 			w.start()
 			if tc.begun {
