--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -36,18 +36,18 @@
 
 // Defaults of an Admitter's settings.
 const (
-	DefaultQueue     = 1024
-	DefaultServices  = 256
-	DefaultCustomers = 1024
-	DefaultTargets   = 256
-	DefaultAge       = 10 * time.Minute
-	DefaultReportAge = 5 * time.Second
-	DefaultCallAge   = 30 * time.Minute
+	DefaultMaxQueue     = 1024
+	DefaultMaxServices  = 256
+	DefaultMaxCustomers = 1024
+	DefaultMaxTargets   = 256
+	DefaultIdleAge      = 10 * time.Minute
+	DefaultMaxReportAge = 5 * time.Second
+	DefaultMaxCallAge   = 30 * time.Minute
 )
 
 // MaxRemembered is the highest number of services, customers and targets that an
 // Admitter with default settings stores, apart from its calls.
-const MaxRemembered = DefaultServices * (1 + DefaultCustomers + DefaultTargets)
+const MaxRemembered = DefaultMaxServices * (1 + DefaultMaxCustomers + DefaultMaxTargets)
 
 // Offer is a call that asks for admission. ID must not be in use. Deadline is the
 // latest time at which the first byte of the answer is of use to the caller; the zero
@@ -129,9 +129,9 @@
 	IdleAge time.Duration
 	// MaxReportAge is how old a load report may be and still count.
 	MaxReportAge time.Duration
-	// CallAge is the time without a Done after which an admitted call is taken to have
+	// MaxCallAge is the time without a Done after which an admitted call is taken to have
 	// ended.
-	CallAge time.Duration
+	MaxCallAge time.Duration
 	// Limit configures the adaptive limit of calls in flight.
 	Limit LimitSettings
 
@@ -253,13 +253,13 @@
 	return out
 }
 
-// endStuckCalls ends admitted calls for which Done was not called within CallAge. Each
+// endStuckCalls ends admitted calls for which Done was not called within MaxCallAge. Each
 // would otherwise hold a slot forever, and after weeks the service would have none
 // left.
 func (a *Admitter) endStuckCalls(now time.Time) []Verdict {
 	var stuck []string
 	for id, c := range a.calls {
-		if !c.admitted.IsZero() && now.Sub(c.admitted) > a.CallAge {
+		if !c.admitted.IsZero() && now.Sub(c.admitted) > a.MaxCallAge {
 			stuck = append(stuck, id)
 		}
 	}
@@ -294,15 +294,15 @@
 		return
 	}
 	a.ready = true
-	a.MaxQueue = orDefault(a.MaxQueue, DefaultQueue)
-	a.MaxCustomers = orDefault(a.MaxCustomers, DefaultCustomers)
-	a.MaxTargets = orDefault(a.MaxTargets, DefaultTargets)
-	a.MaxReportAge = orDefault(a.MaxReportAge, DefaultReportAge)
-	a.CallAge = orDefault(a.CallAge, DefaultCallAge)
-	a.IdleAge = max(orDefault(a.IdleAge, DefaultAge), a.CallAge)
+	a.MaxQueue = orDefault(a.MaxQueue, DefaultMaxQueue)
+	a.MaxCustomers = orDefault(a.MaxCustomers, DefaultMaxCustomers)
+	a.MaxTargets = orDefault(a.MaxTargets, DefaultMaxTargets)
+	a.MaxReportAge = orDefault(a.MaxReportAge, DefaultMaxReportAge)
+	a.MaxCallAge = orDefault(a.MaxCallAge, DefaultMaxCallAge)
+	a.IdleAge = max(orDefault(a.IdleAge, DefaultIdleAge), a.MaxCallAge)
 	a.Limit = a.Limit.withDefaults()
 	a.calls = make(map[string]*call)
-	a.services.Max = orDefault(a.MaxServices, DefaultServices)
+	a.services.Max = orDefault(a.MaxServices, DefaultMaxServices)
 	a.services.Age = a.IdleAge
 }
 
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -220,7 +220,7 @@
 func TestSoakDetectsLeak(t *testing.T) {
 	t.Parallel()
 	s := newSoak()
-	s.admit.CallAge = 52 * 7 * 24 * time.Hour
+	s.admit.MaxCallAge = 52 * 7 * 24 * time.Hour
 	s.run(1)
 	for _, l := range s.tracker.Lines(s.now) {
 		if l.Name.Name == "inFlight" && l.Declined {
