--- a/bench/policy/engine.go
+++ b/bench/policy/engine.go
@@ -74,9 +74,9 @@
 		if c.gone {
 			continue
 		}
-		hit := min(e.cache.match(c.request.Prefix), len(c.request.Prefix)-minimumBlocks)
+		hit := min(e.cache.match(c.request.PrefixHashes), len(c.request.PrefixHashes)-minimumBlocks)
 		c.hitBlocks = hit
-		c.prefill = (len(c.request.Prefix) - hit) * blockTokens
+		c.prefill = (len(c.request.PrefixHashes) - hit) * blockTokens
 		e.running = append(e.running, c)
 	}
 }
@@ -115,7 +115,7 @@
 // store puts the prompt into the cache and publishes the events, late and
 // with gaps.
 func (e *engine) store(c *call) {
-	for _, b := range c.request.Prefix {
+	for _, b := range c.request.PrefixHashes {
 		evicted, isNew := e.cache.put(b)
 		if isNew {
 			e.publish(b, true)
@@ -138,7 +138,7 @@
 }
 
 func (e *engine) report() {
-	r := route.Report{Running: len(e.running), Queued: len(e.queue), Capacity: engineSlots}
+	r := route.LoadReport{Running: len(e.running), Queued: len(e.queue), Capacity: engineSlots}
 	e.s.after(reportLag, func() {
 		for _, n := range e.s.entries {
 			n.report(e.vm.Name, r)
--- a/bench/policy/entry.go
+++ b/bench/policy/entry.go
@@ -33,13 +33,13 @@
 	policy   policy
 	calls    map[string]*call
 	inFlight map[string]int
-	reports  map[string]route.Report
+	reports  map[string]route.LoadReport
 }
 
 func (n *entry) start() {
 	n.calls = make(map[string]*call)
 	n.inFlight = make(map[string]int)
-	n.reports = make(map[string]route.Report)
+	n.reports = make(map[string]route.LoadReport)
 	n.s.after(tickEvery, n.tick)
 }
 
@@ -48,8 +48,8 @@
 	n.s.after(tickEvery, n.tick)
 }
 
-func (n *entry) report(target string, r route.Report) {
-	r.At = n.s.now
+func (n *entry) report(target string, r route.LoadReport) {
+	r.ReceivedAt = n.s.now
 	n.reports[target] = r
 	n.policy.report(n.s.now, target, r)
 }
@@ -100,10 +100,10 @@
 	out := make([]route.Candidate, 0, len(n.s.engines))
 	for _, e := range n.s.engines {
 		out = append(out, route.Candidate{
-			VM:       e.vm,
-			Standing: route.StandingReady,
-			InFlight: n.inFlight[e.vm.Name],
-			Report:   n.reports[e.vm.Name],
+			VM:           e.vm,
+			Availability: route.AvailabilityReady,
+			InFlight:     n.inFlight[e.vm.Name],
+			Report:       n.reports[e.vm.Name],
 		})
 	}
 	return out
--- a/bench/policy/measure.go
+++ b/bench/policy/measure.go
@@ -126,7 +126,7 @@
 		if c.first.IsZero() {
 			continue
 		}
-		blocks += len(c.request.Prefix)
+		blocks += len(c.request.PrefixHashes)
 		hit += c.hitBlocks
 		if c.request.Priority == route.PriorityInteractive {
 			_ = first.RecordValue(c.first.Sub(c.begun).Microseconds())
--- a/bench/policy/policies.go
+++ b/bench/policy/policies.go
@@ -14,7 +14,7 @@
 	offer(now time.Time, r route.Request) []admit.Verdict
 	choose(now time.Time, r route.Request, cs []route.Candidate) string
 	done(now time.Time, d admit.Done) []admit.Verdict
-	report(now time.Time, target string, r route.Report)
+	report(now time.Time, target string, r route.LoadReport)
 	event(now time.Time, target string, block uint64, stored bool)
 	paced(now time.Time, target string, pace time.Duration)
 	tick(now time.Time) []admit.Verdict
@@ -27,7 +27,7 @@
 	return []admit.Verdict{{ID: r.ID, Decision: admit.Admitted}}
 }
 func (open) done(time.Time, admit.Done) []admit.Verdict { return nil }
-func (open) report(time.Time, string, route.Report)     {}
+func (open) report(time.Time, string, route.LoadReport) {}
 func (open) event(time.Time, string, uint64, bool)      {}
 func (open) paced(time.Time, string, time.Duration)     {}
 func (open) tick(time.Time) []admit.Verdict             { return nil }
@@ -76,15 +76,15 @@
 }
 
 func (p *chosen) paced(now time.Time, target string, pace time.Duration) {
-	p.c.Paced(now, target, pace)
+	p.c.ObserveTokenInterval(now, target, pace)
 }
 
 func (p *chosen) event(now time.Time, target string, block uint64, stored bool) {
 	if stored {
-		p.c.Stored(now, target, block)
+		p.c.PrefixStored(now, target, block)
 		return
 	}
-	p.c.Evicted(now, target, block)
+	p.c.PrefixEvicted(now, target, block)
 }
 
 // whole is the project's choice of target and its admission.
@@ -105,7 +105,7 @@
 
 func (p *whole) done(now time.Time, d admit.Done) []admit.Verdict { return p.a.Done(now, d) }
 
-func (p *whole) report(now time.Time, target string, r route.Report) {
+func (p *whole) report(now time.Time, target string, r route.LoadReport) {
 	p.a.Report(now, "helper", target, r)
 }
 
--- a/bench/policy/work.go
+++ b/bench/policy/work.go
@@ -129,10 +129,10 @@
 		r.Priority = route.PriorityBatch
 	}
 	for i := range sharedBlocks {
-		r.Prefix = append(r.Prefix, customerHashBase+uint64(c.customer*sharedBlocks+i))
+		r.PrefixHashes = append(r.PrefixHashes, customerHashBase+uint64(c.customer*sharedBlocks+i))
 	}
 	for i := range (c.turn + 1) * turnBlocks {
-		r.Prefix = append(r.Prefix, c.number<<10+uint64(i))
+		r.PrefixHashes = append(r.PrefixHashes, c.number<<10+uint64(i))
 	}
 	return r
 }
--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -152,7 +152,7 @@
 }
 
 // Report records a target's load report.
-func (a *Admitter) Report(now time.Time, serviceName, target string, r route.Report) {
+func (a *Admitter) Report(now time.Time, serviceName, target string, r route.LoadReport) {
 	a.prepare()
 	if s := a.service(now, serviceName); s != nil {
 		s.reports.Put(now, target, r)
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -154,7 +154,7 @@
 	report := func(queued int) {
 		for range 20 {
 			now = now.Add(a.Limit.Interval)
-			a.Report(now, "helper", "t1", route.Report{At: now, Running: 10, Queued: queued, Capacity: 10})
+			a.Report(now, "helper", "t1", route.LoadReport{ReceivedAt: now, Running: 10, Queued: queued, Capacity: 10})
 			a.Tick(now)
 		}
 	}
--- a/core/request/admit/service.go
+++ b/core/request/admit/service.go
@@ -21,7 +21,7 @@
 	waiting   queue
 	maxQueue  int
 	customers aged.Table[string, *customer]
-	reports   aged.Table[string, route.Report]
+	reports   aged.Table[string, route.LoadReport]
 	// holdTime is how long an admitted call holds its slot, in seconds.
 	holdTime mean
 	// firstByte is the mean time from admission to the first byte, in seconds.
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -77,7 +77,7 @@
 			Address: netip.MustParseAddrPort("127.0.0.1:1"),
 			State:   fleet.StateLive,
 		},
-		Standing: route.StandingReady,
+		Availability: route.AvailabilityReady,
 	}
 }
 
@@ -90,15 +90,15 @@
 	}
 	for i := range s.targets {
 		t := &s.targets[i]
-		t.Serving = chunk.Sum([]byte(fmt.Sprint(s.now.Sub(s.startTime) / versionLifetime)))
-		t.Report = route.Report{At: s.now, Running: s.rand.IntN(8), Capacity: 16}
+		t.ServedVersion = chunk.Sum([]byte(fmt.Sprint(s.now.Sub(s.startTime) / versionLifetime)))
+		t.Report = route.LoadReport{ReceivedAt: s.now, Running: s.rand.IntN(8), Capacity: 16}
 		s.admit.Report(s.now, "helper", t.VM.Name, t.Report)
 	}
 	s.routedCall()
 	s.onceCall()
 	s.admit.Tick(s.now)
 	if s.every(time.Minute) {
-		s.chooser.Tick(s.now)
+		s.chooser.Expire(s.now)
 		s.measure()
 	}
 }
@@ -128,7 +128,7 @@
 	r := route.Request{ID: id, Customer: s.customer(), Service: "helper", Priority: route.PriorityInteractive}
 	r.Deadline = s.now.Add(2 * time.Second)
 	for i := range soakPrefixes {
-		r.Prefix = append(r.Prefix, uint64(s.n/3)<<8+uint64(i))
+		r.PrefixHashes = append(r.PrefixHashes, uint64(s.n/3)<<8+uint64(i))
 	}
 	for _, v := range s.admit.Offer(s.now, admit.Offer{ID: id, Customer: r.Customer, Service: r.Service, Priority: r.Priority, Deadline: r.Deadline}) {
 		if v.Decision == admit.Refused {
@@ -140,8 +140,8 @@
 	if err != nil {
 		panic(err)
 	}
-	s.chooser.Stored(s.now, c.VM.Name, s.rand.Uint64())
-	s.chooser.Paced(s.now, c.VM.Name, 25*time.Millisecond)
+	s.chooser.PrefixStored(s.now, c.VM.Name, s.rand.Uint64())
+	s.chooser.ObserveTokenInterval(s.now, c.VM.Name, 25*time.Millisecond)
 	// One call in a thousand is never reported as done, as if its goroutine
 	// was lost.
 	if s.rand.IntN(1000) > 0 {
@@ -177,7 +177,7 @@
 	sizes := s.chooser.Sizes()
 	s.tracker.Size(s.now, "prefixes", sizes.Prefixes)
 	s.tracker.Size(s.now, "targets", sizes.Targets)
-	s.tracker.Size(s.now, "speeds", sizes.Speeds)
+	s.tracker.Size(s.now, "speeds", sizes.TokenIntervals)
 	s.tracker.Size(s.now, "admission", s.admit.Size(s.now))
 	s.tracker.Size(s.now, "ledger", s.ledger.Len())
 	s.tracker.Count(s.now, "refused", s.refused)
--- a/core/request/route/choose.go
+++ b/core/request/route/choose.go
@@ -31,16 +31,16 @@
 
 // Default settings of a Chooser.
 const (
-	DefaultSubset          = 16
-	DefaultLoadFactor      = 1.25
-	DefaultMinAffinityLoad = 0.75
-	DefaultSpillThreshold  = 1.0
-	DefaultReportMaxAge    = 5 * time.Second
-	DefaultPaceMaxAge      = 5 * time.Minute
-	DefaultPrefixMaxAge    = 10 * time.Minute
-	DefaultPrefixes        = 1 << 16
-	DefaultMaxTargets      = 1 << 12
-	DefaultAssumedCapacity = 8
+	DefaultSubsetSize          = 16
+	DefaultLoadFactor          = 1.25
+	DefaultMinAffinityLoad     = 0.75
+	DefaultSpillThreshold      = 1.0
+	DefaultReportMaxAge        = 5 * time.Second
+	DefaultTokenIntervalMaxAge = 5 * time.Minute
+	DefaultPrefixMaxAge        = 10 * time.Minute
+	DefaultMaxPrefixes         = 1 << 16
+	DefaultMaxTargets          = 1 << 12
+	DefaultAssumedCapacity     = 8
 )
 
 // Chooser chooses targets for the calls of one entry. Set the exported fields before
@@ -67,8 +67,8 @@
 	SpillThreshold float64
 	// ReportMaxAge is the age up to which a load report is used.
 	ReportMaxAge time.Duration
-	// PaceMaxAge is how long a target's speed is remembered without a new sample.
-	PaceMaxAge time.Duration
+	// TokenIntervalMaxAge is how long a target's speed is remembered without a new sample.
+	TokenIntervalMaxAge time.Duration
 	// PrefixMaxAge is how long a target is assumed to hold a prefix after it was last
 	// stored there.
 	PrefixMaxAge time.Duration
@@ -86,66 +86,66 @@
 
 // TableSizes holds the number of entries in each of a Chooser's tables.
 type TableSizes struct {
-	Prefixes int
-	Targets  int
-	Speeds   int
+	Prefixes       int
+	Targets        int
+	TokenIntervals int
 }
 
-// NoTarget is the error of Choose when every candidate is excluded. Left holds the
+// NoTargetError is the error of Choose when every candidate is excluded. Left holds the
 // reason for each.
-type NoTarget struct {
-	Service string
-	Left    []trail.Left
+type NoTargetError struct {
+	Service  string
+	Excluded []trail.Left
 }
 
 // Error names the service and the number of excluded candidates.
-func (e *NoTarget) Error() string {
-	return fmt.Sprintf("no target of service %s: %d candidates left out", e.Service, len(e.Left))
+func (e *NoTargetError) Error() string {
+	return fmt.Sprintf("no target of service %s: %d candidates left out", e.Service, len(e.Excluded))
 }
 
 // Choose returns the target for r among the candidates, which are the targets of the
 // entry's subset. From then on it assumes that the chosen target holds r's prefixes.
-// If all candidates are excluded, the error is a *NoTarget.
+// If all candidates are excluded, the error is a *NoTargetError.
 func (c *Chooser) Choose(now time.Time, r Request, candidates []Candidate) (Choice, error) {
 	c.init()
 	ex := exclusions{list: make([]trail.Left, 0, len(candidates))}
 	eligible := c.eligible(now, r, candidates, &ex)
 	if len(eligible) == 0 {
-		return Choice{}, &NoTarget{Service: r.Service, Left: ex.list}
+		return Choice{}, &NoTargetError{Service: r.Service, Excluded: ex.list}
 	}
 	near := c.excludeDistant(c.excludeSlow(now, eligible, &ex), &ex)
 	chosen, reason := c.pick(now, r, near, &ex)
-	for _, prefix := range r.Prefix {
+	for _, prefix := range r.PrefixHashes {
 		c.prefixes.stored(now, chosen.vm.Name, prefix)
 	}
-	return Choice{VM: chosen.vm, Reason: reason, Left: ex.list}, nil
+	return Choice{VM: chosen.vm, Reason: reason, Excluded: ex.list}, nil
 }
 
-// Stored records an engine's event that target has prefix in its cache.
-func (c *Chooser) Stored(now time.Time, target string, prefix uint64) {
+// PrefixStored records an engine's event that target has prefix in its cache.
+func (c *Chooser) PrefixStored(now time.Time, target string, prefix uint64) {
 	c.init()
 	c.prefixes.stored(now, target, prefix)
 }
 
-// Evicted records an engine's event that target has dropped prefix from its cache.
-func (c *Chooser) Evicted(now time.Time, target string, prefix uint64) {
+// PrefixEvicted records an engine's event that target has dropped prefix from its cache.
+func (c *Chooser) PrefixEvicted(now time.Time, target string, prefix uint64) {
 	c.init()
 	c.prefixes.evicted(now, target, prefix)
 }
 
-// Paced records a sample of a target's time between tokens, measured over one answer.
-func (c *Chooser) Paced(now time.Time, target string, pace time.Duration) {
+// ObserveTokenInterval records a sample of a target's time between tokens, measured over one answer.
+func (c *Chooser) ObserveTokenInterval(now time.Time, target string, pace time.Duration) {
 	c.init()
 	c.paces.observe(now, target, pace)
 }
 
 // Sizes returns the number of entries in each table.
 func (c *Chooser) Sizes() TableSizes {
-	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), Speeds: c.paces.table.Len()}
+	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), TokenIntervals: c.paces.table.Len()}
 }
 
-// Tick drops expired entries from the tables. Call it about once a minute.
-func (c *Chooser) Tick(now time.Time) {
+// Expire drops expired entries from the tables. Call it about once a minute.
+func (c *Chooser) Expire(now time.Time) {
 	c.init()
 	c.prefixes.table.Expire(now)
 	c.loadEstimates.table.Expire(now)
@@ -160,14 +160,14 @@
 	c.LoadFactor = orDefault(c.LoadFactor, DefaultLoadFactor)
 	c.MinAffinityLoad = orDefault(c.MinAffinityLoad, DefaultMinAffinityLoad)
 	c.SpillThreshold = orDefault(c.SpillThreshold, DefaultSpillThreshold)
-	c.prefixes.table.Max = orDefault(c.MaxPrefixes, DefaultPrefixes)
+	c.prefixes.table.Max = orDefault(c.MaxPrefixes, DefaultMaxPrefixes)
 	c.prefixes.table.Age = orDefault(c.PrefixMaxAge, DefaultPrefixMaxAge)
 	c.loadEstimates.table.Max = orDefault(c.MaxTargets, DefaultMaxTargets)
 	c.loadEstimates.reportMaxAge = orDefault(c.ReportMaxAge, DefaultReportMaxAge)
 	c.loadEstimates.table.Age = c.loadEstimates.reportMaxAge
 	c.loadEstimates.capacity = orDefault(c.AssumedCapacity, DefaultAssumedCapacity)
 	c.paces.table.Max = c.loadEstimates.table.Max
-	c.paces.table.Age = orDefault(c.PaceMaxAge, DefaultPaceMaxAge)
+	c.paces.table.Age = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
 }
 
 func orDefault[T comparable](v, def T) T {
@@ -212,15 +212,15 @@
 // may.
 func exclusionReason(r Request, c Candidate) string {
 	if c.VM.State == fleet.StateLeaving {
-		return string(StandingLeaving)
+		return string(AvailabilityLeaving)
 	}
-	if c.Standing != StandingReady {
-		return string(c.Standing)
+	if c.Availability != AvailabilityReady {
+		return string(c.Availability)
 	}
-	if r.Version != "" && c.Serving != r.Version {
+	if r.Version != "" && c.ServedVersion != r.Version {
 		return excludedVersion
 	}
-	if slices.Contains(r.Avoid, c.VM.Name) {
+	if slices.Contains(r.FailedTargets, c.VM.Name) {
 		return excludedAvoided
 	}
 	return ""
@@ -316,17 +316,17 @@
 // instructions. Otherwise, in a burst on cold caches, all calls would follow the
 // first one to the same target.
 func (c *Chooser) bestPrefixHolder(now time.Time, r Request, targets []eligibleTarget) int {
-	if len(r.Prefix) == 0 {
+	if len(r.PrefixHashes) == 0 {
 		return -1
 	}
 	mean := meanUtilization(targets)
 	best, bestDepth := -1, 0
 	for i, t := range targets {
-		d := c.prefixes.depth(now, t.vm.Name, r.Prefix)
+		d := c.prefixes.depth(now, t.vm.Name, r.PrefixHashes)
 		if d == 0 || d < bestDepth {
 			continue
 		}
-		held := float64(d) / float64(len(r.Prefix))
+		held := float64(d) / float64(len(r.PrefixHashes))
 		if t.load.utilization() > max(c.LoadFactor*mean, c.MinAffinityLoad*held*held) {
 			continue
 		}
--- a/core/request/route/choose_test.go
+++ b/core/request/route/choose_test.go
@@ -29,8 +29,8 @@
 			Address: netip.MustParseAddrPort("127.0.0.1:1"),
 			State:   fleet.StateLive,
 		},
-		Standing: StandingReady,
-		Report:   Report{Capacity: 8},
+		Availability: AvailabilityReady,
+		Report:       LoadReport{Capacity: 8},
 	}
 }
 
@@ -58,9 +58,9 @@
 		{
 			name: "standing",
 			candidates: []Candidate{
-				with(newCandidate("t1", "a1"), func(c *Candidate) { c.Standing = StandingSilent }),
+				with(newCandidate("t1", "a1"), func(c *Candidate) { c.Availability = AvailabilitySilent }),
 				with(newCandidate("t2", "a1"), func(c *Candidate) { c.VM.State = fleet.StateLeaving }),
-				with(newCandidate("t3", "a1"), func(c *Candidate) { c.Standing = StandingUnserved }),
+				with(newCandidate("t3", "a1"), func(c *Candidate) { c.Availability = AvailabilityUnserved }),
 				newCandidate("t4", "a1"),
 			},
 			want: "t4", reason: ReasonOnlyCandidate,
@@ -68,11 +68,11 @@
 		},
 		{
 			name:    "version and avoided",
-			request: Request{Version: v2, Avoid: []string{"t2"}},
+			request: Request{Version: v2, FailedTargets: []string{"t2"}},
 			candidates: []Candidate{
-				with(newCandidate("t1", "a1"), func(c *Candidate) { c.Serving = v1 }),
-				with(newCandidate("t2", "a1"), func(c *Candidate) { c.Serving = v2 }),
-				with(newCandidate("t3", "a1"), func(c *Candidate) { c.Serving = v2 }),
+				with(newCandidate("t1", "a1"), func(c *Candidate) { c.ServedVersion = v1 }),
+				with(newCandidate("t2", "a1"), func(c *Candidate) { c.ServedVersion = v2 }),
+				with(newCandidate("t3", "a1"), func(c *Candidate) { c.ServedVersion = v2 }),
 			},
 			want: "t3", reason: ReasonOnlyCandidate,
 			left: []trail.Left{{Name: "t1", Reason: "otherVersion"}, {Name: "t2", Reason: "failedThisCall"}},
@@ -115,25 +115,25 @@
 			if diff := cmp.Diff(tt.reason, got.Reason); diff != "" {
 				t.Errorf("reason (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(tt.left, got.Left); diff != "" {
+			if diff := cmp.Diff(tt.left, got.Excluded); diff != "" {
 				t.Errorf("excluded (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// If all targets are leaving, Choose must return NoTarget with the reason for each,
+// If all targets are leaving, Choose must return NoTargetError with the reason for each,
 // and not a target that is about to stop.
 func TestChooseNoTarget(t *testing.T) {
 	c := newCandidate("t1", "a1")
-	c.Standing = StandingLeaving
+	c.Availability = AvailabilityLeaving
 	_, err := newChooser().Choose(startTime, Request{Service: "helper"}, []Candidate{c})
-	var none *NoTarget
+	var none *NoTargetError
 	if !errors.As(err, &none) {
 		t.Fatalf("error is %v, want a NoTarget", err)
 	}
 	want := []trail.Left{{Name: "t1", Reason: "leaving"}}
-	if diff := cmp.Diff(want, none.Left); diff != "" {
+	if diff := cmp.Diff(want, none.Excluded); diff != "" {
 		t.Errorf("excluded (-want +got):\n%s", diff)
 	}
 }
@@ -146,7 +146,7 @@
 	cands := []Candidate{newCandidate("t1", "a1"), newCandidate("t2", "a1"), newCandidate("t3", "a1"), newCandidate("t4", "a1")}
 	used := map[string]int{}
 	for range 32 {
-		got, err := c.Choose(startTime, Request{Prefix: []uint64{7}}, cands)
+		got, err := c.Choose(startTime, Request{PrefixHashes: []uint64{7}}, cands)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -168,8 +168,8 @@
 func TestLoadIncludesOwnCallsSinceReport(t *testing.T) {
 	c := newChooser()
 	cands := []Candidate{newCandidate("t1", "a1"), newCandidate("t2", "a1")}
-	cands[0].Report = Report{At: startTime, Running: 0, Capacity: 8}
-	cands[1].Report = Report{At: startTime, Running: 4, Capacity: 8}
+	cands[0].Report = LoadReport{ReceivedAt: startTime, Running: 0, Capacity: 8}
+	cands[1].Report = LoadReport{ReceivedAt: startTime, Running: 4, Capacity: 8}
 	for range 8 {
 		got, err := c.Choose(startTime, Request{}, cands)
 		if err != nil {
@@ -237,7 +237,7 @@
 				slow++
 				pace = slowest
 			}
-			c.Paced(now, got.VM.Name, pace)
+			c.ObserveTokenInterval(now, got.VM.Name, pace)
 		}
 		return slow
 	}
--- a/core/request/route/load.go
+++ b/core/request/route/load.go
@@ -40,12 +40,12 @@
 	if capacity <= 0 {
 		capacity = l.capacity
 	}
-	if c.Report.At.IsZero() || now.Sub(c.Report.At) > l.reportMaxAge {
+	if c.Report.ReceivedAt.IsZero() || now.Sub(c.Report.ReceivedAt) > l.reportMaxAge {
 		return load{calls: c.InFlight, capacity: capacity}
 	}
 	base, ok := l.table.Get(now, c.VM.Name)
-	if !ok || !base.reportedAt.Equal(c.Report.At) {
-		base = baseline{reportedAt: c.Report.At, inFlight: c.InFlight}
+	if !ok || !base.reportedAt.Equal(c.Report.ReceivedAt) {
+		base = baseline{reportedAt: c.Report.ReceivedAt, inFlight: c.InFlight}
 		l.table.Put(now, c.VM.Name, base)
 	}
 	calls := c.Report.Running + c.Report.Queued + c.InFlight - base.inFlight
--- a/core/request/route/types.go
+++ b/core/request/route/types.go
@@ -25,50 +25,50 @@
 
 // Request describes a call before a target is chosen.
 //
-// Prefix holds hashes of the prompt's leading blocks, the shortest prefix first.
+// PrefixHashes holds hashes of the prompt's leading blocks, the shortest prefix first.
 // Version, if set, is the only version that may run the call, such as for a resumed
 // stream. Avoid lists targets that have already failed this call.
 type Request struct {
-	ID       string
-	Customer string
-	Service  string
-	Prefix   []uint64
-	Priority Priority
-	Deadline time.Time
-	Once     bool
-	Version  chunk.Digest
-	Avoid    []string
+	ID            string
+	Customer      string
+	Service       string
+	PrefixHashes  []uint64
+	Priority      Priority
+	Deadline      time.Time
+	AtMostOnce    bool
+	Version       chunk.Digest
+	FailedTargets []string
 }
 
-// Report is the load that a target has reported. Reports lag behind the actual load;
-// At is the entry's time at which the report arrived.
-type Report struct {
-	At       time.Time
-	Running  int
-	Queued   int
-	Capacity int
+// LoadReport is the load that a target has reported. Reports lag behind the actual load;
+// ReceivedAt is the entry's time at which the report arrived.
+type LoadReport struct {
+	ReceivedAt time.Time
+	Running    int
+	Queued     int
+	Capacity   int
 }
 
-// Standing is a target's availability for new calls.
-type Standing string
+// Availability is a target's availability for new calls.
+type Availability string
 
 // The standings of a target. Any other than ready excludes the target, and its value
 // is logged as the reason.
 const (
-	StandingReady    Standing = "ready"
-	StandingLeaving  Standing = "leaving"
-	StandingSilent   Standing = "silent"
-	StandingUnserved Standing = "unserved"
+	AvailabilityReady    Availability = "ready"
+	AvailabilityLeaving  Availability = "leaving"
+	AvailabilitySilent   Availability = "silent"
+	AvailabilityUnserved Availability = "unserved"
 )
 
 // Candidate is a target as the entry sees it. InFlight counts this entry's own
 // outstanding calls at the target.
 type Candidate struct {
-	VM       fleet.VM
-	Standing Standing
-	InFlight int
-	Report   Report
-	Serving  chunk.Digest
+	VM            fleet.VM
+	Availability  Availability
+	InFlight      int
+	Report        LoadReport
+	ServedVersion chunk.Digest
 }
 
 // Reason names the rule by which a target was chosen. It is written to the decision
@@ -78,7 +78,7 @@
 // Choice is the chosen target, the rule that chose it, and each excluded candidate
 // with the reason for its exclusion.
 type Choice struct {
-	VM     fleet.VM
-	Reason Reason
-	Left   []trail.Left
+	VM       fleet.VM
+	Reason   Reason
+	Excluded []trail.Left
 }
--- a/io/request/front/choose.go
+++ b/io/request/front/choose.go
@@ -24,7 +24,7 @@
 	d := trail.Decision{
 		Area: trail.AreaRouting, Action: "choose", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Choice: choice.VM.Name, Reason: string(choice.Reason),
-		Left: choice.Left, Revision: f.Self.Revision.Load(),
+		Left: choice.Excluded, Revision: f.Self.Revision.Load(),
 	}
 	if err != nil {
 		d.Reason, d.Left = err.Error(), leftOf(err)
@@ -36,11 +36,11 @@
 	return m, err
 }
 
-// leftOf returns the rejected candidates and the reasons from a *route.NoTarget error.
+// leftOf returns the rejected candidates and the reasons from a *route.NoTargetError error.
 func leftOf(err error) []trail.Left {
-	var none *route.NoTarget
+	var none *route.NoTargetError
 	if errors.As(err, &none) {
-		return none.Left
+		return none.Excluded
 	}
 	return nil
 }
--- a/io/request/front/fleet_test.go
+++ b/io/request/front/fleet_test.go
@@ -306,7 +306,7 @@
 
 func (c preferTarget) Choose(now time.Time, r route.Request, cs []route.Candidate) (route.Choice, error) {
 	for _, x := range cs {
-		if x.VM.Name == c.name && !slices.Contains(r.Avoid, c.name) {
+		if x.VM.Name == c.name && !slices.Contains(r.FailedTargets, c.name) {
 			return route.Choice{VM: x.VM}, nil
 		}
 	}
--- a/io/request/front/limits.go
+++ b/io/request/front/limits.go
@@ -46,7 +46,7 @@
 		IdleTimeout:       2 * time.Minute,
 		DrainNotice:       time.Second,
 		MaxInFlight:       2048,
-		Subset:            route.DefaultSubset,
+		Subset:            route.DefaultSubsetSize,
 		MaxAttempts:       3,
 		QueryTimeout:      3 * time.Second,
 	}
--- a/io/request/front/measure.go
+++ b/io/request/front/measure.go
@@ -23,7 +23,7 @@
 
 // watchTables registers the tables of the entry whose sizes Gauge watches.
 func (f *Front) watchTables() {
-	f.Gauge.Watch(gauge.Table{Name: "prefixes", Bound: route.DefaultPrefixes, Len: f.policy.prefixCount})
+	f.Gauge.Watch(gauge.Table{Name: "prefixes", Bound: route.DefaultMaxPrefixes, Len: f.policy.prefixCount})
 	f.Gauge.Watch(gauge.Table{Name: "admission", Bound: admit.MaxRemembered + f.Limits.MaxInFlight, Len: f.policy.admissionCount})
 	f.Gauge.Watch(gauge.Table{Name: "sessions", Len: f.pool.size})
 }
--- a/io/request/front/once.go
+++ b/io/request/front/once.go
@@ -45,7 +45,7 @@
 		if !f.policy.allowRetry(rq.routing.Service) {
 			break
 		}
-		rq.routing.Avoid = append(rq.routing.Avoid, m.client.VM.Name)
+		rq.routing.FailedTargets = append(rq.routing.FailedTargets, m.client.VM.Name)
 	}
 	f.writeFailure(w, rq, last)
 }
--- a/io/request/front/policy.go
+++ b/io/request/front/policy.go
@@ -53,7 +53,7 @@
 	p.Do(func() []admit.Verdict {
 		if now.Sub(p.lastChooserTick) >= chooserTickInterval {
 			p.lastChooserTick = now
-			p.chooser.Tick(now)
+			p.chooser.Expire(now)
 		}
 		return p.admitter.Tick(now)
 	})
@@ -97,7 +97,7 @@
 }
 
 // reportLoad passes a target's load report to the admitter.
-func (p *policy) reportLoad(service, target string, r route.Report) {
+func (p *policy) reportLoad(service, target string, r route.LoadReport) {
 	p.locked(func() { p.admitter.Report(p.clock.Now(), service, target, r) })
 }
 
@@ -105,10 +105,10 @@
 func (p *policy) reportCacheEvent(target string, prefix uint64, stored bool) {
 	p.locked(func() {
 		if stored {
-			p.chooser.Stored(p.clock.Now(), target, prefix)
+			p.chooser.PrefixStored(p.clock.Now(), target, prefix)
 			return
 		}
-		p.chooser.Evicted(p.clock.Now(), target, prefix)
+		p.chooser.PrefixEvicted(p.clock.Now(), target, prefix)
 	})
 }
 
--- a/io/request/front/pool.go
+++ b/io/request/front/pool.go
@@ -24,11 +24,11 @@
 
 // TargetStatus is the state of a target as seen by the entry.
 type TargetStatus struct {
-	VM       fleet.VM       `json:"vm"`
-	Standing route.Standing `json:"standing"`
-	InFlight int            `json:"inFlight"`
-	Serving  chunk.Digest   `json:"serving,omitempty"`
-	Boot     string         `json:"boot,omitempty"`
+	VM       fleet.VM           `json:"vm"`
+	Standing route.Availability `json:"standing"`
+	InFlight int                `json:"inFlight"`
+	Serving  chunk.Digest       `json:"serving,omitempty"`
+	Boot     string             `json:"boot,omitempty"`
 }
 
 // memberID identifies a target process. A VM that replaces another of the same name has
@@ -188,9 +188,9 @@
 	}
 }
 
-func loadReportOf(s sessn.Status) route.Report {
+func loadReportOf(s sessn.Status) route.LoadReport {
 	l := s.Beat.Load
-	return route.Report{At: s.At, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
+	return route.LoadReport{ReceivedAt: s.At, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
 }
 
 // acquire returns the member for the named VM and counts a call in flight at it, or
@@ -260,7 +260,7 @@
 
 func (m *member) candidate() route.Candidate {
 	s := m.client.Status()
-	c := route.Candidate{VM: m.vm, Standing: m.standing(s), InFlight: m.inFlight, Serving: s.Beat.Serving}
+	c := route.Candidate{VM: m.vm, Availability: m.standing(s), InFlight: m.inFlight, ServedVersion: s.Beat.Serving}
 	if s.Beat.Load.Known {
 		c.Report = loadReportOf(s)
 	}
@@ -269,16 +269,16 @@
 
 // standing combines what the VM list, the side's heartbeat and the state of the session
 // say. The first that excludes the target determines the result.
-func (m *member) standing(s sessn.Status) route.Standing {
+func (m *member) standing(s sessn.Status) route.Availability {
 	switch {
 	case m.vm.State == fleet.StateLeaving || s.Beat.Leaving:
-		return route.StandingLeaving
+		return route.AvailabilityLeaving
 	case !s.Connected:
-		return route.StandingSilent
+		return route.AvailabilitySilent
 	case !s.Beat.Ready:
-		return route.StandingUnserved
+		return route.AvailabilityUnserved
 	}
-	return route.StandingReady
+	return route.AvailabilityReady
 }
 
 func (p *pool) targets() []TargetStatus {
--- a/io/request/front/repeat.go
+++ b/io/request/front/repeat.go
@@ -55,7 +55,7 @@
 	if !f.policy.allowRetry(rq.routing.Service) {
 		return false
 	}
-	rq.routing.Avoid = append(rq.routing.Avoid, m.client.VM.Name)
+	rq.routing.FailedTargets = append(rq.routing.FailedTargets, m.client.VM.Name)
 	version, tokens := rl.prepareResume()
 	rq.routing.Version = version
 	rq.header.Del(headerResumeFrom)
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -134,7 +134,7 @@
 		return
 	}
 	rq.path, rq.body, rq.stream = chatPath, body, q.Stream
-	rq.routing.Prefix = prefixHashes(q.Messages)
+	rq.routing.PrefixHashes = prefixHashes(q.Messages)
 	f.admitAndRun(w, r, rq, f.runRepeatable)
 }
 
--- a/io/request/front/tokentimer.go
+++ b/io/request/front/tokentimer.go
@@ -47,5 +47,5 @@
 	if !ok {
 		return
 	}
-	p.locked(func() { p.chooser.Paced(p.clock.Now(), target, tokenInterval) })
+	p.locked(func() { p.chooser.ObserveTokenInterval(p.clock.Now(), target, tokenInterval) })
 }
