--- a/core/request/calls/attempt.go
+++ b/core/request/calls/attempt.go
@@ -22,12 +22,12 @@
 // longer exists or has restarted. GiveUp: the caller's deadline passed or the caller
 // disconnected.
 const (
-	EventSent     Event = "sent"
-	EventUnsent   Event = "unsent"
-	EventAnswered Event = "answered"
-	EventLost     Event = "lost"
-	EventGone     Event = "gone"
-	EventGiveUp   Event = "giveUp"
+	EventSent           Event = "sent"
+	EventUnsent         Event = "unsent"
+	EventAnswered       Event = "answered"
+	EventConnectionLost Event = "lost"
+	EventSideGone       Event = "gone"
+	EventGiveUp         Event = "giveUp"
 )
 
 // Step is the next action of the entry.
@@ -37,12 +37,12 @@
 // connection. Settle: report the outcome.
 const (
 	StepWait   Step = "wait"
-	StepAsk    Step = "ask"
+	StepQuery  Step = "ask"
 	StepSettle Step = "settle"
 )
 
 // Attempt is an entry's view of one attempt to run a once-call at one side. Values
-// are comparable. Outcome is set once Phase is settled. If it is then NotRun and the
+// are comparable. Outcome is set once Phase is settled. If it is then OutcomeNotRun and the
 // call is free, the call may be sent to another replica under a new ID.
 type Attempt struct {
 	Phase   Phase
@@ -57,12 +57,12 @@
 	return Attempt{Phase: PhaseNew, Bound: b != BindFree}
 }
 
-// On applies an event and returns the next step.
+// Apply applies an event and returns the next step.
 //
 // After a lost connection it isn't known whether the call ran. The attempt therefore
 // queries the side, and its outcome is notRun only if the side has marked the call as
 // never to run.
-func (a *Attempt) On(e Event) Step {
+func (a *Attempt) Apply(e Event) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
 	}
@@ -73,38 +73,38 @@
 	case EventUnsent:
 		return a.onUnsent()
 	case EventAnswered:
-		return a.settle(Done)
-	case EventLost:
+		return a.settle(OutcomeDone)
+	case EventConnectionLost:
 		a.Phase = PhaseQuerying
-		return StepAsk
+		return StepQuery
 	}
 	if a.Phase == PhaseNew && !a.Bound {
-		return a.settle(NotRun)
+		return a.settle(OutcomeNotRun)
 	}
-	return a.settle(Unknown)
+	return a.settle(OutcomeUnknown)
 }
 
 // onUnsent settles a free call as notRun, as no other entry has its ID. A bound call
 // may be running through another entry, so the side is queried.
 func (a *Attempt) onUnsent() Step {
 	if !a.Bound {
-		return a.settle(NotRun)
+		return a.settle(OutcomeNotRun)
 	}
 	a.Phase = PhaseQuerying
-	return StepAsk
+	return StepQuery
 }
 
-// OnRefused applies a refusal by the side.
-func (a *Attempt) OnRefused(o Outcome) Step {
+// ApplyRefusal applies a refusal by the side.
+func (a *Attempt) ApplyRefusal(o Outcome) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
 	}
 	return a.settle(o)
 }
 
-// OnVerdict applies the side's answer to a query with Mark set. If the call is
+// ApplyQueryResult applies the side's answer to a query with Mark set. If the call is
 // absent, the side could not mark it, and it may still run.
-func (a *Attempt) OnVerdict(s State) Step {
+func (a *Attempt) ApplyQueryResult(s State) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
 	}
@@ -113,9 +113,9 @@
 		a.Phase = PhaseSent
 		return StepWait
 	case StateNever:
-		return a.settle(NotRun)
+		return a.settle(OutcomeNotRun)
 	default:
-		return a.settle(Unknown)
+		return a.settle(OutcomeUnknown)
 	}
 }
 
--- a/core/request/calls/ledger.go
+++ b/core/request/calls/ledger.go
@@ -10,26 +10,26 @@
 
 // Limits are the settings of a ledger.
 //
-// MaxAge is the greatest age of the clock reading of a new call. Keep is how long a
-// record is kept after its last change; it must exceed MaxAge, as otherwise a call
+// MaxReadingAge is the greatest age of the clock reading of a new call. Keep is how long a
+// record is kept after its last change; it must exceed MaxReadingAge, as otherwise a call
 // could still start after its mark was dropped. KeyWindow is how long a side runs no
 // calls bound to a key after its boot, or after a change of the members among which
 // the keys are distributed. Records is the number of records from which new calls are
 // refused; marks may exceed it by the share that extraMarksDivisor sets.
 type Limits struct {
-	MaxAge    time.Duration
-	Keep      time.Duration
-	KeyWindow time.Duration
-	Records   int
+	MaxReadingAge time.Duration
+	RecordMaxAge  time.Duration
+	KeyWindow     time.Duration
+	MaxRecords    int
 }
 
 // DefaultLimits returns the limits that apply when none are configured.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxAge:    3 * time.Second,
-		Keep:      10 * time.Minute,
-		KeyWindow: 2 * time.Minute,
-		Records:   1 << 16,
+		MaxReadingAge: 3 * time.Second,
+		RecordMaxAge:  10 * time.Minute,
+		KeyWindow:     2 * time.Minute,
+		MaxRecords:    1 << 16,
 	}
 }
 
@@ -37,13 +37,13 @@
 // key or ticket that is reused for another request. At is the side's clock at the
 // last change.
 type Record struct {
-	State State
-	Print string
-	At    time.Duration
+	State       State
+	Fingerprint string
+	At          time.Duration
 }
 
 // Ledger is a side's record of once-calls. It is a plain value: Clone copies it, and
-// Records lists it in a fixed order. It isn't safe for concurrent use.
+// MaxRecords lists it in a fixed order. It isn't safe for concurrent use.
 type Ledger struct {
 	Boot   string
 	Limits Limits
@@ -67,65 +67,65 @@
 	return &Ledger{Boot: boot, Limits: l, records: map[ID]Record{}, keyWindowEnd: l.KeyWindow}
 }
 
-// Start is a request to run a call.
+// StartRequest is a request to run a call.
 //
-// Echo is the clock reading that the call carries. Print is the request's
+// EchoedReading is the clock reading that the call carries. Print is the request's
 // fingerprint. Refuse, if set, is the side's own reason to refuse new calls, such as
 // leaving. Unsure is set if the sender and the side have different members, and so
 // may disagree about the owners of keys.
-type Start struct {
-	Ticket Ticket
-	Echo   lease.Reading
-	Print  string
-	Refuse Reason
-	Unsure bool
+type StartRequest struct {
+	Ticket        Ticket
+	EchoedReading lease.Reading
+	Fingerprint   string
+	RefuseReason  Reason
+	MembersDiffer bool
 }
 
 // Act is what the side must do with a call.
-type Act string
+type ActionKind string
 
 // The acts. Run: pass the call to the target. Join: send the answer of the running
 // call when it arrives. Replay: send the stored answer. Refuse: refuse the call.
 const (
-	ActRun    Act = "run"
-	ActJoin   Act = "join"
-	ActReplay Act = "replay"
-	ActRefuse Act = "refuse"
+	ActionRun    ActionKind = "run"
+	ActionJoin   ActionKind = "join"
+	ActionReplay ActionKind = "replay"
+	ActionRefuse ActionKind = "refuse"
 )
 
 // Action is the ledger's decision about a call. Outcome and Reason are set for a
 // refusal only.
 type Action struct {
-	Act     Act
+	Kind    ActionKind
 	Outcome Outcome
 	Reason  Reason
 }
 
-// Start decides about a call at time now of the side's clock.
+// StartRequest decides about a call at time now of the side's clock.
 //
 // A call whose ID is recorded never runs again, whichever entry it comes through;
 // otherwise a payment could be made twice. Only a call with an unknown ID and a fresh
 // reading runs, and it is recorded before it is passed to the target.
-func (l *Ledger) Start(now time.Duration, s Start) Action {
+func (l *Ledger) Start(now time.Duration, s StartRequest) Action {
 	l.Expire(now)
-	if s.Ticket.Issued.Boot != l.Boot && s.Ticket.Bind != BindFree {
-		return refuse(Unknown, ReasonBoot)
+	if s.Ticket.Issued.Boot != l.Boot && s.Ticket.Binding != BindFree {
+		return refuse(OutcomeUnknown, ReasonOtherBoot)
 	}
-	if r, ok := l.records[s.Ticket.Call]; ok {
+	if r, ok := l.records[s.Ticket.CallID]; ok {
 		return decideRecorded(r, s)
 	}
 	clock := lease.Reading{Boot: l.Boot, At: now}
-	if s.Ticket.Bind == BindTicket && s.Ticket.expired(clock, l.Limits.Keep) {
-		return refuse(Unknown, ReasonExpired)
+	if s.Ticket.Binding == BindTicket && s.Ticket.expired(clock, l.Limits.RecordMaxAge) {
+		return refuse(OutcomeUnknown, ReasonTicketExpired)
 	}
-	if l.mayHaveRunElsewhere(s.Ticket, s.Unsure) {
-		return refuse(Unknown, ReasonYoung)
+	if l.mayHaveRunElsewhere(s.Ticket, s.MembersDiffer) {
+		return refuse(OutcomeUnknown, ReasonOwnerChanged)
 	}
 	if why := l.refusalReason(clock, s); why != "" {
 		return l.refuseUnrecorded(now, s, why)
 	}
-	l.records[s.Ticket.Call] = Record{State: StateRunning, Print: s.Print, At: now}
-	return Action{Act: ActRun}
+	l.records[s.Ticket.CallID] = Record{State: StateRunning, Fingerprint: s.Fingerprint, At: now}
+	return Action{Kind: ActionRun}
 }
 
 // mayHaveRunElsewhere reports whether another side may have run the call of a key: a
@@ -137,23 +137,23 @@
 // its arrival: an attempt that was under way for longer than the window gives no
 // information about earlier runs.
 func (l *Ledger) mayHaveRunElsewhere(t Ticket, unsure bool) bool {
-	return t.Bind == BindKey && (unsure || t.Issued.At < l.keyWindowEnd)
+	return t.Binding == BindKey && (unsure || t.Issued.At < l.keyWindowEnd)
 }
 
 // refusalReason returns why a call without a record may not run, or an empty string
 // if it may.
-func (l *Ledger) refusalReason(clock lease.Reading, s Start) Reason {
-	switch lease.Judge(clock, s.Echo, l.Limits.MaxAge) {
+func (l *Ledger) refusalReason(clock lease.Reading, s StartRequest) Reason {
+	switch lease.Judge(clock, s.EchoedReading, l.Limits.MaxReadingAge) {
 	case lease.Stale:
-		return ReasonStale
+		return ReasonStaleReading
 	case lease.OtherBoot:
-		return ReasonBoot
+		return ReasonOtherBoot
 	}
-	if s.Refuse != "" {
-		return s.Refuse
+	if s.RefuseReason != "" {
+		return s.RefuseReason
 	}
-	if len(l.records) >= l.Limits.Records {
-		return ReasonFull
+	if len(l.records) >= l.Limits.MaxRecords {
+		return ReasonLedgerFull
 	}
 	return ""
 }
@@ -162,35 +162,35 @@
 // never to run: the same ticket or key may be on its way through another entry, and
 // if that attempt ran later, notRun would have been wrong. If there is no room for
 // the mark, the outcome is unknown.
-func (l *Ledger) refuseUnrecorded(now time.Duration, s Start, why Reason) Action {
-	if s.Ticket.Bind == BindFree {
-		return refuse(NotRun, why)
+func (l *Ledger) refuseUnrecorded(now time.Duration, s StartRequest, why Reason) Action {
+	if s.Ticket.Binding == BindFree {
+		return refuse(OutcomeNotRun, why)
 	}
-	if !l.markNever(now, s.Ticket.Call) {
-		return refuse(Unknown, why)
+	if !l.markNever(now, s.Ticket.CallID) {
+		return refuse(OutcomeUnknown, why)
 	}
-	return refuse(NotRun, why)
+	return refuse(OutcomeNotRun, why)
 }
 
 // decideRecorded decides about a call that has a record.
-func decideRecorded(r Record, s Start) Action {
-	if r.State != StateNever && r.Print != s.Print {
-		return refuse(NotRun, ReasonMismatch)
+func decideRecorded(r Record, s StartRequest) Action {
+	if r.State != StateNever && r.Fingerprint != s.Fingerprint {
+		return refuse(OutcomeNotRun, ReasonOtherRequest)
 	}
 	switch r.State {
 	case StateRunning:
-		return Action{Act: ActJoin}
+		return Action{Kind: ActionJoin}
 	case StateDone:
-		return Action{Act: ActReplay}
+		return Action{Kind: ActionReplay}
 	case StateBroken:
-		return refuse(Unknown, ReasonBroken)
+		return refuse(OutcomeUnknown, ReasonTargetBroke)
 	default:
-		return refuse(NotRun, ReasonNever)
+		return refuse(OutcomeNotRun, ReasonMarkedNever)
 	}
 }
 
 func refuse(o Outcome, why Reason) Action {
-	return Action{Act: ActRefuse, Outcome: o, Reason: why}
+	return Action{Kind: ActionRefuse, Outcome: o, Reason: why}
 }
 
 // Settle sets the final state of a running call: done, broken, or never if the target
@@ -205,44 +205,44 @@
 	l.settled = append(l.settled, settledCall{id: id, at: now})
 }
 
-// Query asks what became of a call. With Mark set, a call without a record is marked
+// QueryRequest asks what became of a call. With Mark set, a call without a record is marked
 // so that it never runs. Unsure is as in Start.
-type Query struct {
-	Ticket Ticket
-	Mark   bool
-	Unsure bool
+type QueryRequest struct {
+	Ticket        Ticket
+	MarkNever     bool
+	MembersDiffer bool
 }
 
-// Query returns the state of a call at time now of the side's clock.
+// QueryRequest returns the state of a call at time now of the side's clock.
 //
 // Without the mark a call that is still on its way on an earlier connection could run
 // after the entry has sent it to another replica, and so run twice. The look-up and
 // the mark are one step, so that the call can't start in between.
-func (l *Ledger) Query(now time.Duration, q Query) State {
+func (l *Ledger) Query(now time.Duration, q QueryRequest) State {
 	l.Expire(now)
 	clock := lease.Reading{Boot: l.Boot, At: now}
 	if q.Ticket.Issued.Boot != l.Boot {
 		return StateGone
 	}
-	if r, ok := l.records[q.Ticket.Call]; ok {
+	if r, ok := l.records[q.Ticket.CallID]; ok {
 		return r.State
 	}
-	if q.Ticket.expired(clock, l.Limits.Keep) {
+	if q.Ticket.expired(clock, l.Limits.RecordMaxAge) {
 		return StateGone
 	}
-	if l.mayHaveRunElsewhere(q.Ticket, q.Unsure) {
+	if l.mayHaveRunElsewhere(q.Ticket, q.MembersDiffer) {
 		return StateGone
 	}
-	if !q.Mark {
+	if !q.MarkNever {
 		return StateAbsent
 	}
-	if !l.markNever(now, q.Ticket.Call) {
+	if !l.markNever(now, q.Ticket.CallID) {
 		return StateAbsent
 	}
 	return StateNever
 }
 
-// extraMarksDivisor sets how many records beyond Limits.Records may be held for
+// extraMarksDivisor sets how many records beyond Limits.MaxRecords may be held for
 // marks: Records/extraMarksDivisor + 1. A full ledger can thus still mark calls as
 // never to run.
 const extraMarksDivisor = 8
@@ -250,7 +250,7 @@
 // markNever records that the call never runs, and reports whether there was room for
 // the record.
 func (l *Ledger) markNever(now time.Duration, id ID) bool {
-	if len(l.records) >= l.Limits.Records+l.Limits.Records/extraMarksDivisor+1 {
+	if len(l.records) >= l.Limits.MaxRecords+l.Limits.MaxRecords/extraMarksDivisor+1 {
 		return false
 	}
 	l.records[id] = Record{State: StateNever, At: now}
@@ -258,17 +258,17 @@
 	return true
 }
 
-// Renew restarts the key window. The side calls it when the members among which keys
+// RestartKeyWindow restarts the key window. The side calls it when the members among which keys
 // are distributed change: a key that another side owned until now may have run there.
-func (l *Ledger) Renew(now time.Duration) { l.keyWindowEnd = now + l.Limits.KeyWindow }
+func (l *Ledger) RestartKeyWindow(now time.Duration) { l.keyWindowEnd = now + l.Limits.KeyWindow }
 
-// Expire drops the records whose last change is over Limits.Keep ago, and returns
+// Expire drops the records whose last change is over Limits.RecordMaxAge ago, and returns
 // their IDs. Running calls are kept. Records outlive the readings with which their
 // calls could still start, so dropping a mark lets no late call run.
 func (l *Ledger) Expire(now time.Duration) []ID {
 	var gone []ID
 	n := 0
-	for n < len(l.settled) && now-l.settled[n].at > l.Limits.Keep {
+	for n < len(l.settled) && now-l.settled[n].at > l.Limits.RecordMaxAge {
 		delete(l.records, l.settled[n].id)
 		gone = append(gone, l.settled[n].id)
 		n++
@@ -286,7 +286,7 @@
 	Record Record
 }
 
-// Records returns all records sorted by ID.
+// MaxRecords returns all records sorted by ID.
 func (l *Ledger) Records() []CallRecord {
 	out := make([]CallRecord, 0, len(l.records))
 	for _, id := range slices.Sorted(maps.Keys(l.records)) {
--- a/core/request/calls/ledger_test.go
+++ b/core/request/calls/ledger_test.go
@@ -11,11 +11,11 @@
 	"hawthornferry/core/conn/lease"
 )
 
-var testLimits = Limits{MaxAge: 3 * time.Second, Keep: time.Minute, KeyWindow: 10 * time.Second, Records: 4}
+var testLimits = Limits{MaxReadingAge: 3 * time.Second, RecordMaxAge: time.Minute, KeyWindow: 10 * time.Second, MaxRecords: 4}
 
-func newStart(id ID, b Binding, at time.Duration) Start {
+func newStart(id ID, b Binding, at time.Duration) StartRequest {
 	echo := lease.Reading{Boot: "b", At: at}
-	return Start{Ticket: Ticket{Call: id, Bind: b, Service: "s", Side: "v", Issued: echo}, Echo: echo, Print: "p"}
+	return StartRequest{Ticket: Ticket{CallID: id, Binding: b, Service: "s", Side: "v", Issued: echo}, EchoedReading: echo, Fingerprint: "p"}
 }
 
 func TestLedgerRefusals(t *testing.T) {
@@ -23,36 +23,36 @@
 	otherBoot := newStart("x", BindTicket, now)
 	otherBoot.Ticket.Issued.Boot = "a"
 	leaving := newStart("x", BindFree, now)
-	leaving.Refuse = ReasonLeaving
+	leaving.RefuseReason = ReasonLeaving
 	otherPrint := newStart("done", BindTicket, now)
-	otherPrint.Print = "q"
+	otherPrint.Fingerprint = "q"
 	tests := []struct {
 		name  string
-		start Start
+		start StartRequest
 		want  Action
 	}{
-		{"fresh", newStart("x", BindFree, now), Action{Act: ActRun}},
-		{"old reading", newStart("x", BindFree, now-4*time.Second), refuse(NotRun, ReasonStale)},
-		{"reading from the future", newStart("x", BindFree, now+time.Second), refuse(NotRun, ReasonStale)},
-		{"leaving", leaving, refuse(NotRun, ReasonLeaving)},
-		{"ticket of another boot", otherBoot, refuse(Unknown, ReasonBoot)},
-		{"running", newStart("running", BindTicket, now), Action{Act: ActJoin}},
-		{"done", newStart("done", BindTicket, now), Action{Act: ActReplay}},
-		{"done, other request", otherPrint, refuse(NotRun, ReasonMismatch)},
-		{"broken", newStart("broken", BindTicket, now), refuse(Unknown, ReasonBroken)},
-		{"marked", newStart("marked", BindFree, now), refuse(NotRun, ReasonNever)},
+		{"fresh", newStart("x", BindFree, now), Action{Kind: ActionRun}},
+		{"old reading", newStart("x", BindFree, now-4*time.Second), refuse(OutcomeNotRun, ReasonStaleReading)},
+		{"reading from the future", newStart("x", BindFree, now+time.Second), refuse(OutcomeNotRun, ReasonStaleReading)},
+		{"leaving", leaving, refuse(OutcomeNotRun, ReasonLeaving)},
+		{"ticket of another boot", otherBoot, refuse(OutcomeUnknown, ReasonOtherBoot)},
+		{"running", newStart("running", BindTicket, now), Action{Kind: ActionJoin}},
+		{"done", newStart("done", BindTicket, now), Action{Kind: ActionReplay}},
+		{"done, other request", otherPrint, refuse(OutcomeNotRun, ReasonOtherRequest)},
+		{"broken", newStart("broken", BindTicket, now), refuse(OutcomeUnknown, ReasonTargetBroke)},
+		{"marked", newStart("marked", BindFree, now), refuse(OutcomeNotRun, ReasonMarkedNever)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			limits := testLimits
-			limits.Records = 8
+			limits.MaxRecords = 8
 			l := NewLedger("b", limits)
 			for _, id := range []ID{"running", "done", "broken"} {
 				l.Start(now, newStart(id, BindFree, now))
 			}
 			l.Settle(now, "done", StateDone)
 			l.Settle(now, "broken", StateBroken)
-			l.Query(now, Query{Ticket: newStart("marked", BindFree, now).Ticket, Mark: true})
+			l.Query(now, QueryRequest{Ticket: newStart("marked", BindFree, now).Ticket, MarkNever: true})
 			if diff := cmp.Diff(tc.want, l.Start(now, tc.start)); diff != "" {
 				t.Errorf("action (-want +got):\n%s", diff)
 			}
@@ -68,14 +68,14 @@
 		l := NewLedger("b", testLimits)
 		now := time.Duration(0)
 		runs, never := map[ID]int{}, map[ID]bool{}
-		var sent []Start
+		var sent []StartRequest
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.SampledFrom([]string{"new", "again", "query", "settle", "wait"}).Draw(t, "step") {
 			case "new":
 				bind := rapid.SampledFrom([]Binding{BindFree, BindTicket}).Draw(t, "bind")
 				sent = append(sent, newStart(ID(fmt.Sprint(len(sent))), bind, now))
 				first := sent[len(sent)-1]
-				first.Refuse = rapid.SampledFrom([]Reason{"", ReasonLeaving}).Draw(t, "refuse")
+				first.RefuseReason = rapid.SampledFrom([]Reason{"", ReasonLeaving}).Draw(t, "refuse")
 				startAndCheck(t, l, now, first, runs, never)
 			case "again":
 				if len(sent) > 0 {
@@ -84,16 +84,16 @@
 			case "query":
 				if len(sent) > 0 {
 					q := rapid.SampledFrom(sent).Draw(t, "asked").Ticket
-					never[q.Call] = l.Query(now, Query{Ticket: q, Mark: true}) == StateNever || never[q.Call]
+					never[q.CallID] = l.Query(now, QueryRequest{Ticket: q, MarkNever: true}) == StateNever || never[q.CallID]
 				}
 			case "settle":
 				if len(sent) > 0 {
-					l.Settle(now, rapid.SampledFrom(sent).Draw(t, "ended").Ticket.Call, StateDone)
+					l.Settle(now, rapid.SampledFrom(sent).Draw(t, "ended").Ticket.CallID, StateDone)
 				}
 			case "wait":
 				now += time.Duration(rapid.IntRange(0, 90).Draw(t, "seconds")) * time.Second
 			}
-			if bound := testLimits.Records + testLimits.Records/extraMarksDivisor + 1; l.Len() > bound {
+			if bound := testLimits.MaxRecords + testLimits.MaxRecords/extraMarksDivisor + 1; l.Len() > bound {
 				t.Fatalf("%d records, want at most %d", l.Len(), bound)
 			}
 		}
@@ -102,16 +102,16 @@
 
 // startAndCheck starts a call and checks that it has run at most once, and not after
 // it was reported never to run.
-func startAndCheck(t *rapid.T, l *Ledger, now time.Duration, s Start, runs map[ID]int, never map[ID]bool) {
-	id := s.Ticket.Call
+func startAndCheck(t *rapid.T, l *Ledger, now time.Duration, s StartRequest, runs map[ID]int, never map[ID]bool) {
+	id := s.Ticket.CallID
 	got := l.Start(now, s)
-	if got.Act == ActRun {
+	if got.Kind == ActionRun {
 		runs[id]++
 	}
 	if runs[id] > 1 || (runs[id] == 1 && never[id]) {
 		t.Fatalf("call %s ran %d times, never %v", id, runs[id], never[id])
 	}
-	if got.Outcome == NotRun && s.Ticket.Bind != BindFree {
+	if got.Outcome == OutcomeNotRun && s.Ticket.Binding != BindFree {
 		never[id] = true
 	}
 }
@@ -125,20 +125,20 @@
 		drive   func(a *Attempt)
 		outcome Outcome
 	}{
-		{"answered", BindFree, func(a *Attempt) { a.On(EventSent); a.On(EventAnswered) }, Done},
-		{"unsent", BindFree, func(a *Attempt) { a.On(EventUnsent) }, NotRun},
-		{"bound, unsent, side gone", BindTicket, func(a *Attempt) { a.On(EventUnsent); a.On(EventGone) }, Unknown},
-		{"lost, side gone", BindFree, func(a *Attempt) { a.On(EventSent); a.On(EventLost); a.On(EventGone) }, Unknown},
-		{"lost, marked", BindFree, func(a *Attempt) { a.On(EventSent); a.On(EventLost); a.OnVerdict(StateNever) }, NotRun},
-		{"lost, not marked", BindFree, func(a *Attempt) { a.On(EventSent); a.On(EventLost); a.OnVerdict(StateAbsent) }, Unknown},
+		{"answered", BindFree, func(a *Attempt) { a.Apply(EventSent); a.Apply(EventAnswered) }, OutcomeDone},
+		{"unsent", BindFree, func(a *Attempt) { a.Apply(EventUnsent) }, OutcomeNotRun},
+		{"bound, unsent, side gone", BindTicket, func(a *Attempt) { a.Apply(EventUnsent); a.Apply(EventSideGone) }, OutcomeUnknown},
+		{"lost, side gone", BindFree, func(a *Attempt) { a.Apply(EventSent); a.Apply(EventConnectionLost); a.Apply(EventSideGone) }, OutcomeUnknown},
+		{"lost, marked", BindFree, func(a *Attempt) { a.Apply(EventSent); a.Apply(EventConnectionLost); a.ApplyQueryResult(StateNever) }, OutcomeNotRun},
+		{"lost, not marked", BindFree, func(a *Attempt) { a.Apply(EventSent); a.Apply(EventConnectionLost); a.ApplyQueryResult(StateAbsent) }, OutcomeUnknown},
 		{"lost, done", BindFree, func(a *Attempt) {
-			a.On(EventSent)
-			a.On(EventLost)
-			a.OnVerdict(StateDone)
-			a.On(EventAnswered)
-		}, Done},
-		{"deadline", BindFree, func(a *Attempt) { a.On(EventSent); a.On(EventGiveUp) }, Unknown},
-		{"deadline before sending", BindFree, func(a *Attempt) { a.On(EventGiveUp) }, NotRun},
+			a.Apply(EventSent)
+			a.Apply(EventConnectionLost)
+			a.ApplyQueryResult(StateDone)
+			a.Apply(EventAnswered)
+		}, OutcomeDone},
+		{"deadline", BindFree, func(a *Attempt) { a.Apply(EventSent); a.Apply(EventGiveUp) }, OutcomeUnknown},
+		{"deadline before sending", BindFree, func(a *Attempt) { a.Apply(EventGiveUp) }, OutcomeNotRun},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/request/calls/outcome.go
+++ b/core/request/calls/outcome.go
@@ -17,18 +17,18 @@
 // Outcome is what a caller is told about its call. No other values exist.
 type Outcome string
 
-// The outcomes. Done: the call ran and was answered. NotRun: the call has not run and
+// The outcomes. Done: the call ran and was answered. OutcomeNotRun: the call has not run and
 // never will under its ID. Unknown: the call may or may not have run.
 const (
-	Done    Outcome = "done"
-	NotRun  Outcome = "notRun"
-	Unknown Outcome = "unknown"
+	OutcomeDone    Outcome = "done"
+	OutcomeNotRun  Outcome = "notRun"
+	OutcomeUnknown Outcome = "unknown"
 )
 
 // Check returns an error unless o is one of the outcomes.
 func (o Outcome) Check() error {
 	switch o {
-	case Done, NotRun, Unknown:
+	case OutcomeDone, OutcomeNotRun, OutcomeUnknown:
 		return nil
 	}
 	return errors.Newf("unknown outcome %q", string(o))
@@ -67,20 +67,20 @@
 
 // The reasons for which a side refuses a call.
 const (
-	ReasonStale    Reason = "staleReading"
-	ReasonBoot     Reason = "otherBoot"
-	ReasonExpired  Reason = "ticketExpired"
-	ReasonNever    Reason = "markedNever"
-	ReasonBroken   Reason = "targetBroke"
-	ReasonFull     Reason = "ledgerFull"
-	ReasonMismatch Reason = "otherRequest"
-	ReasonYoung    Reason = "ownerChanged"
-	ReasonLeaving  Reason = "leaving"
-	ReasonUnserved Reason = "unserved"
-	ReasonVersion  Reason = "otherVersion"
-	ReasonBusy     Reason = "busy"
-	ReasonTarget   Reason = "targetUnreachable"
-	ReasonTooLarge Reason = "tooLarge"
-	ReasonCancel   Reason = "cancelled"
-	ReasonTimeout  Reason = "timeout"
+	ReasonStaleReading      Reason = "staleReading"
+	ReasonOtherBoot         Reason = "otherBoot"
+	ReasonTicketExpired     Reason = "ticketExpired"
+	ReasonMarkedNever       Reason = "markedNever"
+	ReasonTargetBroke       Reason = "targetBroke"
+	ReasonLedgerFull        Reason = "ledgerFull"
+	ReasonOtherRequest      Reason = "otherRequest"
+	ReasonOwnerChanged      Reason = "ownerChanged"
+	ReasonLeaving           Reason = "leaving"
+	ReasonUnserved          Reason = "unserved"
+	ReasonOtherVersion      Reason = "otherVersion"
+	ReasonBusy              Reason = "busy"
+	ReasonTargetUnreachable Reason = "targetUnreachable"
+	ReasonTooLarge          Reason = "tooLarge"
+	ReasonCancelled         Reason = "cancelled"
+	ReasonTimeout           Reason = "timeout"
 )
--- a/core/request/calls/owner.go
+++ b/core/request/calls/owner.go
@@ -50,13 +50,13 @@
 	if len(vms) != p.total {
 		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "zone %s lists %d VMs, want %d", p.zone, len(vms), p.total)
 	}
-	return vms[p.index], Members(v, service, p.zone), nil
+	return vms[p.index], OwnerMembers(v, service, p.zone), nil
 }
 
-// Members encodes the document's placement and the VMs that are the owners of a
+// OwnerMembers encodes the document's placement and the VMs that are the owners of a
 // service's keys in a zone. Processes agree on the owners only if their members are
 // equal.
-func Members(v view.View, service, zone string) string {
+func OwnerMembers(v view.View, service, zone string) string {
 	if v.Document == nil {
 		return ""
 	}
--- a/core/request/calls/owner_test.go
+++ b/core/request/calls/owner_test.go
@@ -50,7 +50,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if members != Members(whole, "s", a.Zone) {
+				if members != OwnerMembers(whole, "s", a.Zone) {
 					t.Errorf("key %d: a side in zone %s computes other members", i, a.Zone)
 				}
 				b, _, err := Owner(tc.view, "s", id)
--- a/core/request/calls/ticket.go
+++ b/core/request/calls/ticket.go
@@ -26,8 +26,8 @@
 // and clock when the ticket was issued. Callers get its text form, with which any
 // entry can look up the outcome later.
 type Ticket struct {
-	Call    ID            `msgpack:"c"`
-	Bind    Binding       `msgpack:"b"`
+	CallID  ID            `msgpack:"c"`
+	Binding Binding       `msgpack:"b"`
 	Service string        `msgpack:"s"`
 	Side    string        `msgpack:"v"`
 	Issued  lease.Reading `msgpack:"i"`
@@ -35,13 +35,13 @@
 
 // Check returns an error for the first invalid field.
 func (t Ticket) Check() error {
-	if t.Call == "" || t.Service == "" || t.Side == "" {
+	if t.CallID == "" || t.Service == "" || t.Side == "" {
 		return errors.New("ticket: call, service or side is empty")
 	}
-	switch t.Bind {
+	switch t.Binding {
 	case BindFree, BindTicket, BindKey:
 	default:
-		return errors.Newf("ticket: unknown binding %q", string(t.Bind))
+		return errors.Newf("ticket: unknown binding %q", string(t.Binding))
 	}
 	return t.Issued.Check()
 }
--- a/core/request/proof/moves_test.go
+++ b/core/request/proof/moves_test.go
@@ -88,7 +88,7 @@
 		if !w.learned.sides[i] {
 			add(fmt.Sprintf("side %d learns of the new owner", i), func(c *modelState) {
 				c.learned.sides[i] = true
-				c.sides[i].ledger.Renew(c.clock(i))
+				c.sides[i].ledger.RestartKeyWindow(c.clock(i))
 				c.sides[i].renewedAt = c.now
 			})
 		}
@@ -96,7 +96,7 @@
 }
 
 func (m message) String() string {
-	return fmt.Sprintf("%s of %s between entry %d and side %d %s%s", m.kind, m.ticket.Call, m.entry, m.side, m.state, m.outcome)
+	return fmt.Sprintf("%s of %s between entry %d and side %d %s%s", m.kind, m.ticket.CallID, m.entry, m.side, m.state, m.outcome)
 }
 
 // receivesCalls reports whether calls may be sent to side i. A ticket or key is bound
@@ -115,14 +115,14 @@
 	event := func(name string, ev calls.Event) {
 		add(fmt.Sprintf("entry %d: %s", i, name), func(c *modelState) { x.applyEvent(c, i, ev) })
 	}
-	event("gives up, or the side seems gone", calls.EventGone)
+	event("gives up, or the side seems gone", calls.EventSideGone)
 	if e.attempt.Phase == calls.PhaseNew {
 		event("sends", calls.EventSent)
 		event("cannot send", calls.EventUnsent)
 		return
 	}
 	if e.queries < x.bounds.queries {
-		event("connection lost", calls.EventLost)
+		event("connection lost", calls.EventConnectionLost)
 	}
 }
 
@@ -175,8 +175,8 @@
 	case calls.BindFree:
 		w.lastID++
 		e.ticket = calls.Ticket{
-			Call:    calls.ID(fmt.Sprint("c", w.lastID)),
-			Bind:    calls.BindFree,
+			CallID:  calls.ID(fmt.Sprint("c", w.lastID)),
+			Binding: calls.BindFree,
 			Service: "booking",
 			Side:    fmt.Sprint(sideNo),
 			Issued:  w.reading(sideNo),
@@ -199,10 +199,10 @@
 	if ev == calls.EventUnsent && x.removed == queryWhenUnsent {
 		e.attempt.Bound = false
 	}
-	step := e.attempt.On(ev)
-	if ev == calls.EventLost && x.removed == queryAfterLoss {
+	step := e.attempt.Apply(ev)
+	if ev == calls.EventConnectionLost && x.removed == queryAfterLoss {
 		e.attempt.Phase = calls.PhaseSettled
-		e.attempt.Outcome = calls.NotRun
+		e.attempt.Outcome = calls.OutcomeNotRun
 		step = calls.StepSettle
 	}
 	x.performStep(w, i, step)
@@ -220,7 +220,7 @@
 func (x explorer) performStep(w *modelState, i int, step calls.Step) {
 	e := &w.entries[i]
 	switch step {
-	case calls.StepAsk:
+	case calls.StepQuery:
 		e.queries++
 		w.abandonConnection(i)
 		w.inFlight = append(w.inFlight, message{kind: kindQuery, entry: i, side: e.side, newOwnerKnown: e.newOwnerKnown, ticket: e.ticket})
@@ -233,18 +233,18 @@
 // Otherwise the outcome is reported to the caller and decides whether it posts again.
 func (x explorer) settle(w *modelState, i int) {
 	e := &w.entries[i]
-	id := e.ticket.Call
+	id := e.ticket.CallID
 	if w.settled[id] == nil {
 		w.settled[id] = map[calls.Outcome]bool{}
 	}
 	w.settled[id][e.attempt.Outcome] = true
 	w.abandonConnection(i)
-	if x.bounds.binding == calls.BindFree && e.attempt.Outcome == calls.NotRun && e.tries < x.bounds.attempts {
+	if x.bounds.binding == calls.BindFree && e.attempt.Outcome == calls.OutcomeNotRun && e.tries < x.bounds.attempts {
 		x.startAttempt(w, i, 1-e.side)
 		return
 	}
 	// It is only safe to post a call again if it was reported as notRun.
-	if x.bounds.binding == calls.BindFree && e.attempt.Outcome != calls.NotRun {
+	if x.bounds.binding == calls.BindFree && e.attempt.Outcome != calls.OutcomeNotRun {
 		w.callerStopped = true
 	}
 	*e = entry{}
@@ -278,18 +278,18 @@
 	if x.removed == recordBeforeRun {
 		ledger = calls.NewLedger(s.ledger.Boot, s.ledger.Limits)
 	}
-	start := calls.Start{Ticket: t, Echo: echo, Print: "payment"}
-	start.Unsure = x.unsure(w, m)
+	start := calls.StartRequest{Ticket: t, EchoedReading: echo, Fingerprint: "payment"}
+	start.MembersDiffer = x.unsure(w, m)
 	act := ledger.Start(w.clock(m.side), start)
-	switch act.Act {
-	case calls.ActRun:
-		w.executions = append(w.executions, execution{side: m.side, boot: s.boot, id: t.Call})
+	switch act.Kind {
+	case calls.ActionRun:
+		w.executions = append(w.executions, execution{side: m.side, boot: s.boot, id: t.CallID})
 		s.addWaiter(m)
-	case calls.ActJoin:
+	case calls.ActionJoin:
 		s.addWaiter(m)
-	case calls.ActReplay:
+	case calls.ActionReplay:
 		reply(w, m, message{kind: kindAnswer})
-	case calls.ActRefuse:
+	case calls.ActionRefuse:
 		reply(w, m, message{kind: kindRefusal, outcome: act.Outcome})
 	}
 }
@@ -298,7 +298,7 @@
 // given up the connection.
 func (s *side) addWaiter(m message) {
 	if !m.abandoned {
-		s.waiters = append(s.waiters, waiter{entry: m.entry, id: m.ticket.Call})
+		s.waiters = append(s.waiters, waiter{entry: m.entry, id: m.ticket.CallID})
 	}
 }
 
@@ -317,7 +317,7 @@
 
 func (x explorer) deliverQuery(w *modelState, m message) {
 	s := &w.sides[m.side]
-	q := calls.Query{Ticket: m.ticket, Mark: x.removed != queryMark, Unsure: x.unsure(w, m)}
+	q := calls.QueryRequest{Ticket: m.ticket, MarkNever: x.removed != queryMark, MembersDiffer: x.unsure(w, m)}
 	if x.removed == bootCheck {
 		q.Ticket.Issued = lease.Reading{Boot: s.ledger.Boot, At: w.clock(m.side)}
 	}
@@ -338,11 +338,11 @@
 	e := &w.entries[m.entry]
 	switch m.kind {
 	case kindVerdict:
-		x.performStep(w, m.entry, e.attempt.OnVerdict(m.state))
+		x.performStep(w, m.entry, e.attempt.ApplyQueryResult(m.state))
 	case kindAnswer:
 		x.applyEvent(w, m.entry, calls.EventAnswered)
 	case kindRefusal:
-		x.performStep(w, m.entry, e.attempt.OnRefused(m.outcome))
+		x.performStep(w, m.entry, e.attempt.ApplyRefusal(m.outcome))
 	}
 }
 
@@ -361,7 +361,7 @@
 // received the call and may run it later.
 func (x explorer) loseTarget(w *modelState, i int) {
 	w.executions[i].settled = true
-	x.endExecution(w, w.executions[i], calls.StateBroken, message{kind: kindRefusal, outcome: calls.Unknown})
+	x.endExecution(w, w.executions[i], calls.StateBroken, message{kind: kindRefusal, outcome: calls.OutcomeUnknown})
 }
 
 // endExecution settles a call at its side, unless that has restarted, and sends the
--- a/core/request/proof/once_test.go
+++ b/core/request/proof/once_test.go
@@ -10,7 +10,7 @@
 )
 
 func limits() calls.Limits {
-	return calls.Limits{MaxAge: tick, Keep: 2 * tick, KeyWindow: 3 * tick, Records: 16}
+	return calls.Limits{MaxReadingAge: tick, RecordMaxAge: 2 * tick, KeyWindow: 3 * tick, MaxRecords: 16}
 }
 
 // freeCall is a call that its entry may try at the other side once the first side has
@@ -60,7 +60,7 @@
 
 func ownerChangeLimits() calls.Limits {
 	l := limits()
-	l.Keep = 8 * tick
+	l.RecordMaxAge = 8 * tick
 	return l
 }
 
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -153,8 +153,8 @@
 func (s *soak) onceCall() {
 	clock := s.now.Sub(s.startTime)
 	t := calls.Ticket{
-		Call:    calls.ID(fmt.Sprint("c", s.n)),
-		Bind:    calls.BindTicket,
+		CallID:  calls.ID(fmt.Sprint("c", s.n)),
+		Binding: calls.BindTicket,
 		Service: "booking",
 		Side:    "t",
 		Issued:  lease.Reading{Boot: "boot", At: clock},
@@ -164,13 +164,13 @@
 	} else {
 		s.tickets = append(s.tickets, t)
 	}
-	start := calls.Start{Ticket: t, Echo: lease.Reading{Boot: "boot", At: clock}, Print: "p"}
-	if s.ledger.Start(clock, start).Act != calls.ActRun {
+	start := calls.StartRequest{Ticket: t, EchoedReading: lease.Reading{Boot: "boot", At: clock}, Fingerprint: "p"}
+	if s.ledger.Start(clock, start).Kind != calls.ActionRun {
 		s.repeatsRefused++
 		return
 	}
-	s.ran[t.Call]++
-	s.ledger.Settle(clock, t.Call, calls.StateDone)
+	s.ran[t.CallID]++
+	s.ledger.Settle(clock, t.CallID, calls.StateDone)
 }
 
 func (s *soak) measure() {
--- a/core/request/proof/state_test.go
+++ b/core/request/proof/state_test.go
@@ -162,8 +162,8 @@
 		w.sides[i].ledger = calls.NewLedger(bootName(i, 0), limitsOf(b, r))
 	}
 	w.ticket = calls.Ticket{
-		Call:    "ticket",
-		Bind:    b.binding,
+		CallID:  "ticket",
+		Binding: b.binding,
 		Service: "booking",
 		Side:    "0",
 		Issued:  w.reading(0),
@@ -174,7 +174,7 @@
 func limitsOf(b bounds, r safeguard) calls.Limits {
 	l := b.limits
 	if r == readingAgeCheck {
-		l.MaxAge = time.Hour
+		l.MaxReadingAge = time.Hour
 	}
 	if r == keyWindow {
 		l.KeyWindow = 0
@@ -248,7 +248,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(w.settled)) {
 		k.text(string(id))
-		k.flag(w.settled[id][calls.NotRun], w.settled[id][calls.Done])
+		k.flag(w.settled[id][calls.OutcomeNotRun], w.settled[id][calls.OutcomeDone])
 	}
 	for i := range w.sides {
 		w.sides[i].key(k)
@@ -300,7 +300,7 @@
 	total := 0
 	for id, n := range w.runs {
 		total += n
-		if n > 0 && w.settled[id][calls.NotRun] {
+		if n > 0 && w.settled[id][calls.OutcomeNotRun] {
 			return errors.Newf("call %s was reported as notRun, but ran", id)
 		}
 	}
@@ -308,7 +308,7 @@
 		return errors.Newf("the payment ran %d times", total)
 	}
 	for id, outs := range w.settled {
-		if outs[calls.Done] && w.runs[id] == 0 {
+		if outs[calls.OutcomeDone] && w.runs[id] == 0 {
 			return errors.Newf("call %s was reported as done, but did not run", id)
 		}
 	}
--- a/core/request/proof/statekey_test.go
+++ b/core/request/proof/statekey_test.go
@@ -44,7 +44,7 @@
 }
 
 func (k *keyBuilder) ticket(t calls.Ticket) {
-	k.text(string(t.Call))
+	k.text(string(t.CallID))
 	k.reading(t.Issued)
 }
 
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -237,9 +237,9 @@
 // busy refuses a call over the connection's bounds. The same ticket or key
 // may run through another connection, so nothing is said of it.
 func (c *sideConn) busy(m *Start) error {
-	r := &Refusal{Channel: m.Channel, Outcome: calls.NotRun, Reason: calls.ReasonBusy}
-	if m.Ticket != nil && m.Ticket.Bind != calls.BindFree {
-		r.Outcome = calls.Unknown
+	r := &Refusal{Channel: m.Channel, Outcome: calls.OutcomeNotRun, Reason: calls.ReasonBusy}
+	if m.Ticket != nil && m.Ticket.Binding != calls.BindFree {
+		r.Outcome = calls.OutcomeUnknown
 	}
 	return c.send(r)
 }
@@ -278,7 +278,7 @@
 		return err
 	}
 	if s == nil {
-		return c.send(&Refusal{Channel: m.Channel, Outcome: calls.Unknown, Reason: calls.ReasonBusy})
+		return c.send(&Refusal{Channel: m.Channel, Outcome: calls.OutcomeUnknown, Reason: calls.ReasonBusy})
 	}
 	c.wg.Go(func() {
 		defer s.cancel()
--- a/io/process/entry/status.go
+++ b/io/process/entry/status.go
@@ -53,11 +53,11 @@
 		out[i].Repeated += uint64(c.Repeated)
 		out[i].Refused += uint64(c.Refused)
 		switch c.Outcome {
-		case calls.Done:
+		case calls.OutcomeDone:
 			out[i].Done += uint64(c.Count)
-		case calls.NotRun:
+		case calls.OutcomeNotRun:
 			out[i].NotRun += uint64(c.Count)
-		case calls.Unknown:
+		case calls.OutcomeUnknown:
 			out[i].Unknown += uint64(c.Count)
 		}
 	}
--- a/io/process/side/side.go
+++ b/io/process/side/side.go
@@ -51,8 +51,8 @@
 func (s *Side) buildGate() {
 	h := s.Host
 	limits := calls.DefaultLimits()
-	limits.Records = h.Settings.Limits.MaxRecords
-	limits.Keep = h.Settings.Limits.RecordAge
+	limits.MaxRecords = h.Settings.Limits.MaxRecords
+	limits.RecordMaxAge = h.Settings.Limits.RecordAge
 	s.gate = &gate.Gate{
 		Self:        h.Self,
 		Clock:       h.Clock,
--- a/io/request/front/drain_test.go
+++ b/io/request/front/drain_test.go
@@ -114,20 +114,20 @@
 func TestCallWithStaleReadingIsRefused(t *testing.T) {
 	fl := newTestFleet(t)
 	fl.limits = calls.DefaultLimits()
-	fl.limits.MaxAge = 100 * time.Millisecond
+	fl.limits.MaxReadingAge = 100 * time.Millisecond
 	p := newPayments()
 	s := fl.addSide("b1", "booking", p)
 	r := fl.callDirectly(s, func(m *sessn.Start, c *sessn.Client) {
 		for {
 			now, _ := c.Reading()
-			if now.At-m.Echo.At > fl.limits.MaxAge {
+			if now.At-m.Echo.At > fl.limits.MaxReadingAge {
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	})
-	check(t, "reason", calls.ReasonStale, r.Reason)
-	check(t, "outcome", calls.NotRun, r.Outcome)
+	check(t, "reason", calls.ReasonStaleReading, r.Reason)
+	check(t, "outcome", calls.OutcomeNotRun, r.Outcome)
 	check(t, "runs", 0, p.ran("fee"))
 }
 
@@ -146,7 +146,7 @@
 	echo, _ := c.Reading()
 	m := &sessn.Start{
 		Request: "r", Method: http.MethodPost, Path: "/payments", Timeout: time.Minute, Echo: echo,
-		Ticket: &calls.Ticket{Call: "c", Bind: calls.BindFree, Service: "booking", Side: s.vm.Name, Issued: echo},
+		Ticket: &calls.Ticket{CallID: "c", Binding: calls.BindFree, Service: "booking", Side: s.vm.Name, Issued: echo},
 	}
 	beforeSend(m, c)
 	call, err := c.Start(m, []byte("fee"))
--- a/io/request/front/faults_test.go
+++ b/io/request/front/faults_test.go
@@ -88,15 +88,15 @@
 	}
 	for _, r := range replies {
 		switch outcome := r.Header.Get(headerOutcome); outcome {
-		case string(calls.Done):
+		case string(calls.OutcomeDone):
 			if runs != 1 || r.Body != "paid "+body || r.Truncated {
 				t.Errorf("%s: told done with %q, ran %d times", body, r.Body, runs)
 			}
-		case string(calls.NotRun):
+		case string(calls.OutcomeNotRun):
 			if runs != 0 {
 				t.Errorf("%s: told notRun, ran %d times", body, runs)
 			}
-		case string(calls.Unknown):
+		case string(calls.OutcomeUnknown):
 		default:
 			t.Errorf("%s: told %q, status %d", body, outcome, r.Status)
 		}
--- a/io/request/front/front_test.go
+++ b/io/request/front/front_test.go
@@ -83,8 +83,8 @@
 		})
 	}
 	want := []OutcomeCount{
-		{Customer: anonymousCustomer, Service: "booking", Outcome: calls.Done, Count: 5},
-		{Customer: anonymousCustomer, Service: "helper", Outcome: calls.Done, Count: 1},
+		{Customer: anonymousCustomer, Service: "booking", Outcome: calls.OutcomeDone, Count: 5},
+		{Customer: anonymousCustomer, Service: "helper", Outcome: calls.OutcomeDone, Count: 1},
 	}
 	if diff := cmp.Diff(want, e.front.Outcomes()); diff != "" {
 		t.Errorf("outcomes (-want +got):\n%s", diff)
--- a/io/request/front/measure.go
+++ b/io/request/front/measure.go
@@ -14,9 +14,9 @@
 		f.Gauge.Latency("firstByte "+rq.routing.Service, rq.timeToFirstByte)
 	}
 	switch {
-	case res.outcome == calls.Unknown:
+	case res.outcome == calls.OutcomeUnknown:
 		f.Gauge.Count("unknown "+rq.routing.Service, 1)
-	case res.outcome == calls.NotRun:
+	case res.outcome == calls.OutcomeNotRun:
 		f.Gauge.Count("notRun "+rq.routing.Service, 1)
 	}
 }
--- a/io/request/front/once.go
+++ b/io/request/front/once.go
@@ -25,7 +25,7 @@
 // an attempt certainly did not run, the call goes to another target under a new ID.
 func (f *Front) runFree(ctx context.Context, w http.ResponseWriter, rq *request) {
 	rq.binding = calls.BindFree
-	last := result{outcome: calls.NotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
+	last := result{outcome: calls.OutcomeNotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
 		m, err := f.choose(rq)
 		if err != nil {
@@ -39,7 +39,7 @@
 			return
 		}
 		last = o.result
-		if o.outcome != calls.NotRun || n >= f.Limits.MaxAttempts || ctx.Err() != nil {
+		if o.outcome != calls.OutcomeNotRun || n >= f.Limits.MaxAttempts || ctx.Err() != nil {
 			break
 		}
 		if !f.policy.allowRetry(rq.routing.Service) {
@@ -56,7 +56,7 @@
 	rq.keyCallID = calls.KeyID(rq.routing.Customer, rq.routing.Service, rq.idempotencyKey)
 	vm, keyMembers, err := calls.Owner(f.Source.Current(), rq.routing.Service, rq.keyCallID)
 	if err != nil {
-		f.writeFailure(w, rq, result{outcome: calls.Unknown, status: http.StatusServiceUnavailable, reason: err.Error()})
+		f.writeFailure(w, rq, result{outcome: calls.OutcomeUnknown, status: http.StatusServiceUnavailable, reason: err.Error()})
 		return
 	}
 	rq.keyMembers = keyMembers
@@ -67,7 +67,7 @@
 func (f *Front) runBound(ctx context.Context, w http.ResponseWriter, rq *request, side string) {
 	m := f.pool.acquire(side)
 	if m == nil {
-		res := result{outcome: calls.Unknown, status: http.StatusBadGateway, reason: "the side is gone"}
+		res := result{outcome: calls.OutcomeUnknown, status: http.StatusBadGateway, reason: "the side is gone"}
 		f.writeFailure(w, rq, res)
 		return
 	}
@@ -103,12 +103,12 @@
 func (f *Front) writeAnswer(w http.ResponseWriter, rq *request, o onceResult) {
 	out := newCallerWriter(w, f.Limits.WriteTimeout)
 	copyHeader(w.Header(), o.answer.head.Header)
-	w.Header().Set(headerOutcome, string(calls.Done))
+	w.Header().Set(headerOutcome, string(calls.OutcomeDone))
 	setContentLength(w.Header(), o.answer.head.Status, len(o.answer.body))
 	if o.ticket != "" {
 		w.Header().Set(headerTicket, o.ticket)
 	}
-	f.recordResult(rq, result{outcome: calls.Done, repeated: o.answer.head.Again})
+	f.recordResult(rq, result{outcome: calls.OutcomeDone, repeated: o.answer.head.Again})
 	w.WriteHeader(o.answer.head.Status)
 	_ = out.send(o.answer.body)
 }
--- a/io/request/front/once_test.go
+++ b/io/request/front/once_test.go
@@ -157,7 +157,7 @@
 	fl.addSide("b2", "booking", second)
 	check(t, "caller result", callerResult{Outcome: "done", Body: "paid fee"}, callerResultOf(<-got))
 	resume()
-	check(t, "stuck call", string(calls.ReasonNever), log.await("run", "refuse").Reason)
+	check(t, "stuck call", string(calls.ReasonMarkedNever), log.await("run", "refuse").Reason)
 	check(t, "runs", 1, first.ran("fee")+second.ran("fee"))
 }
 
--- a/io/request/front/onceattempt.go
+++ b/io/request/front/onceattempt.go
@@ -18,14 +18,14 @@
 		return *rq.ticket
 	}
 	t := calls.Ticket{
-		Call:    calls.ID(uuid.NewString()),
-		Bind:    rq.binding,
+		CallID:  calls.ID(uuid.NewString()),
+		Binding: rq.binding,
 		Service: rq.routing.Service,
 		Side:    m.client.VM.Name,
 		Issued:  start.Echo,
 	}
 	if rq.binding == calls.BindKey {
-		t.Call = rq.keyCallID
+		t.CallID = rq.keyCallID
 	}
 	return t
 }
@@ -45,7 +45,7 @@
 	rq.ticket = &ticket
 	startMessage.Ticket, startMessage.Members = &ticket, rq.keyMembers
 	if rq.refusedAtAdmission != nil {
-		t.querySide(ctx, calls.EventLost)
+		t.querySide(ctx, calls.EventConnectionLost)
 		return t.settledResult(ctx)
 	}
 	call, err := m.client.Start(startMessage, rq.body)
@@ -53,9 +53,9 @@
 	case errors.Is(err, sessn.ErrUnsent):
 		t.handleUnsent(ctx)
 	case err != nil:
-		t.querySide(ctx, calls.EventLost)
+		t.querySide(ctx, calls.EventConnectionLost)
 	default:
-		t.state.On(calls.EventSent)
+		t.state.Apply(calls.EventSent)
 		t.readUntilSettled(ctx, call)
 	}
 	return t.settledResult(ctx)
@@ -65,11 +65,11 @@
 // settled as not run. A bound call may have reached its side through another entry, so
 // the side is queried.
 func (t *onceAttempt) handleUnsent(ctx context.Context) {
-	if t.state.On(calls.EventUnsent) != calls.StepAsk {
+	if t.state.Apply(calls.EventUnsent) != calls.StepQuery {
 		return
 	}
 	if t.request.ticket == nil {
-		t.state.On(calls.EventGiveUp)
+		t.state.Apply(calls.EventGiveUp)
 		return
 	}
 	t.querySide(ctx, "")
@@ -113,7 +113,7 @@
 func (t *onceAttempt) readUntilSettled(ctx context.Context, call *sessn.Call) {
 	step, ended := t.readAnswer(ctx, call)
 	call.Close(ended)
-	if step == calls.StepAsk {
+	if step == calls.StepQuery {
 		t.querySide(ctx, "")
 	}
 }
@@ -127,7 +127,7 @@
 		}
 		switch msg := msg.(type) {
 		case *sessn.Verdict:
-			if t.state.OnVerdict(msg.State) == calls.StepSettle {
+			if t.state.ApplyQueryResult(msg.State) == calls.StepSettle {
 				return calls.StepSettle, true
 			}
 		case *sessn.Head:
@@ -135,26 +135,26 @@
 			t.buffer.head = msg
 		case *sessn.Data:
 			if len(t.buffer.body)+len(msg.Data) > sessn.MaxAnswer {
-				return t.state.On(calls.EventGiveUp), false
+				return t.state.Apply(calls.EventGiveUp), false
 			}
 			t.buffer.body = append(t.buffer.body, msg.Data...)
 		case *sessn.Refusal:
 			t.refusal = msg
-			return t.state.OnRefused(msg.Outcome), true
+			return t.state.ApplyRefusal(msg.Outcome), true
 		case *sessn.End:
 			if t.buffer.head == nil {
-				return t.state.On(calls.EventLost), true
+				return t.state.Apply(calls.EventConnectionLost), true
 			}
-			return t.state.On(calls.EventAnswered), true
+			return t.state.Apply(calls.EventAnswered), true
 		}
 	}
 }
 
 func (t *onceAttempt) handleReadError(ctx context.Context) calls.Step {
 	if ctx.Err() != nil {
-		return t.state.On(calls.EventGiveUp)
+		return t.state.Apply(calls.EventGiveUp)
 	}
-	return t.state.On(calls.EventLost)
+	return t.state.Apply(calls.EventConnectionLost)
 }
 
 // querySide queries the side over a new connection about the outcome of the call. It
@@ -163,11 +163,11 @@
 // first.
 func (t *onceAttempt) querySide(ctx context.Context, e calls.Event) {
 	if e != "" {
-		t.state.On(e)
+		t.state.Apply(e)
 	}
 	t.queries++
 	if t.queries > maxQueries {
-		t.state.On(calls.EventGiveUp)
+		t.state.Apply(calls.EventGiveUp)
 		return
 	}
 	t.logDecision("ask")
@@ -190,14 +190,14 @@
 // false if the side is gone or ctx ends.
 func (t *onceAttempt) waitSessionChange(ctx context.Context, next <-chan struct{}) bool {
 	if t.member.client.Status().Refused || !t.front.pool.isListed(t.member) {
-		t.state.On(calls.EventGone)
+		t.state.Apply(calls.EventSideGone)
 		return false
 	}
 	select {
 	case <-next:
 		return true
 	case <-ctx.Done():
-		t.state.On(calls.EventGiveUp)
+		t.state.Apply(calls.EventGiveUp)
 		return false
 	}
 }
@@ -205,7 +205,7 @@
 func (t *onceAttempt) logDecision(action string) {
 	t.front.Log.Decide(trail.Decision{
 		Area: trail.AreaCall, Action: action, Request: t.request.routing.ID, Service: t.request.routing.Service,
-		Subject: string(t.request.ticket.Call), Choice: t.member.client.VM.Name,
+		Subject: string(t.request.ticket.CallID), Choice: t.member.client.VM.Name,
 		Revision: t.front.Self.Revision.Load(),
 	})
 }
@@ -216,7 +216,7 @@
 	if t.request.ticket != nil {
 		res.ticket, _ = t.request.ticket.Encode()
 	}
-	if res.outcome == calls.Done && t.buffer.head != nil && t.refusal == nil {
+	if res.outcome == calls.OutcomeDone && t.buffer.head != nil && t.refusal == nil {
 		return onceResult{result: res, answer: &t.buffer}
 	}
 	if t.refusal != nil {
@@ -229,12 +229,12 @@
 		g.ticket = res.ticket
 		return onceResult{result: withoutUnsafeRetry(g)}
 	}
-	if r := t.request.refusedAtAdmission; r != nil && res.outcome == calls.NotRun {
+	if r := t.request.refusedAtAdmission; r != nil && res.outcome == calls.OutcomeNotRun {
 		return onceResult{result: *r}
 	}
 	res.status, res.retryAfter = http.StatusBadGateway, 0
 	res.reason = "the side could not tell"
-	if res.outcome == calls.NotRun {
+	if res.outcome == calls.OutcomeNotRun {
 		res.status, res.retryAfter, res.reason = http.StatusServiceUnavailable, retryAfter, "the call was not sent"
 	}
 	return onceResult{result: withoutUnsafeRetry(res)}
@@ -242,7 +242,7 @@
 
 // withoutUnsafeRetry removes the invitation to retry unless the call did not run.
 func withoutUnsafeRetry(res result) result {
-	if res.outcome != calls.NotRun {
+	if res.outcome != calls.OutcomeNotRun {
 		res.retryAfter = 0
 	}
 	return res
--- a/io/request/front/repeat.go
+++ b/io/request/front/repeat.go
@@ -17,7 +17,7 @@
 // by one on another target, within the limits of MaxAttempts and of the retry budget.
 func (f *Front) runRepeatable(ctx context.Context, w http.ResponseWriter, rq *request) {
 	rl := f.newRelay(w, rq)
-	last := result{outcome: calls.NotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
+	last := result{outcome: calls.OutcomeNotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
 		m, err := f.choose(rq)
 		if err != nil {
@@ -27,7 +27,7 @@
 		err = f.attemptRepeatable(ctx, m, rq, rl)
 		f.pool.release(m)
 		if err == nil {
-			f.recordResult(rq, result{outcome: calls.Done})
+			f.recordResult(rq, result{outcome: calls.OutcomeDone})
 			return
 		}
 		last = resultOfError(ctx, err, last)
@@ -78,7 +78,7 @@
 		f.writeFailure(w, rq, res)
 		return
 	}
-	res.outcome = calls.Unknown
+	res.outcome = calls.OutcomeUnknown
 	f.recordResult(rq, res)
 	panic(http.ErrAbortHandler)
 }
@@ -90,7 +90,7 @@
 
 func resultOfError(ctx context.Context, err error, last result) result {
 	if ctx.Err() != nil {
-		return interruptedResult(ctx, calls.Unknown)
+		return interruptedResult(ctx, calls.OutcomeUnknown)
 	}
 	var refused *refusalError
 	if errors.As(err, &refused) {
@@ -101,7 +101,7 @@
 		return last
 	}
 	return result{
-		outcome: calls.Unknown, reason: err.Error(),
+		outcome: calls.OutcomeUnknown, reason: err.Error(),
 		status: http.StatusBadGateway, retryAfter: retryAfter,
 	}
 }
@@ -114,7 +114,7 @@
 	switch {
 	case r.Reason == calls.ReasonTimeout:
 		res.status = http.StatusGatewayTimeout
-	case r.Outcome == calls.NotRun:
+	case r.Outcome == calls.OutcomeNotRun:
 		res.status = http.StatusServiceUnavailable
 	default:
 		res.status = http.StatusBadGateway
--- a/io/request/front/request.go
+++ b/io/request/front/request.go
@@ -118,8 +118,8 @@
 	}
 	// The ticket may also be one that the response to a free call carried. From then on
 	// the call is bound, as it may reach the side more than once.
-	t.Bind = calls.BindTicket
-	rq.binding, rq.ticket = t.Bind, &t
+	t.Binding = calls.BindTicket
+	rq.binding, rq.ticket = t.Binding, &t
 	return nil
 }
 
@@ -164,9 +164,9 @@
 // have run through another entry.
 func (rq *request) unsentOutcome() calls.Outcome {
 	if rq.ticket != nil || rq.idempotencyKey != "" {
-		return calls.Unknown
+		return calls.OutcomeUnknown
 	}
-	return calls.NotRun
+	return calls.OutcomeNotRun
 }
 
 // recordFirstByte records when the answer began. It ignores chats that are not
@@ -202,7 +202,7 @@
 		Revision: f.Self.Revision.Load(),
 	}
 	if rq.ticket != nil {
-		d.Subject, d.Choice = string(rq.ticket.Call), rq.ticket.Side
+		d.Subject, d.Choice = string(rq.ticket.CallID), rq.ticket.Side
 	}
 	f.Log.Decide(d)
 }
@@ -225,7 +225,7 @@
 		status: http.StatusGatewayTimeout, retryAfter: retryAfter,
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
-		res.reason = string(calls.ReasonCancel)
+		res.reason = string(calls.ReasonCancelled)
 	}
 	return res
 }
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -58,7 +58,7 @@
 func (f *Front) reject(w http.ResponseWriter, status int, detail string, after time.Duration) {
 	f.Metrics.Counter("rejected").Inc(1)
 	Problem{
-		Status: status, Detail: detail, Outcome: calls.NotRun,
+		Status: status, Detail: detail, Outcome: calls.OutcomeNotRun,
 		RequestID: uuid.NewString(), RetryAfter: after,
 	}.write(w)
 }
@@ -209,7 +209,7 @@
 // have run already, so its side is queried first.
 func (f *Front) refuseAdmission(ctx context.Context, w http.ResponseWriter, rq *request, v admit.Verdict) {
 	res := result{
-		outcome: calls.NotRun, reason: string(v.Reason),
+		outcome: calls.OutcomeNotRun, reason: string(v.Reason),
 		status: http.StatusTooManyRequests, retryAfter: v.RetryAfter, refusedAtAdmission: true,
 	}
 	if rq.ticket == nil && rq.idempotencyKey == "" {
--- a/io/request/front/ticket.go
+++ b/io/request/front/ticket.go
@@ -76,8 +76,8 @@
 		return
 	}
 	t := calls.Ticket{
-		Call:    calls.ID(uuid.NewString()),
-		Bind:    calls.BindTicket,
+		CallID:  calls.ID(uuid.NewString()),
+		Binding: calls.BindTicket,
 		Service: service,
 		Side:    m.client.VM.Name,
 		Issued:  issued,
@@ -143,7 +143,7 @@
 	if v.State != calls.StateDone {
 		return s
 	}
-	t.state.On(calls.EventSent)
+	t.state.Apply(calls.EventSent)
 	if _, ended := t.readAnswer(ctx, call); ended && t.refusal == nil && t.buffer.head != nil {
 		s.Answer = t.buffer.ticketResult()
 	}
@@ -165,9 +165,9 @@
 	case calls.StateAbsent, calls.StateRunning:
 		return TicketStatus{State: s}
 	case calls.StateDone:
-		return TicketStatus{State: s, Outcome: calls.Done}
+		return TicketStatus{State: s, Outcome: calls.OutcomeDone}
 	case calls.StateNever:
-		return TicketStatus{State: s, Outcome: calls.NotRun}
+		return TicketStatus{State: s, Outcome: calls.OutcomeNotRun}
 	}
-	return TicketStatus{State: s, Outcome: calls.Unknown}
+	return TicketStatus{State: s, Outcome: calls.OutcomeUnknown}
 }
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -244,7 +244,7 @@
 	case !g.target.ready:
 		return calls.ReasonUnserved
 	case version != "" && version != g.target.serving:
-		return calls.ReasonVersion
+		return calls.ReasonOtherVersion
 	case g.inFlight >= g.MaxInFlight:
 		return calls.ReasonBusy
 	}
--- a/io/request/gate/measure.go
+++ b/io/request/gate/measure.go
@@ -9,18 +9,18 @@
 // ones. If repeats become more frequent, callers or entries are sending the same call
 // again and again.
 func (g *Gate) addMeasures(a calls.Action) {
-	switch a.Act {
-	case calls.ActJoin, calls.ActReplay:
+	switch a.Kind {
+	case calls.ActionJoin, calls.ActionReplay:
 		g.Gauge.Count("repeatsStopped", 1)
-	case calls.ActRefuse:
+	case calls.ActionRefuse:
 		g.Gauge.Count("refused", 1)
 	}
 }
 
 // watchTables registers the gate's tables whose sizes Gauge watches.
 func (g *Gate) watchTables() {
-	g.Gauge.Watch(gauge.Table{Name: "ledger", Bound: g.Limits.Records, Len: g.ledgerSize})
-	g.Gauge.Watch(gauge.Table{Name: "runs", Bound: g.Limits.Records, Len: g.executionsSize})
+	g.Gauge.Watch(gauge.Table{Name: "ledger", Bound: g.Limits.MaxRecords, Len: g.ledgerSize})
+	g.Gauge.Watch(gauge.Table{Name: "runs", Bound: g.Limits.MaxRecords, Len: g.executionsSize})
 }
 
 func (g *Gate) ledgerSize() int {
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -43,28 +43,28 @@
 	g.mu.Lock()
 	reason := g.refusalReasonLocked("")
 	unsure := m.Members != g.members
-	act := g.ledger.Start(g.now(), calls.Start{Ticket: *m.Ticket, Echo: m.Echo, Print: print, Refuse: reason, Unsure: unsure})
-	r := g.executions[m.Ticket.Call]
-	if act.Act == calls.ActRun {
-		r = &execution{id: m.Ticket.Call, done: make(chan struct{})}
+	act := g.ledger.Start(g.now(), calls.StartRequest{Ticket: *m.Ticket, EchoedReading: m.Echo, Fingerprint: print, RefuseReason: reason, MembersDiffer: unsure})
+	r := g.executions[m.Ticket.CallID]
+	if act.Kind == calls.ActionRun {
+		r = &execution{id: m.Ticket.CallID, done: make(chan struct{})}
 		g.executions[r.id] = r
 		g.acquireSlotLocked()
 	}
 	g.mu.Unlock()
 	g.logDecision(m, act)
-	if act.Act == calls.ActRefuse {
+	if act.Kind == calls.ActionRefuse {
 		_ = s.Refuse(refusalOfAction(act))
 		return
 	}
-	if act.Act == calls.ActRun {
+	if act.Kind == calls.ActionRun {
 		go g.execute(r, s)
 	}
-	g.answer(s, r, act.Act != calls.ActRun)
+	g.answer(s, r, act.Kind != calls.ActionRun)
 }
 
 func refusalOfAction(a calls.Action) sessn.Refusal {
 	r := sessn.Refusal{Outcome: a.Outcome, Reason: a.Reason}
-	if a.Outcome == calls.NotRun {
+	if a.Outcome == calls.OutcomeNotRun {
 		r.RetryAfter = retryAfter
 	}
 	return r
@@ -125,21 +125,21 @@
 	case err == nil:
 		return calls.StateDone, ""
 	case errors.Is(err, errNotReached):
-		return calls.StateNever, calls.ReasonTarget
+		return calls.StateNever, calls.ReasonTargetUnreachable
 	case ctx.Err() != nil:
 		return calls.StateBroken, calls.ReasonTimeout
 	}
-	return calls.StateBroken, calls.ReasonBroken
+	return calls.StateBroken, calls.ReasonTargetBroke
 }
 
 func outcomeOf(s calls.State) calls.Outcome {
 	switch s {
 	case calls.StateDone:
-		return calls.Done
+		return calls.OutcomeDone
 	case calls.StateNever:
-		return calls.NotRun
+		return calls.OutcomeNotRun
 	default:
-		return calls.Unknown
+		return calls.OutcomeUnknown
 	}
 }
 
@@ -175,7 +175,7 @@
 	g.ledger.Expire(now)
 	for len(g.storedIDs) > 0 {
 		r := g.executions[g.storedIDs[0]]
-		if r != nil && now-r.settledAt <= g.Limits.Keep {
+		if r != nil && now-r.settledAt <= g.Limits.RecordMaxAge {
 			return
 		}
 		g.dropOldestLocked()
@@ -203,7 +203,7 @@
 // the call had been received before. r is nil if the answer is no longer stored.
 func (g *Gate) answer(s *sessn.Stream, r *execution, replayed bool) {
 	if r == nil {
-		_ = s.Refuse(sessn.Refusal{Outcome: calls.Done, Reason: calls.ReasonTooLarge})
+		_ = s.Refuse(sessn.Refusal{Outcome: calls.OutcomeDone, Reason: calls.ReasonTooLarge})
 		return
 	}
 	select {
@@ -224,11 +224,11 @@
 	g.answerPending()
 	defer g.answerSent()
 	g.mu.Lock()
-	state := g.ledger.Query(g.now(), calls.Query{Ticket: q.Ticket, Mark: q.Mark, Unsure: q.Members != g.members})
-	r := g.executions[q.Ticket.Call]
+	state := g.ledger.Query(g.now(), calls.QueryRequest{Ticket: q.Ticket, MarkNever: q.Mark, MembersDiffer: q.Members != g.members})
+	r := g.executions[q.Ticket.CallID]
 	g.mu.Unlock()
 	g.Log.Decide(trail.Decision{
-		Area: trail.AreaCall, Action: "query", Service: g.Service, Subject: string(q.Ticket.Call),
+		Area: trail.AreaCall, Action: "query", Service: g.Service, Subject: string(q.Ticket.CallID),
 		Choice: string(state), Revision: g.Self.Revision.Load(),
 	})
 	open := state == calls.StateRunning || state == calls.StateDone
@@ -239,11 +239,11 @@
 }
 
 func (g *Gate) logDecision(m *sessn.Start, a calls.Action) {
-	g.countCall(string(a.Act))
+	g.countCall(string(a.Kind))
 	g.addMeasures(a)
 	g.Log.Decide(trail.Decision{
-		Area: trail.AreaCall, Action: string(a.Act), Request: m.Request, Service: g.Service,
-		Subject: string(m.Ticket.Call), Outcome: string(a.Outcome), Reason: string(a.Reason),
+		Area: trail.AreaCall, Action: string(a.Kind), Request: m.Request, Service: g.Service,
+		Subject: string(m.Ticket.CallID), Outcome: string(a.Outcome), Reason: string(a.Reason),
 		Revision: g.Self.Revision.Load(),
 	})
 }
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -37,7 +37,7 @@
 func (g *Gate) beginRepeatable(s *sessn.Stream) {
 	if reason := g.admitRepeatable(s.Start); reason != "" {
 		g.countCall("refused")
-		_ = s.Refuse(sessn.Refusal{Outcome: calls.NotRun, Reason: reason, RetryAfter: retryAfter})
+		_ = s.Refuse(sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})
 		return
 	}
 	defer g.releaseSlot()
@@ -54,11 +54,11 @@
 func (g *Gate) admitRepeatable(m *sessn.Start) calls.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch lease.Judge(g.clockReadingLocked(), m.Echo, g.Limits.MaxAge) {
+	switch lease.Judge(g.clockReadingLocked(), m.Echo, g.Limits.MaxReadingAge) {
 	case lease.Stale:
-		return calls.ReasonStale
+		return calls.ReasonStaleReading
 	case lease.OtherBoot:
-		return calls.ReasonBoot
+		return calls.ReasonOtherBoot
 	}
 	if reason := g.refusalReasonLocked(m.Version); reason != "" {
 		return reason
@@ -72,7 +72,7 @@
 func (g *Gate) forward(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
 	req, err := g.newTargetRequest(ctx, s)
 	if err != nil {
-		return &sessn.Refusal{Outcome: calls.NotRun, Reason: calls.ReasonTarget}
+		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: calls.ReasonTargetUnreachable}
 	}
 	res, err := g.pooledTransport.RoundTrip(req)
 	if err != nil {
@@ -80,7 +80,7 @@
 	}
 	defer res.Body.Close()
 	if reason := g.answerRefusalReason(s.Start, res); reason != "" {
-		return &sessn.Refusal{Outcome: calls.NotRun, Reason: reason, RetryAfter: retryAfterOf(res)}
+		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: reason, RetryAfter: retryAfterOf(res)}
 	}
 	StripHops(res.Header)
 	h := sessn.Head{Status: res.StatusCode, Header: res.Header}
@@ -130,7 +130,7 @@
 		return calls.ReasonBusy
 	}
 	if m.Version != "" && res.Header.Get(ManifestHeader) != string(m.Version) {
-		return calls.ReasonVersion
+		return calls.ReasonOtherVersion
 	}
 	return ""
 }
@@ -148,13 +148,13 @@
 func refusalOfError(ctx context.Context, err error) *sessn.Refusal {
 	switch {
 	case errors.Is(err, errNotReached):
-		return &sessn.Refusal{Outcome: calls.NotRun, Reason: calls.ReasonTarget, RetryAfter: retryAfter}
+		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: calls.ReasonTargetUnreachable, RetryAfter: retryAfter}
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return &sessn.Refusal{Outcome: calls.Unknown, Reason: calls.ReasonTimeout}
+		return &sessn.Refusal{Outcome: calls.OutcomeUnknown, Reason: calls.ReasonTimeout}
 	case ctx.Err() != nil:
-		return &sessn.Refusal{Outcome: calls.Unknown, Reason: calls.ReasonCancel}
+		return &sessn.Refusal{Outcome: calls.OutcomeUnknown, Reason: calls.ReasonCancelled}
 	}
-	return &sessn.Refusal{Outcome: calls.Unknown, Reason: calls.ReasonBroken}
+	return &sessn.Refusal{Outcome: calls.OutcomeUnknown, Reason: calls.ReasonTargetBroke}
 }
 
 func (g *Gate) countCall(name string) { g.Metrics.Counter("gateCalls." + name).Inc(1) }
--- a/io/request/gate/target.go
+++ b/io/request/gate/target.go
@@ -45,12 +45,12 @@
 // has changed that affects their choice of targets.
 func (g *Gate) updateTarget(ctx context.Context) {
 	next := g.readTargetState(ctx)
-	members := calls.Members(g.Source.Current(), g.Service, g.Self.VM.Zone)
+	members := calls.OwnerMembers(g.Source.Current(), g.Service, g.Self.VM.Zone)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if members != g.members {
 		g.members = members
-		g.ledger.Renew(g.now())
+		g.ledger.RestartKeyWindow(g.now())
 	}
 	g.expireLocked()
 	g.updateMetricsLocked()
