--- a/core/request/poison/key.go
+++ b/core/request/poison/key.go
@@ -16,11 +16,11 @@
 	"io"
 )
 
-// Key is the fingerprint of a request.
-type Key [16]byte
+// Fingerprint is the fingerprint of a request.
+type Fingerprint [16]byte
 
 // String returns the key in hexadecimal digits.
-func (k Key) String() string { return hex.EncodeToString(k[:]) }
+func (k Fingerprint) String() string { return hex.EncodeToString(k[:]) }
 
 // Request holds the parts that are equal in all repeats of a request. The service is
 // not one of them: if a route distributes its requests over several services, the
@@ -34,15 +34,15 @@
 	Body   []byte
 }
 
-// Key returns the fingerprint of r.
-func (r Request) Key() Key {
+// Fingerprint returns the fingerprint of r.
+func (r Request) Fingerprint() Fingerprint {
 	h := sha256.New()
 	for _, s := range []string{r.Method, r.Host, r.URI, r.Caller} {
 		writeLengthPrefix(h, len(s))
 		_, _ = io.WriteString(h, s)
 	}
 	_, _ = h.Write(r.Body)
-	return Key(h.Sum(nil)[:len(Key{})])
+	return Fingerprint(h.Sum(nil)[:len(Fingerprint{})])
 }
 
 // writeLengthPrefix writes the length of the field that follows. Without it,
--- a/core/request/poison/key_test.go
+++ b/core/request/poison/key_test.go
@@ -30,7 +30,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := base
 			tc.edit(&r)
-			if diff := cmp.Diff(tc.same, r.Key() == base.Key()); diff != "" {
+			if diff := cmp.Diff(tc.same, r.Fingerprint() == base.Fingerprint()); diff != "" {
 				t.Errorf("same key (-want +got):\n%s", diff)
 			}
 		})
--- a/core/request/poison/ledger.go
+++ b/core/request/poison/ledger.go
@@ -68,20 +68,20 @@
 	maxAnswerTime   = time.Minute
 )
 
-// Start identifies one start of a target, so that a target that restarts under the
+// Incarnation identifies one start of a target, so that a target that restarts under the
 // same name counts as a different one. Born is the start time in Unix milliseconds,
 // or zero if the target does not report it.
-type Start struct {
-	Target string `msgpack:"target"`
-	Born   int64  `msgpack:"born"`
+type Incarnation struct {
+	Target          string `msgpack:"target"`
+	StartedAtMillis int64  `msgpack:"born"`
 }
 
-// StartOf returns the start of a target at the time born.
-func StartOf(target string, born time.Time) Start {
+// NewIncarnation returns the start of a target at the time born.
+func NewIncarnation(target string, born time.Time) Incarnation {
 	if born.IsZero() {
-		return Start{Target: target}
+		return Incarnation{Target: target}
 	}
-	return Start{Target: target, Born: born.UnixMilli()}
+	return Incarnation{Target: target, StartedAtMillis: born.UnixMilli()}
 }
 
 // State is the classification of a request.
@@ -122,7 +122,7 @@
 
 // record is what is known of one request.
 type record struct {
-	failures map[Start]failure
+	failures map[Incarnation]failure
 	// lastSuccess is when the request last completed successfully, or zero if never.
 	lastSuccess time.Time
 }
@@ -146,7 +146,7 @@
 
 // setFailure sets the failure at a target start. If the record is full, it drops the
 // oldest failure.
-func (r *record) setFailure(at Start, f failure) {
+func (r *record) setFailure(at Incarnation, f failure) {
 	if _, known := r.failures[at]; !known && len(r.failures) >= maxFailures {
 		delete(r.failures, r.oldest())
 	}
@@ -154,8 +154,8 @@
 }
 
 // oldest returns the target start with the oldest failure.
-func (r *record) oldest() Start {
-	var oldest Start
+func (r *record) oldest() Incarnation {
+	var oldest Incarnation
 	var since time.Time
 	for at, f := range r.failures {
 		if since.IsZero() || f.at.Before(since) {
@@ -168,9 +168,9 @@
 // Ledger records at which target starts the attempts of each request broke off. The
 // zero value is ready to use. It isn't safe for concurrent use.
 type Ledger struct {
-	requests aged.Table[Key, *record]
+	requests aged.Table[Fingerprint, *record]
 	// keysByStart holds the requests that recently broke off at each target start.
-	keysByStart aged.Table[Start, []Key]
+	keysByStart aged.Table[Incarnation, []Fingerprint]
 }
 
 func (l *Ledger) init() {
@@ -182,21 +182,21 @@
 func (l *Ledger) Len() int { return l.requests.Len() }
 
 // record returns the record of a request, or nil if there is none.
-func (l *Ledger) record(now time.Time, k Key) *record {
+func (l *Ledger) record(now time.Time, k Fingerprint) *record {
 	l.init()
 	r, _ := l.requests.Get(now, k)
 	return r
 }
 
-// Strike records that an attempt broke off at a target start after its answer had
+// RecordFailure records that an attempt broke off at a target start after its answer had
 // been going on for ran. It reports whether the failure counts.
-func (l *Ledger) Strike(now time.Time, k Key, at Start, ran time.Duration) bool {
+func (l *Ledger) RecordFailure(now time.Time, k Fingerprint, at Incarnation, ran time.Duration) bool {
 	if ran >= minInnocentRun {
 		return false
 	}
 	r := l.record(now, k)
 	if r == nil {
-		r = &record{failures: map[Start]failure{}}
+		r = &record{failures: map[Incarnation]failure{}}
 	}
 	l.addFailure(now, k, r, at, failure{at: now})
 	return true
@@ -204,7 +204,7 @@
 
 // addFailure stores a failure in the request's record and the request among those
 // that broke off at the start.
-func (l *Ledger) addFailure(now time.Time, k Key, r *record, at Start, f failure) {
+func (l *Ledger) addFailure(now time.Time, k Fingerprint, r *record, at Incarnation, f failure) {
 	r.setFailure(at, f)
 	l.requests.Put(now, k, r)
 	keys, _ := l.keysByStart.Get(now, at)
@@ -213,9 +213,9 @@
 	}
 }
 
-// Succeeded records that a request completed successfully, and reports whether that
+// RecordSuccess records that a request completed successfully, and reports whether that
 // clears it of failures.
-func (l *Ledger) Succeeded(now time.Time, k Key) bool {
+func (l *Ledger) RecordSuccess(now time.Time, k Fingerprint) bool {
 	r := l.record(now, k)
 	if r == nil {
 		return false
@@ -228,19 +228,19 @@
 	return true
 }
 
-// Struck returns the requests that recently broke off at a target start.
-func (l *Ledger) Struck(now time.Time, at Start) []Key {
+// FailedRequests returns the requests that recently broke off at a target start.
+func (l *Ledger) FailedRequests(now time.Time, at Incarnation) []Fingerprint {
 	l.init()
 	keys, _ := l.keysByStart.Get(now, at)
 	return keys
 }
 
-// Answered records that a target start has answered a request that was sent to it at
+// RecordAnswer records that a target start has answered a request that was sent to it at
 // sentAt. It returns the requests whose failures at that start the target is now
 // known to have survived.
-func (l *Ledger) Answered(now, sentAt time.Time, at Start) []Key {
-	var out []Key
-	for _, k := range l.Struck(now, at) {
+func (l *Ledger) RecordAnswer(now, sentAt time.Time, at Incarnation) []Fingerprint {
+	var out []Fingerprint
+	for _, k := range l.FailedRequests(now, at) {
 		r := l.record(now, k)
 		if r == nil {
 			continue
@@ -261,17 +261,17 @@
 	return out
 }
 
-// Listed applies a current listing of target starts, and reports whether it shows
+// RecordListing applies a current listing of target starts, and reports whether it shows
 // that any of them has survived a failure of the request. A start without a start
 // time proves nothing, as the target may have restarted.
-func (l *Ledger) Listed(now time.Time, k Key, starts map[Start]bool) bool {
+func (l *Ledger) RecordListing(now time.Time, k Fingerprint, starts map[Incarnation]bool) bool {
 	r := l.record(now, k)
 	if r == nil {
 		return false
 	}
 	changed := false
 	for at, f := range r.failures {
-		if f.survived || at.Born == 0 || !starts[at] || !f.listingProvesSurvival(now) {
+		if f.survived || at.StartedAtMillis == 0 || !starts[at] || !f.listingProvesSurvival(now) {
 			continue
 		}
 		f.survived = true
@@ -282,7 +282,7 @@
 }
 
 // State returns the classification of a request.
-func (l *Ledger) State(now time.Time, k Key) State {
+func (l *Ledger) State(now time.Time, k Fingerprint) State {
 	r := l.record(now, k)
 	if r == nil {
 		return StateClear
@@ -301,7 +301,7 @@
 // Blocked reports whether a request is refused, and after what time its caller may
 // retry. The look-up renews the request's record, so that a request that is refused
 // all the time is not forgotten.
-func (l *Ledger) Blocked(now time.Time, k Key) (time.Duration, bool) {
+func (l *Ledger) Blocked(now time.Time, k Fingerprint) (time.Duration, bool) {
 	r := l.record(now, k)
 	if r == nil {
 		return 0, false
--- a/core/request/poison/ledger_test.go
+++ b/core/request/poison/ledger_test.go
@@ -11,13 +11,13 @@
 
 var epoch = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-func testKey(n int) Key {
-	var k Key
+func testKey(n int) Fingerprint {
+	var k Fingerprint
 	binary.BigEndian.PutUint64(k[:], uint64(n))
 	return k
 }
 
-func newStart(name string) Start { return StartOf(name, epoch) }
+func newStart(name string) Incarnation { return NewIncarnation(name, epoch) }
 
 // event is one input to a ledger. It is about request 1 unless key is set.
 type event struct {
@@ -103,13 +103,13 @@
 	now, k := epoch.Add(e.at), testKey(max(e.key, 1))
 	switch {
 	case e.failure != "":
-		l.Strike(now, k, newStart(e.failure), e.ran)
+		l.RecordFailure(now, k, newStart(e.failure), e.ran)
 	case e.listing != "":
-		l.Listed(now, k, map[Start]bool{newStart(e.listing): true})
+		l.RecordListing(now, k, map[Incarnation]bool{newStart(e.listing): true})
 	case e.success:
-		l.Succeeded(now, k)
+		l.RecordSuccess(now, k)
 	default:
-		l.Answered(now, now.Add(-e.answerTime), newStart(e.answerFrom))
+		l.RecordAnswer(now, now.Add(-e.answerTime), newStart(e.answerFrom))
 	}
 }
 
@@ -117,9 +117,9 @@
 // so a listing must not void its failure.
 func TestListingWithoutBirthTimeProvesNothing(t *testing.T) {
 	var l Ledger
-	at := StartOf("a", time.Time{})
-	l.Strike(epoch, testKey(1), at, 0)
-	if l.Listed(epoch.Add(time.Hour), testKey(1), map[Start]bool{at: true}) {
+	at := NewIncarnation("a", time.Time{})
+	l.RecordFailure(epoch, testKey(1), at, 0)
+	if l.RecordListing(epoch.Add(time.Hour), testKey(1), map[Incarnation]bool{at: true}) {
 		t.Error("the listing voids the failure")
 	}
 }
@@ -132,8 +132,8 @@
 	for i := range blockThreshold {
 		at := epoch.Add(time.Duration(i) * time.Second)
 		start := newStart(string(rune('a' + i)))
-		l.Strike(at, testKey(1), start, 0)
-		l.Answered(at.Add(lateReadDelay-time.Millisecond), at.Add(-time.Second), start)
+		l.RecordFailure(at, testKey(1), start, 0)
+		l.RecordAnswer(at.Add(lateReadDelay-time.Millisecond), at.Add(-time.Second), start)
 	}
 	if diff := cmp.Diff(StateBlocked, l.State(epoch.Add(blockThreshold*time.Second), testKey(1))); diff != "" {
 		t.Errorf("state after three crashes (-want +got):\n%s", diff)
@@ -145,7 +145,7 @@
 func TestEachStartOfOneTargetCounts(t *testing.T) {
 	var l Ledger
 	for i := range blockThreshold {
-		l.Strike(epoch, testKey(1), StartOf("a", epoch.Add(time.Duration(i)*time.Second)), 0)
+		l.RecordFailure(epoch, testKey(1), NewIncarnation("a", epoch.Add(time.Duration(i)*time.Second)), 0)
 	}
 	if diff := cmp.Diff(StateBlocked, l.State(epoch, testKey(1))); diff != "" {
 		t.Errorf("state (-want +got):\n%s", diff)
@@ -158,7 +158,7 @@
 func TestLedgersAgreeAfterMerge(t *testing.T) {
 	var entries [3]Ledger
 	for i := range entries {
-		entries[i].Strike(epoch.Add(time.Duration(i)*time.Second), testKey(1), newStart(string(rune('a'+i))), 0)
+		entries[i].RecordFailure(epoch.Add(time.Duration(i)*time.Second), testKey(1), newStart(string(rune('a'+i))), 0)
 	}
 	now := epoch.Add(3 * time.Second)
 	var notes []Note
@@ -196,7 +196,7 @@
 			t.Errorf("entry %d: its own note changes its state", i)
 		}
 	}
-	entries[0].Succeeded(now, testKey(1))
+	entries[0].RecordSuccess(now, testKey(1))
 	cleared, _ := entries[0].Note(now, testKey(1), 1)
 	for _, n := range []Note{cleared, notes[0], notes[1], notes[2]} {
 		entries[1].Merge(now.Add(50*time.Millisecond), n)
@@ -209,18 +209,18 @@
 // An invalid note of a peer must not cause refusals or exceed the bounds of the
 // ledger.
 func TestNoteCheck(t *testing.T) {
-	good := Failure{Start: newStart("a")}
+	good := Failure{Incarnation: newStart("a")}
 	tests := []struct {
 		name string
 		note Note
 		ok   bool
 	}{
-		{"good", Note{Strikes: []Failure{good}, Cleared: true, ClearedAgo: time.Second}, true},
+		{"good", Note{Failures: []Failure{good}, Succeeded: true, SuccessAge: time.Second}, true},
 		{"no failure", Note{}, false},
-		{"too many", Note{Strikes: make([]Failure, maxFailures+1)}, false},
-		{"no target", Note{Strikes: []Failure{{}}}, false},
-		{"failure in the future", Note{Strikes: []Failure{{Start: newStart("a"), Ago: -1}}}, false},
-		{"success in the future", Note{Strikes: []Failure{good}, ClearedAgo: -1}, false},
+		{"too many", Note{Failures: make([]Failure, maxFailures+1)}, false},
+		{"no target", Note{Failures: []Failure{{}}}, false},
+		{"failure in the future", Note{Failures: []Failure{{Incarnation: newStart("a"), Age: -1}}}, false},
+		{"success in the future", Note{Failures: []Failure{good}, SuccessAge: -1}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -236,11 +236,11 @@
 func TestLedgerIsBounded(t *testing.T) {
 	var l Ledger
 	for i := range blockThreshold {
-		l.Strike(epoch, testKey(0), newStart(string(rune('a'+i))), 0)
+		l.RecordFailure(epoch, testKey(0), newStart(string(rune('a'+i))), 0)
 	}
 	for i := range 3 * maxRequests {
 		now := epoch.Add(time.Duration(i) * time.Millisecond)
-		l.Strike(now, testKey(i+1), newStart(string(rune('a'+i%700))), 0)
+		l.RecordFailure(now, testKey(i+1), newStart(string(rune('a'+i%700))), 0)
 		if i%1000 == 0 {
 			if _, blocked := l.Blocked(now, testKey(0)); !blocked {
 				t.Fatalf("the request is accepted after %d others", i)
@@ -251,10 +251,10 @@
 		t.Errorf("requests and starts (-want +got):\n%s", diff)
 	}
 	for i := range 3 * maxFailures {
-		l.Strike(epoch.Add(time.Duration(i)*time.Second), testKey(0), StartOf("t", epoch.Add(time.Duration(i)*time.Second)), 0)
+		l.RecordFailure(epoch.Add(time.Duration(i)*time.Second), testKey(0), NewIncarnation("t", epoch.Add(time.Duration(i)*time.Second)), 0)
 	}
 	n, _ := l.Note(epoch, testKey(0), 1)
-	if diff := cmp.Diff(maxFailures, len(n.Strikes)); diff != "" {
+	if diff := cmp.Diff(maxFailures, len(n.Failures)); diff != "" {
 		t.Errorf("strikes (-want +got):\n%s", diff)
 	}
 }
--- a/core/request/poison/model_test.go
+++ b/core/request/poison/model_test.go
@@ -53,7 +53,7 @@
 
 // clientRequest is a caller's request with its current attempt.
 type clientRequest struct {
-	key         Key
+	key         Fingerprint
 	hot         bool
 	tries       resend.AttemptTracker
 	callerTries int
@@ -137,14 +137,14 @@
 
 // updateListing passes a listing of all targets that are up to the ledger.
 func (p *simulation) updateListing(now time.Duration) {
-	starts := map[Start]bool{}
+	starts := map[Incarnation]bool{}
 	for i, m := range p.targets {
 		if now >= m.upAt {
 			starts[p.startAt(i, m.born)] = true
 		}
 	}
-	for _, k := range p.ledger.Keys(epoch.Add(now)) {
-		p.ledger.Listed(epoch.Add(now), k, starts)
+	for _, k := range p.ledger.Fingerprints(epoch.Add(now)) {
+		p.ledger.RecordListing(epoch.Add(now), k, starts)
 	}
 }
 
@@ -205,22 +205,22 @@
 			p.breakOff(now, x)
 		case now >= x.endsAt:
 			t := epoch.Add(now)
-			p.ledger.Answered(t, epoch.Add(x.began), p.startOf(x))
-			p.ledger.Succeeded(t, x.key)
+			p.ledger.RecordAnswer(t, epoch.Add(x.began), p.startOf(x))
+			p.ledger.RecordSuccess(t, x.key)
 		default:
 			p.active = append(p.active, x)
 		}
 	}
 }
 
-func (p *simulation) startOf(x *clientRequest) Start { return p.startAt(x.target, x.born) }
+func (p *simulation) startOf(x *clientRequest) Incarnation { return p.startAt(x.target, x.born) }
 
-func (p *simulation) startAt(target int, born time.Duration) Start {
-	return StartOf(string(rune('A'+target)), epoch.Add(born))
+func (p *simulation) startAt(target int, born time.Duration) Incarnation {
+	return NewIncarnation(string(rune('A'+target)), epoch.Add(born))
 }
 
 func (p *simulation) breakOff(now time.Duration, x *clientRequest) {
-	p.ledger.Strike(epoch.Add(now), x.key, p.startOf(x), now-x.began-p.short)
+	p.ledger.RecordFailure(epoch.Add(now), x.key, p.startOf(x), now-x.began-p.short)
 	switch {
 	case x.tries.Ended(resend.Broken):
 		p.attempt(now, x, x.target)
--- a/io/process/alert/alert_test.go
+++ b/io/process/alert/alert_test.go
@@ -19,7 +19,7 @@
 	"hawthornferry/io/conn/link"
 )
 
-var crashKey = poison.Request{URI: "/fatal"}.Key()
+var crashKey = poison.Request{URI: "/fatal"}.Fingerprint()
 
 func newRegistry() *Registry {
 	return &Registry{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope}
@@ -99,7 +99,7 @@
 	for i, r := range registries {
 		connectEntry(t, fmt.Sprint("entry-", i), r, hub)
 		if i < 3 {
-			r.Struck(crashKey, poison.Start{Target: fmt.Sprint("i-", i)}, 0)
+			r.Struck(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
 		}
 	}
 	began := time.Now()
@@ -128,11 +128,11 @@
 	connectEntry(t, "two", two, hub)
 	began := time.Now()
 	for i := range 3 {
-		one.Struck(crashKey, poison.Start{Target: fmt.Sprint("i-", i)}, 0)
+		one.Struck(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
 	}
 	eventually(t, "the other one refuses it", func() bool { return isBlocked(two) })
 	eventually(t, "both let it through", func() bool {
-		two.Answered(began, poison.Start{Target: "i-1"})
+		two.Answered(began, poison.Incarnation{Target: "i-1"})
 		return !isBlocked(one) && !isBlocked(two)
 	})
 }
@@ -144,7 +144,7 @@
 	old := newRegistry()
 	connectEntry(t, "old", old, hub)
 	for i := range 3 {
-		old.Struck(crashKey, poison.Start{Target: fmt.Sprint("i-", i)}, 0)
+		old.Struck(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
 	}
 	stop()
 	serveHub(t, hub.String(), newRegistry().Handler())
@@ -165,7 +165,7 @@
 	connectEntry(t, "two", two, hub)
 	const broken = 3 * maxNotes
 	for i := range broken {
-		one.Struck(poison.Request{URI: fmt.Sprint("/", i)}.Key(), poison.Start{Target: "i-0"}, 0)
+		one.Struck(poison.Request{URI: fmt.Sprint("/", i)}.Fingerprint(), poison.Incarnation{Target: "i-0"}, 0)
 	}
 	eventually(t, "the hub knows all", func() bool { return registry.size.Load() == broken })
 	// Longer than a hub takes to send its news.
--- a/io/process/alert/listchecker.go
+++ b/io/process/alert/listchecker.go
@@ -50,10 +50,10 @@
 	}
 }
 
-func listedStarts(f *facts.Facts) map[poison.Start]bool {
-	out := make(map[poison.Start]bool, len(f.Targets))
+func listedStarts(f *facts.Facts) map[poison.Incarnation]bool {
+	out := make(map[poison.Incarnation]bool, len(f.Targets))
 	for _, t := range f.Targets {
-		out[poison.StartOf(t.ID, t.Born)] = true
+		out[poison.NewIncarnation(t.ID, t.Born)] = true
 	}
 	return out
 }
--- a/io/process/alert/registry.go
+++ b/io/process/alert/registry.go
@@ -51,7 +51,7 @@
 	// has minFailures.
 	includes    func(s source) bool
 	minFailures int
-	pending     map[poison.Key]struct{}
+	pending     map[poison.Fingerprint]struct{}
 	wake        chan struct{}
 }
 
@@ -59,7 +59,7 @@
 func (r *Registry) Any() bool { return r.size.Load() > 0 }
 
 // Blocked reports whether a request is refused, and after what time its caller may retry.
-func (r *Registry) Blocked(k poison.Key) (time.Duration, bool) {
+func (r *Registry) Blocked(k poison.Fingerprint) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.ledger.Blocked(r.Clock.Now(), k)
@@ -67,9 +67,9 @@
 
 // Struck records that an attempt of a request broke off at a target start, after its answer
 // had been going on for ran.
-func (r *Registry) Struck(k poison.Key, at poison.Start, ran time.Duration) {
+func (r *Registry) Struck(k poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
 	r.change(fromLocal, "", k, func(now time.Time) bool {
-		counts := r.ledger.Strike(now, k, at, ran)
+		counts := r.ledger.RecordFailure(now, k, at, ran)
 		if counts {
 			r.count("strikes_total", "")
 		}
@@ -78,44 +78,44 @@
 }
 
 // Succeeded records that a request completed successfully.
-func (r *Registry) Succeeded(k poison.Key) {
-	r.change(fromLocal, "", k, func(now time.Time) bool { return r.ledger.Succeeded(now, k) })
+func (r *Registry) Succeeded(k poison.Fingerprint) {
+	r.change(fromLocal, "", k, func(now time.Time) bool { return r.ledger.RecordSuccess(now, k) })
 }
 
 // Answered records that a target start has answered a request that was sent to it at sentAt.
-func (r *Registry) Answered(sentAt time.Time, at poison.Start) {
+func (r *Registry) Answered(sentAt time.Time, at poison.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
-	before := map[poison.Key]poison.State{}
-	for _, k := range r.ledger.Struck(now, at) {
+	before := map[poison.Fingerprint]poison.State{}
+	for _, k := range r.ledger.FailedRequests(now, at) {
 		before[k] = r.ledger.State(now, k)
 	}
-	for _, k := range r.ledger.Answered(now, sentAt, at) {
+	for _, k := range r.ledger.RecordAnswer(now, sentAt, at) {
 		r.publish(now, fromLocal, "", k, before[k])
 	}
 }
 
 // applyListing records which target starts are currently listed.
-func (r *Registry) applyListing(starts map[poison.Start]bool) {
+func (r *Registry) applyListing(starts map[poison.Incarnation]bool) {
 	r.mu.Lock()
-	keys := r.ledger.Keys(r.Clock.Now())
+	keys := r.ledger.Fingerprints(r.Clock.Now())
 	r.mu.Unlock()
 	for _, k := range keys {
-		r.change(fromLocal, "", k, func(now time.Time) bool { return r.ledger.Listed(now, k, starts) })
+		r.change(fromLocal, "", k, func(now time.Time) bool { return r.ledger.RecordListing(now, k, starts) })
 	}
 }
 
 // merge adds the notes of a peer.
 func (r *Registry) merge(s source, peer string, notes []poison.Note) {
 	for _, n := range notes {
-		r.change(s, peer, n.Key, func(now time.Time) bool { return r.ledger.Merge(now, n) })
+		r.change(s, peer, n.Fingerprint, func(now time.Time) bool { return r.ledger.Merge(now, n) })
 	}
 }
 
 // change applies edit to the record of a request and, if edit reports a change, publishes
 // it.
-func (r *Registry) change(s source, peer string, k poison.Key, edit func(now time.Time) bool) {
+func (r *Registry) change(s source, peer string, k poison.Fingerprint, edit func(now time.Time) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
@@ -128,7 +128,7 @@
 
 // publish queues a changed request for the subscribers, and logs its new state if that has
 // changed. r.mu must be held.
-func (r *Registry) publish(now time.Time, s source, peer string, k poison.Key, before poison.State) {
+func (r *Registry) publish(now time.Time, s source, peer string, k poison.Fingerprint, before poison.State) {
 	for sub := range r.subscribers {
 		if sub.includes(s) {
 			sub.add(k)
@@ -147,22 +147,22 @@
 	poison.StateClear: "requestCleared", poison.StateSuspected: "requestSuspected", poison.StateBlocked: "requestBlocked",
 }
 
-func (r *Registry) decision(now time.Time, peer string, k poison.Key, state poison.State) trail.Decision {
+func (r *Registry) decision(now time.Time, peer string, k poison.Fingerprint, state poison.State) trail.Decision {
 	d := trail.Decision{Area: trail.AreaRouting, Action: actions[state], Fingerprint: k.String()}
 	var parts []string
 	if peer != "" {
 		parts = append(parts, "told by "+peer)
 	}
 	n, _ := r.ledger.Note(now, k, 0)
-	if n.Cleared {
-		parts = append(parts, fmt.Sprintf("ended well %d ms ago", n.ClearedAgo.Milliseconds()))
+	if n.Succeeded {
+		parts = append(parts, fmt.Sprintf("ended well %d ms ago", n.SuccessAge.Milliseconds()))
 	}
-	for _, s := range n.Strikes {
+	for _, s := range n.Failures {
 		what := "broke off"
 		if s.Survived {
 			what = "broke off, though the target ran on,"
 		}
-		parts = append(parts, fmt.Sprintf("%s at %s %d ms ago", what, s.Start.Target, s.Ago.Milliseconds()))
+		parts = append(parts, fmt.Sprintf("%s at %s %d ms ago", what, s.Incarnation.Target, s.Age.Milliseconds()))
 	}
 	d.Reason = strings.Join(parts, "; ")
 	return d
@@ -178,7 +178,7 @@
 
 // subscribe returns a subscription in which all known requests are pending.
 func (r *Registry) subscribe(minFailures int, sources ...source) *subscription {
-	sub := &subscription{minFailures: minFailures, pending: map[poison.Key]struct{}{}, wake: make(chan struct{}, 1)}
+	sub := &subscription{minFailures: minFailures, pending: map[poison.Fingerprint]struct{}{}, wake: make(chan struct{}, 1)}
 	sub.includes = func(s source) bool {
 		for _, w := range sources {
 			if w == s {
@@ -189,7 +189,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, k := range r.ledger.Keys(r.Clock.Now()) {
+	for _, k := range r.ledger.Fingerprints(r.Clock.Now()) {
 		sub.add(k)
 	}
 	if r.subscribers == nil {
@@ -205,7 +205,7 @@
 	delete(r.subscribers, sub)
 }
 
-func (sub *subscription) add(k poison.Key) {
+func (sub *subscription) add(k poison.Fingerprint) {
 	sub.pending[k] = struct{}{}
 	select {
 	case sub.wake <- struct{}{}:
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -68,18 +68,18 @@
 	// reason says in logs and in an errorResponse why the request failed.
 	reason string
 	// key caches the fingerprint; it is valid if hasKey is set.
-	key    poison.Key
+	key    poison.Fingerprint
 	hasKey bool
 }
 
 // fingerprint returns what all repeats of the request have in common. It is computed on
 // first use, because it hashes the whole body and most requests never need it.
-func (q *request) fingerprint() poison.Key {
+func (q *request) fingerprint() poison.Fingerprint {
 	if !q.hasKey {
 		q.hasKey = true
 		q.key = poison.Request{
 			Method: q.incoming.Method, Host: hostOf(q.incoming), URI: q.incoming.RequestURI, Caller: q.customer, Body: q.body,
-		}.Key()
+		}.Fingerprint()
 	}
 	return q.key
 }
--- a/io/request/direct/suspects.go
+++ b/io/request/direct/suspects.go
@@ -21,26 +21,26 @@
 	Any() bool
 	// Blocked reports whether a request must be refused, and after what time its caller
 	// may retry.
-	Blocked(k poison.Key) (time.Duration, bool)
+	Blocked(k poison.Fingerprint) (time.Duration, bool)
 	// Struck records that a target dropped the connection during an attempt. at
 	// identifies the start of that target, and ran is how long the response had been
 	// under way.
-	Struck(k poison.Key, at poison.Start, ran time.Duration)
+	Struck(k poison.Fingerprint, at poison.Incarnation, ran time.Duration)
 	// Succeeded records that a request completed without crashing its target.
-	Succeeded(k poison.Key)
+	Succeeded(k poison.Fingerprint)
 	// Answered records that a target has answered a request that was sent at began. at
 	// identifies the start of that target.
-	Answered(began time.Time, at poison.Start)
+	Answered(began time.Time, at poison.Incarnation)
 }
 
 // noSuspects blocks no request.
 type noSuspects struct{}
 
-func (noSuspects) Any() bool                                      { return false }
-func (noSuspects) Blocked(poison.Key) (time.Duration, bool)       { return 0, false }
-func (noSuspects) Struck(poison.Key, poison.Start, time.Duration) {}
-func (noSuspects) Succeeded(poison.Key)                           {}
-func (noSuspects) Answered(time.Time, poison.Start)               {}
+func (noSuspects) Any() bool                                                    { return false }
+func (noSuspects) Blocked(poison.Fingerprint) (time.Duration, bool)             { return 0, false }
+func (noSuspects) Struck(poison.Fingerprint, poison.Incarnation, time.Duration) {}
+func (noSuspects) Succeeded(poison.Fingerprint)                                 {}
+func (noSuspects) Answered(time.Time, poison.Incarnation)                       {}
 
 // reasonCrashesTargets is the reason given when a request is refused because it crashes
 // targets.
@@ -58,7 +58,7 @@
 // reportOutcome tells Suspects what the end of an attempt says about the request and
 // its target.
 func (s *Server) reportOutcome(q *request, t facts.Target, o resend.Outcome, err error) {
-	at := poison.StartOf(t.ID, t.Born)
+	at := poison.NewIncarnation(t.ID, t.Born)
 	switch {
 	case o == resend.Broken && (lostConnection(err) || lostConnection(q.progress.responseErr)):
 		s.Suspects.Struck(q.fingerprint(), at, q.progress.responseDuration(s.Clock.Now()))
--- a/io/request/direct/suspects_test.go
+++ b/io/request/direct/suspects_test.go
@@ -28,11 +28,11 @@
 
 func (r *suspectsRecorder) Any() bool { return true }
 
-func (r *suspectsRecorder) Struck(_ poison.Key, at poison.Start, ran time.Duration) {
+func (r *suspectsRecorder) Struck(_ poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
 	r.calls = append(r.calls, "struck "+at.Target+" after "+ran.String())
 }
-func (r *suspectsRecorder) Succeeded(poison.Key) { r.calls = append(r.calls, "succeeded") }
-func (r *suspectsRecorder) Answered(_ time.Time, at poison.Start) {
+func (r *suspectsRecorder) Succeeded(poison.Fingerprint) { r.calls = append(r.calls, "succeeded") }
+func (r *suspectsRecorder) Answered(_ time.Time, at poison.Incarnation) {
 	r.calls = append(r.calls, "answered "+at.Target)
 }
 
