--- a/core/request/place/choose.go
+++ b/core/request/place/choose.go
@@ -202,9 +202,9 @@
 	unreadPrompt := t.unreadPrompt + w.PromptTokens
 	if t.reportFresh(now) {
 		_, unseen := t.unseen()
-		unreadPrompt += t.otherQueued*e.UsualPrompt + unseen
+		unreadPrompt += t.otherQueued*e.MeanPromptTokens + unseen
 	}
-	return baseRoundTrip + time.Duration(float64(unreadPrompt)/e.ReadRate*float64(time.Second)*t.slowness(now))
+	return baseRoundTrip + time.Duration(float64(unreadPrompt)/e.PrefillTokensPerSecond*float64(time.Second)*t.slowness(now))
 }
 
 // passDelay is the rest of the time to a first answer: on average half of the pass that
@@ -216,9 +216,9 @@
 
 // passTime is how long an engine takes to write one event for each of n requests.
 func passTime(e *table.Engine, n int) time.Duration {
-	step := e.Step + time.Duration(n)*e.PerSequence +
-		time.Duration(float64(n*(e.UsualPrompt+e.UsualAnswer/2))/1000*float64(e.PerContext))
-	return time.Duration(e.Stride) * step
+	step := e.StepTime + time.Duration(n)*e.StepTimePerSequence +
+		time.Duration(float64(n*(e.MeanPromptTokens+e.MeanAnswerTokens/2))/1000*float64(e.StepTimePerThousandTokens))
+	return time.Duration(e.TokensPerPass) * step
 }
 
 func slotsOf(t facts.Target) int {
--- a/core/request/place/fairness.go
+++ b/core/request/place/fairness.go
@@ -135,10 +135,10 @@
 // sizeClassOf returns the request's size class, and false if the service declares no
 // usual prompt to derive it from.
 func (s *service) sizeClassOf(w *Request) (sizeClass, bool) {
-	if s.engine == nil || s.engine.UsualPrompt <= 0 {
+	if s.engine == nil || s.engine.MeanPromptTokens <= 0 {
 		return sizeUsual, false
 	}
-	return s.kindOf(w).classify(w.PromptTokens, s.engine.UsualPrompt), true
+	return s.kindOf(w).classify(w.PromptTokens, s.engine.MeanPromptTokens), true
 }
 
 // recordPlacement updates the placement rates with whether the request was placed.
--- a/core/request/place/place_test.go
+++ b/core/request/place/place_test.go
@@ -16,7 +16,7 @@
 
 func testFacts(engine *table.Engine, slots int, ids ...string) *facts.Facts {
 	t := &table.Table{Services: []table.Service{{Name: "svc", Engine: engine}}}
-	t.Index()
+	t.BuildIndex()
 	f := &facts.Facts{Table: t}
 	for i, id := range ids {
 		f.Targets = append(f.Targets, facts.Target{
@@ -96,7 +96,7 @@
 // can answer them on time; they are served late when an engine has room.
 func TestLongPromptAtSlowEngineIsServed(t *testing.T) {
 	slow := *usualEngine
-	slow.ReadRate = 8000
+	slow.PrefillTokensPerSecond = 8000
 	p := testPlacer(testFacts(&slow, 16, "a"))
 	w := testWork("long")
 	w.PromptTokens = 3800
@@ -111,7 +111,7 @@
 // refused, while four of five of the other requests were served.
 func TestLongPromptNeedingIdleEngineIsServed(t *testing.T) {
 	slow := *usualEngine
-	slow.ReadRate, slow.Step = 13800, 13900*time.Microsecond
+	slow.PrefillTokensPerSecond, slow.StepTime = 13800, 13900*time.Microsecond
 	tests := []struct {
 		name       string
 		prompt     int
--- a/core/request/place/refuse.go
+++ b/core/request/place/refuse.go
@@ -94,7 +94,7 @@
 // minFirstAnswer is the estimated time to the first answer at an engine with a single
 // slot left.
 func (s *service) minFirstAnswer(now time.Time, w *Request) time.Duration {
-	read := time.Duration(float64(w.PromptTokens) / s.engine.ReadRate * float64(time.Second))
+	read := time.Duration(float64(w.PromptTokens) / s.engine.PrefillTokensPerSecond * float64(time.Second))
 	pass := passTime(s.engine, s.engine.Slots)
 	return baseRoundTrip + s.minExtraRoundTrip(now, w) + pass + pass/2 + read
 }
--- a/core/request/place/simulation_test.go
+++ b/core/request/place/simulation_test.go
@@ -37,17 +37,17 @@
 )
 
 var usualEngine = &table.Engine{
-	Model: "m", Slots: simSlots, Stride: simStride, Step: 9270 * time.Microsecond,
-	PerSequence: 23 * time.Microsecond, PerContext: 32 * time.Microsecond,
-	ReadRate: simReadRate, UsualPrompt: 979, UsualAnswer: 92,
+	Model: "m", Slots: simSlots, TokensPerPass: simStride, StepTime: 9270 * time.Microsecond,
+	StepTimePerSequence: 23 * time.Microsecond, StepTimePerThousandTokens: 32 * time.Microsecond,
+	PrefillTokensPerSecond: simReadRate, MeanPromptTokens: 979, MeanAnswerTokens: 92,
 }
 
 // slowEngine is an engine of a large deployment. An idle one needs most of an objective
 // for its largest prompts.
 var slowEngine = &table.Engine{
-	Model: "m", Slots: slowSlots, Stride: simStride, Step: 13900 * time.Microsecond,
-	PerSequence: 35 * time.Microsecond, PerContext: 48 * time.Microsecond,
-	ReadRate: slowReadRate, UsualPrompt: 979, UsualAnswer: 70,
+	Model: "m", Slots: slowSlots, TokensPerPass: simStride, StepTime: 13900 * time.Microsecond,
+	StepTimePerSequence: 35 * time.Microsecond, StepTimePerThousandTokens: 48 * time.Microsecond,
+	PrefillTokensPerSecond: slowReadRate, MeanPromptTokens: 979, MeanAnswerTokens: 70,
 }
 
 // job is one simulated request.
@@ -119,7 +119,7 @@
 		j.unread -= n
 		read += n
 	}
-	pass := time.Duration(float64(read) / e.ReadRate * float64(time.Second))
+	pass := time.Duration(float64(read) / e.PrefillTokensPerSecond * float64(time.Second))
 	if writers > 0 || read > 0 {
 		pass += passTime(e.Engine, max(writers, 1))
 	}
@@ -204,7 +204,7 @@
 func (l scenario) simulate(make func(entry int, f *facts.Facts) policy) outcomes {
 	rng := rand.New(rand.NewPCG(1, 2))
 	t := &table.Table{Services: []table.Service{{Name: "svc", Engine: l.engine}}}
-	t.Index()
+	t.BuildIndex()
 	f := &facts.Facts{Table: t}
 	var sims []*engineSim
 	byID := map[string]*engineSim{}
--- a/core/request/table/table.go
+++ b/core/request/table/table.go
@@ -14,15 +14,15 @@
 )
 
 // Repeat says whether a route's requests may run more than once.
-type Repeat string
+type RouteKind string
 
 // The kinds of route. Requests of an idempotent route may be repeated, those of a
 // once route must run at most once. A stream may be continued by a second target only
 // if its route says that it can be resumed.
 const (
-	RepeatIdempotent Repeat = "idempotent"
-	RepeatOnce       Repeat = "once"
-	RepeatStream     Repeat = "stream"
+	KindIdempotent RouteKind = "idempotent"
+	KindAtMostOnce RouteKind = "once"
+	KindStream     RouteKind = "stream"
 )
 
 // Route configures the requests of one host and path prefix.
@@ -30,41 +30,41 @@
 // Timeout bounds the whole answer. Objective is the promised time to the answer, or
 // to the first event of a stream, and Gap the longest promised pause between two
 // events of a stream. Attempts is the most targets to which a request is sent.
-// Anonymous routes need no API key.
+// AllowAnonymous routes need no API key.
 type Route struct {
-	Name      string
-	Host      string
-	Prefix    string
-	Repeat    Repeat
-	Timeout   time.Duration
-	Objective time.Duration
-	Gap       time.Duration
-	Priority  int
-	Shares    []Share
-	Attempts  int
-	Anonymous bool
-	Resume    bool
+	Name           string
+	Host           string
+	Prefix         string
+	Kind           RouteKind
+	Timeout        time.Duration
+	Objective      time.Duration
+	MaxEventGap    time.Duration
+	Priority       int
+	TrafficSplit   []WeightedService
+	MaxAttempts    int
+	AllowAnonymous bool
+	AllowResume    bool
 }
 
-// Share is a service that gets part of a route's requests, in proportion to Weight.
-type Share struct {
+// WeightedService is a service that gets part of a route's requests, in proportion to Weight.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
 
 // Resumable reports whether a second target may continue an answer that the first one
 // broke off.
-func (r Route) Resumable() bool { return r.Repeat == RepeatStream && r.Resume }
+func (r Route) Resumable() bool { return r.Kind == KindStream && r.AllowResume }
 
 // Repeatable reports whether a request may run more than once.
-func (r Route) Repeatable() bool { return r.Repeat == RepeatIdempotent || r.Resumable() }
+func (r Route) Repeatable() bool { return r.Kind == KindIdempotent || r.Resumable() }
 
-// Service is a group of targets. MaxConns is the most connections that each target
+// Service is a group of targets. MaxConnsPerTarget is the most connections that each target
 // accepts from all callers together. Engine is nil for a plain service.
 type Service struct {
-	Name     string
-	MaxConns int
-	Engine   *Engine
+	Name              string
+	MaxConnsPerTarget int
+	Engine            *Engine
 }
 
 // Engine describes the capacity and speed of a service's model engines, as configured
@@ -74,36 +74,36 @@
 	// Slots is the number of requests that an engine generates answers for at the
 	// same time. Memory is the number of tokens that these and their prompts may
 	// occupy.
-	Slots  int
-	Memory int
+	Slots         int
+	KVCacheTokens int
 	// A pass generates Stride tokens for each active request, one step per token. A
-	// step takes Step, and PerSequence more for each active request.
-	Stride      int
-	Step        time.Duration
-	PerSequence time.Duration
-	// PerContext is the time added to a step for each thousand tokens of context of
+	// step takes Step, and StepTimePerSequence more for each active request.
+	TokensPerPass       int
+	StepTime            time.Duration
+	StepTimePerSequence time.Duration
+	// StepTimePerThousandTokens is the time added to a step for each thousand tokens of context of
 	// the active requests.
-	PerContext time.Duration
-	// ReadRate is the number of prompt tokens read per second.
-	ReadRate float64
-	// UsualPrompt and UsualAnswer are the mean numbers of tokens of a request's
+	StepTimePerThousandTokens time.Duration
+	// PrefillTokensPerSecond is the number of prompt tokens read per second.
+	PrefillTokensPerSecond float64
+	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens of a request's
 	// prompt and answer.
-	UsualPrompt int
-	UsualAnswer int
+	MeanPromptTokens int
+	MeanAnswerTokens int
 }
 
 // Customer is a tenant of the system, identified by any of its API keys. A nil
 // Priority means that of the route.
 type Customer struct {
 	Name     string
-	Keys     []string
+	APIKeys  []string
 	Priority *int
 }
 
 // Limits bound what a caller may send. Zero means no limit.
 type Limits struct {
-	MaxBody int64
-	Idle    time.Duration
+	MaxBodyBytes int64
+	IdleTimeout  time.Duration
 }
 
 // Table is the routing configuration at one version.
@@ -119,15 +119,15 @@
 	servicesByName map[string]int
 }
 
-// Index builds the look-up maps. It must be called once before the table is shared.
-func (t *Table) Index() {
+// BuildIndex builds the look-up maps. It must be called once before the table is shared.
+func (t *Table) BuildIndex() {
 	t.routesByHost = make(map[string][]int, len(t.Routes))
 	for i, r := range t.Routes {
 		t.routesByHost[r.Host] = append(t.routesByHost[r.Host], i)
 	}
 	t.customersByKey = map[string]int{}
 	for i, c := range t.Customers {
-		for _, k := range c.Keys {
+		for _, k := range c.APIKeys {
 			t.customersByKey[k] = i
 		}
 	}
@@ -152,12 +152,12 @@
 	return t.Routes[best], true
 }
 
-// Keyed reports whether requests must have an API key. They need none if no customers
+// RequiresKey reports whether requests must have an API key. They need none if no customers
 // are configured.
-func (t *Table) Keyed() bool { return len(t.Customers) > 0 }
+func (t *Table) RequiresKey() bool { return len(t.Customers) > 0 }
 
-// CustomerOf returns the customer to which an API key belongs.
-func (t *Table) CustomerOf(key string) (Customer, bool) {
+// CustomerByKey returns the customer to which an API key belongs.
+func (t *Table) CustomerByKey(key string) (Customer, bool) {
 	i, ok := t.customersByKey[key]
 	if !ok || key == "" {
 		return Customer{}, false
--- a/io/process/hosted/rollout_test.go
+++ b/io/process/hosted/rollout_test.go
@@ -44,7 +44,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			tab := &table.Table{Services: []table.Service{{Name: "svc", Engine: &table.Engine{Model: "m"}}}}
-			tab.Index()
+			tab.BuildIndex()
 			_, got, _ := wantedVersions(&facts.Facts{Table: tab, Versions: tc.announced}, "svc", start.Add(tc.now), 8*time.Second)
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("wanted versions (-want +got):\n%s", diff)
--- a/io/request/direct/attempts.go
+++ b/io/request/direct/attempts.go
@@ -52,7 +52,7 @@
 // allowed.
 func (s *Server) runAttempts(ctx context.Context, w http.ResponseWriter, q *request) {
 	out := s.newRelay(w, q)
-	q.tries = resend.AttemptTracker{Repeatable: q.route.Repeatable(), MaxAttempts: q.route.Attempts}
+	q.tries = resend.AttemptTracker{Repeatable: q.route.Repeatable(), MaxAttempts: q.route.MaxAttempts}
 	for {
 		v, ok := s.waitForTarget(ctx, w, q, out)
 		if !ok {
@@ -206,7 +206,7 @@
 // newRelay returns the relay for the route's kind of response.
 func (s *Server) newRelay(w http.ResponseWriter, q *request) responseRelay {
 	caller := callerWriter{w: w, rc: http.NewResponseController(w)}
-	if q.route.Repeat == table.RepeatStream {
+	if q.route.Kind == table.KindStream {
 		return &streamRelay{server: s, q: q, caller: caller}
 	}
 	return &bufferedRelay{q: q, caller: caller}
--- a/io/request/direct/forwarder.go
+++ b/io/request/direct/forwarder.go
@@ -99,7 +99,7 @@
 		return f.handleSourceEnd(errOrder)
 	}
 	if f.pending != nil {
-		f.pending.buffer(f.server.Clock, e, f.lastSentAt.Add(bufferingTime(f.q.route.Gap)))
+		f.pending.buffer(f.server.Clock, e, f.lastSentAt.Add(bufferingTime(f.q.route.MaxEventGap)))
 		return ""
 	}
 	return f.forward(f.x, e)
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -151,7 +151,7 @@
 		return s.notFoundError(q, http.StatusNotFound, "noRoute"), false
 	}
 	q.route = route
-	name := pickService(route.Shares, q.call.ID)
+	name := pickService(route.TrafficSplit, q.call.ID)
 	q.service, ok = q.facts.Table.ServiceByName(name)
 	if !ok {
 		q.service = table.Service{Name: name}
@@ -172,7 +172,7 @@
 // pickService picks one of a route's services with probability proportional to its
 // weight. It uses a hash of the request ID, so that a repeat with the same ID gets the
 // same service.
-func pickService(shares []table.Share, id string) string {
+func pickService(shares []table.WeightedService, id string) string {
 	if len(shares) == 1 {
 		return shares[0].Service
 	}
@@ -195,13 +195,13 @@
 // learned that a key was revoked must not accept it. So if the facts are older than
 // KeyAge, no key is accepted and the caller has to try another entry.
 func (s *Server) identifyCustomer(q *request) (errorResponse, bool) {
-	if !q.facts.Table.Keyed() || q.route.Anonymous {
+	if !q.facts.Table.RequiresKey() || q.route.AllowAnonymous {
 		return errorResponse{}, true
 	}
 	if s.Rules.KeyAge > 0 && q.factsAge.OlderThan(s.Rules.KeyAge) {
 		return errorResponse{status: http.StatusServiceUnavailable, reason: "keysTooOld", retryAfter: staleFactsRetryAfter}, false
 	}
-	c, ok := q.facts.Table.CustomerOf(q.call.Key)
+	c, ok := q.facts.Table.CustomerByKey(q.call.Key)
 	if !ok {
 		return s.notFoundError(q, http.StatusUnauthorized, "unknownKey"), false
 	}
@@ -216,7 +216,7 @@
 func (s *Server) readBody(w http.ResponseWriter, q *request) (errorResponse, bool) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout))
-	limit := q.facts.Table.Limits.MaxBody
+	limit := q.facts.Table.Limits.MaxBodyBytes
 	body := io.Reader(q.incoming.Body)
 	if limit > 0 {
 		body = http.MaxBytesReader(w, q.incoming.Body, limit)
--- a/io/request/direct/handle_test.go
+++ b/io/request/direct/handle_test.go
@@ -51,11 +51,11 @@
 
 func keyedFacts(path, key string) *facts.Facts {
 	t := &table.Table{
-		Routes:    []table.Route{{Name: "r", Host: "h", Prefix: path, Timeout: time.Second, Shares: []table.Share{{Service: "s", Weight: 1}}}},
+		Routes:    []table.Route{{Name: "r", Host: "h", Prefix: path, Timeout: time.Second, TrafficSplit: []table.WeightedService{{Service: "s", Weight: 1}}}},
 		Services:  []table.Service{{Name: "s"}},
-		Customers: []table.Customer{{Name: "c", Keys: []string{key}}},
+		Customers: []table.Customer{{Name: "c", APIKeys: []string{key}}},
 	}
-	t.Index()
+	t.BuildIndex()
 	return &facts.Facts{Table: t}
 }
 
--- a/io/request/direct/handover.go
+++ b/io/request/direct/handover.go
@@ -90,7 +90,7 @@
 	w := s.placerWork(q)
 	w.ID, w.Resumed = q.placementID+"+", true
 	w.FailedTargets = append(w.FailedTargets[:len(w.FailedTargets):len(w.FailedTargets)], q.targetID)
-	v, ok := s.dispatcher.placeHandover(w, cause, bufferingTime(q.route.Gap))
+	v, ok := s.dispatcher.placeHandover(w, cause, bufferingTime(q.route.MaxEventGap))
 	if !ok {
 		return nil
 	}
--- a/io/request/direct/handover_test.go
+++ b/io/request/direct/handover_test.go
@@ -168,11 +168,11 @@
 // withStreams adds a route for streams that allows attempts at two targets.
 func withStreams(f *facts.Facts) *facts.Facts {
 	f.Table.Routes = []table.Route{{
-		Name: "r", Host: "h", Prefix: "/", Repeat: table.RepeatStream, Resume: true, Attempts: 2,
-		Timeout: 5 * time.Second, Objective: 400 * time.Millisecond, Gap: 400 * time.Millisecond,
-		Shares: []table.Share{{Service: "svc", Weight: 1}},
+		Name: "r", Host: "h", Prefix: "/", Kind: table.KindStream, AllowResume: true, MaxAttempts: 2,
+		Timeout: 5 * time.Second, Objective: 400 * time.Millisecond, MaxEventGap: 400 * time.Millisecond,
+		TrafficSplit: []table.WeightedService{{Service: "svc", Weight: 1}},
 	}}
-	f.Table.Index()
+	f.Table.BuildIndex()
 	return f
 }
 
@@ -291,7 +291,7 @@
 		w.Header().Set(testHeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
-	m.server.Source.Current().Table.Routes[0].Attempts = 4
+	m.server.Source.Current().Table.Routes[0].MaxAttempts = 4
 	_, in := m.startStream()
 	for range streamEvents - 1 {
 		m.requestLoad()
--- a/io/request/direct/handoverpause_test.go
+++ b/io/request/direct/handoverpause_test.go
@@ -18,7 +18,7 @@
 	if e, err := readEvent(in); err != nil || e.id != 2 {
 		t.Fatalf("event %d: %v", e.id, err)
 	}
-	gap := m.server.Source.Current().Table.Routes[0].Gap
+	gap := m.server.Source.Current().Table.Routes[0].MaxEventGap
 	if pause := time.Since(last); pause > gap {
 		t.Errorf("pause of %s, want %s at most", pause, gap)
 	}
--- a/io/request/direct/watchdog.go
+++ b/io/request/direct/watchdog.go
@@ -165,8 +165,8 @@
 func (g *watchdog) received() {
 	g.responseBegun.Store(true)
 	g.stopVersionCheck()
-	if g.silenceTimer != nil && g.q.route.Gap > 0 {
-		g.silenceTimer.Reset(silenceTimeout(g.q.route.Gap, gapSilenceFactor))
+	if g.silenceTimer != nil && g.q.route.MaxEventGap > 0 {
+		g.silenceTimer.Reset(silenceTimeout(g.q.route.MaxEventGap, gapSilenceFactor))
 	}
 }
 
--- a/io/request/direct/watchdogset_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -61,8 +61,8 @@
 
 // idleEngines returns facts with idle engines that serve version 1.
 func idleEngines(ids ...string) *facts.Facts {
-	t := &table.Table{Services: []table.Service{{Name: "svc", Engine: &table.Engine{Model: "m", Slots: 16, ReadRate: 1000, Stride: 1}}}}
-	t.Index()
+	t := &table.Table{Services: []table.Service{{Name: "svc", Engine: &table.Engine{Model: "m", Slots: 16, PrefillTokensPerSecond: 1000, TokensPerPass: 1}}}}
+	t.BuildIndex()
 	f := &facts.Facts{Table: t}
 	for i, id := range ids {
 		f.Targets = append(f.Targets, facts.Target{
