--- a/bench/burst/world.go
+++ b/bench/burst/world.go
@@ -147,10 +147,10 @@
 		quiet.SetOutput(logWriter)
 	}
 	cfg := tuning
-	cfg.Direct, cfg.Seed = w.trial.mode.direct, seed
-	if cfg.Direct {
+	cfg.OriginOnly, cfg.Seed = w.trial.mode.direct, seed
+	if cfg.OriginOnly {
 		// All wait for the origin's link at once; that is no stall.
-		cfg.LeastPatience = giveUpLeast
+		cfg.MinTimeout = giveUpLeast
 	}
 	return &swarm.Node{
 		Self:         &link.Self{VM: s.vm, Boot: s.vm.Name},
--- a/core/version/burst/acquire.go
+++ b/core/version/burst/acquire.go
@@ -55,7 +55,7 @@
 func (s *State) startFetches(now time.Time) {
 	shared := map[string]int{}
 	for _, v := range s.fetchOrder() {
-		if s.cfg.Direct {
+		if s.cfg.OriginOnly {
 			s.fetchAllFromOrigin(now, v)
 			continue
 		}
@@ -143,9 +143,9 @@
 // fetchSlots is how many chunks of one version may be in transfer from upstream up at a time.
 func (s *State) fetchSlots(up string) int {
 	if up == "" {
-		return s.cfg.Draws
+		return s.cfg.OriginSlots
 	}
-	return s.cfg.Turns
+	return s.cfg.ImportSlots
 }
 
 // startFetch starts the transfer of a due chunk if this side ranks first for it,
@@ -160,7 +160,7 @@
 	if pos < 0 || late < s.rankDelay(up, pos) {
 		return
 	}
-	if up == "" && s.countVia(ViaOrigin) >= s.cfg.Draws {
+	if up == "" && s.countVia(ViaOrigin) >= s.cfg.OriginSlots {
 		return
 	}
 	s.fetch(now, v, i, up, pos)
@@ -213,7 +213,7 @@
 			from = append(from, u)
 		}
 	}
-	return 1 / float64(max(feeds, len(from), 1)*s.cfg.Turns)
+	return 1 / float64(max(feeds, len(from), 1)*s.cfg.ImportSlots)
 }
 
 // pickExporter picks the side of region up to request a chunk from: the one that
@@ -289,13 +289,13 @@
 // anyAvoided reports whether any peer is avoided now.
 func (s *State) anyAvoided(now time.Time) bool { return now.Before(s.avoidEnd) }
 
-// fetchAllFromOrigin is startDue for Config.Direct: it fetches every chunk from the origin.
+// fetchAllFromOrigin is startDue for Config.OriginOnly: it fetches every chunk from the origin.
 func (s *State) fetchAllFromOrigin(now time.Time, v *version) {
 	for _, c := range v.chunks {
 		if c.held || c.pending() || now.Before(c.retryAt) {
 			continue
 		}
-		if s.countVia(ViaOrigin) >= s.cfg.Inbound {
+		if s.countVia(ViaOrigin) >= s.cfg.DownloadSlots {
 			return
 		}
 		s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaOrigin, Reason: "baseline"})
@@ -321,7 +321,7 @@
 	c.firstByteAt = now
 	c.receiving, c.fullyRequested = false, false
 	c.queued = true
-	c.deadline = now.Add(max(s.startTimeout(f.Via), maxQueueBackoffs*s.cfg.MostPause))
+	c.deadline = now.Add(max(s.startTimeout(f.Via), maxQueueBackoffs*s.cfg.MaxBackoff))
 	for _, pl := range c.positions {
 		pl.version.pending.Set(pl.index)
 	}
--- a/core/version/burst/action.go
+++ b/core/version/burst/action.go
@@ -27,9 +27,9 @@
 	Reason string
 }
 
-// Stop ends a transfer that was started: it timed out, it need not wait for the peer to
+// StopTransfer ends a transfer that was started: it timed out, it need not wait for the peer to
 // get the chunk, or the chunk is no longer wanted.
-type Stop struct {
+type StopTransfer struct {
 	Chunk  chunk.Digest
 	Peer   string
 	Reason string
@@ -38,33 +38,33 @@
 // Offer tells a peer that it may request one chunk.
 type Offer struct{ Peer string }
 
-// Pass refuses a peer's offer.
-type Pass struct{ Peer string }
+// RefuseOffer refuses a peer's offer.
+type RefuseOffer struct{ Peer string }
 
-// Ready tells a peer whose offer was refused that it may offer again.
-type Ready struct{ Peer string }
+// AcceptOffers tells a peer whose offer was refused that it may offer again.
+type AcceptOffers struct{ Peer string }
 
 // Announce tells a peer about chunks of one manifest: Have are held by this side, Seen
 // by some side of the region, and Tried are those that some side keeps trying to fetch
 // for the region.
 type Announce struct {
-	Peer     string
-	Manifest chunk.Digest
-	Have     []int
-	Seen     []int
-	Tried    []int
+	Peer         string
+	Manifest     chunk.Digest
+	Have         []int
+	HeldInRegion []int
+	Retrying     []int
 }
 
-// Greet sends a peer the complete chunk sets of one manifest.
-type Greet struct {
-	Peer     string
-	Manifest chunk.Digest
-	Have     Bits
-	Seen     Bits
+// SendChunkSets sends a peer the complete chunk sets of one manifest.
+type SendChunkSets struct {
+	Peer         string
+	Manifest     chunk.Digest
+	Have         Bits
+	HeldInRegion Bits
 }
 
-// Gone tells a peer about sides of the region that do not run.
-type Gone struct {
+// ReportDown tells a peer about sides of the region that do not run.
+type ReportDown struct {
 	Peer  string
 	Sides []string
 }
@@ -75,17 +75,17 @@
 // Disconnect closes the connection to a peer; it is reopened when needed.
 type Disconnect struct{ Peer string }
 
-// Discard deletes a chunk that no wanted version has from the staging area.
-type Discard struct{ Chunk chunk.Digest }
-
-func (Fetch) isAction()      {}
-func (Stop) isAction()       {}
-func (Offer) isAction()      {}
-func (Pass) isAction()       {}
-func (Ready) isAction()      {}
-func (Announce) isAction()   {}
-func (Gone) isAction()       {}
-func (Greet) isAction()      {}
-func (Connect) isAction()    {}
-func (Disconnect) isAction() {}
-func (Discard) isAction()    {}
+// DiscardChunk deletes a chunk that no wanted version has from the staging area.
+type DiscardChunk struct{ Chunk chunk.Digest }
+
+func (Fetch) isAction()         {}
+func (StopTransfer) isAction()  {}
+func (Offer) isAction()         {}
+func (RefuseOffer) isAction()   {}
+func (AcceptOffers) isAction()  {}
+func (Announce) isAction()      {}
+func (ReportDown) isAction()    {}
+func (SendChunkSets) isAction() {}
+func (Connect) isAction()       {}
+func (Disconnect) isAction()    {}
+func (DiscardChunk) isAction()  {}
--- a/core/version/burst/bench_test.go
+++ b/core/version/burst/bench_test.go
@@ -7,7 +7,7 @@
 )
 
 // newBenchState returns the State of one of n sides in five regions, and the version that they want.
-func newBenchState(n int) (*State, Set, time.Time) {
+func newBenchState(n int) (*State, WantedVersion, time.Time) {
 	var members []Member
 	for i := range n {
 		members = append(members, Member{Name: fmt.Sprintf("10.%d.0.%d", i%5, i), Region: fmt.Sprintf("r%d", i%5)})
@@ -23,7 +23,7 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s, set, now := newBenchState(n)
 			for b.Loop() {
-				s.Update(now, []Set{set})
+				s.Update(now, []WantedVersion{set})
 			}
 		})
 	}
@@ -34,9 +34,9 @@
 	for _, n := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s, set, now := newBenchState(n)
-			s.Update(now, []Set{set})
+			s.Update(now, []WantedVersion{set})
 			for _, ref := range set.Manifest.Chunks {
-				s.Arrived(now, ref.Digest)
+				s.ChunkStaged(now, ref.Digest)
 			}
 			for b.Loop() {
 				s.Tick(now)
--- a/core/version/burst/burst.go
+++ b/core/version/burst/burst.go
@@ -25,32 +25,32 @@
 	// DefaultDegree is how many neighbours a side connects to; about as many
 	// connect to it.
 	DefaultDegree = 6
-	// DefaultUploads is how many chunks a side sends at a time.
-	DefaultUploads = 3
-	// DefaultInbound is how many chunks a side takes from its neighbours at a time.
-	DefaultInbound = 4
-	// DefaultTurns is how many chunks are transferred at a time between each
+	// DefaultUploadSlots is how many chunks a side sends at a time.
+	DefaultUploadSlots = 3
+	// DefaultDownloadSlots is how many chunks a side takes from its neighbours at a time.
+	DefaultDownloadSlots = 4
+	// DefaultImportSlots is how many chunks are transferred at a time between each
 	// pair of regions.
-	DefaultTurns = 2
-	// WideTurns is the same for a region link that carries more than the sides
+	DefaultImportSlots = 2
+	// FastLinkImportSlots is the same for a region link that carries more than the sides
 	// can receive: starting the next chunk without delay then matters more than
 	// how soon a single chunk has passed all regions.
-	WideTurns = 4
+	FastLinkImportSlots = 4
 	// DefaultFanout makes each region pass a chunk on to one other region, so
 	// that no region's outgoing link carries more than one copy.
 	DefaultFanout = 1
-	// WideFanout is the same for links that carry more than the sides can receive:
+	// FastLinkFanout is the same for links that carry more than the sides can receive:
 	// the number of regions that a chunk passes in sequence then matters more.
-	WideFanout = 2
-	// DefaultDraws is how many chunks a region fetches from the origin at a
+	FastLinkFanout = 2
+	// DefaultOriginSlots is how many chunks a region fetches from the origin at a
 	// time.
-	DefaultDraws = 4
-	// DefaultLeastPatience is longer than the delays that a busy machine or a
+	DefaultOriginSlots = 4
+	// DefaultMinTimeout is longer than the delays that a busy machine or a
 	// pause of the Go runtime causes.
-	DefaultLeastPatience = 500 * time.Millisecond
-	// DefaultMostPause limits a thousand sides that wait for one origin to a few
+	DefaultMinTimeout = 500 * time.Millisecond
+	// DefaultMaxBackoff limits a thousand sides that wait for one origin to a few
 	// hundred attempts a second.
-	DefaultMostPause = 5 * time.Second
+	DefaultMaxBackoff = 5 * time.Second
 	// MaxPeers bounds the number of peers for which a side keeps state.
 	MaxPeers = 256
 )
@@ -61,14 +61,14 @@
 	Region string
 }
 
-// Set is one wanted version and the sides that want it, this one included.
-type Set struct {
+// WantedVersion is one wanted version and the sides that want it, this one included.
+type WantedVersion struct {
 	ID       chunk.Digest
 	Manifest chunk.Manifest
 	Members  []Member
-	// Keep marks a version that is no longer wanted but whose chunks must not be
+	// KeepOnly marks a version that is no longer wanted but whose chunks must not be
 	// discarded yet. Nothing of it is fetched.
-	Keep bool
+	KeepOnly bool
 	// Staged are the verified chunks that were found in the staging area.
 	Staged []chunk.Digest
 }
@@ -77,23 +77,23 @@
 // every side fetch everything from the origin; the load tool (bench/burst) uses
 // it as its baseline.
 type Config struct {
-	Self         Member
-	OriginRegion string
-	Weigh        envdoc.Weigh
-	Degree       int
-	Uploads      int
-	Inbound      int
-	Turns        int
-	Fanout       int
-	Draws        int
-	Direct       bool
-	// LeastPatience is the lower bound of every transfer timeout and of the time
+	Self          Member
+	OriginRegion  string
+	Goal          envdoc.Weigh
+	Degree        int
+	UploadSlots   int
+	DownloadSlots int
+	ImportSlots   int
+	Fanout        int
+	OriginSlots   int
+	OriginOnly    bool
+	// MinTimeout is the lower bound of every transfer timeout and of the time
 	// that a side waits for the one that ranks before it.
-	LeastPatience time.Duration
-	// MostPause is the upper bound of the retry delay of a failed source or of a
+	MinTimeout time.Duration
+	// MaxBackoff is the upper bound of the retry delay of a failed source or of a
 	// peer that does not answer. After an outage up to that much time is lost.
-	MostPause time.Duration
-	Seed      uint64
+	MaxBackoff time.Duration
+	Seed       uint64
 }
 
 // State holds what one side knows of its peers and which transfers run. It is
@@ -237,16 +237,16 @@
 // New returns the State of a side that wants nothing yet.
 func New(cfg Config) *State {
 	cfg.Degree = orDefault(cfg.Degree, DefaultDegree)
-	cfg.Uploads = orDefault(cfg.Uploads, DefaultUploads)
-	cfg.Inbound = orDefault(cfg.Inbound, DefaultInbound)
-	cfg.Turns = orDefault(cfg.Turns, DefaultTurns)
+	cfg.UploadSlots = orDefault(cfg.UploadSlots, DefaultUploadSlots)
+	cfg.DownloadSlots = orDefault(cfg.DownloadSlots, DefaultDownloadSlots)
+	cfg.ImportSlots = orDefault(cfg.ImportSlots, DefaultImportSlots)
 	cfg.Fanout = orDefault(cfg.Fanout, DefaultFanout)
-	cfg.Draws = orDefault(cfg.Draws, DefaultDraws)
-	if cfg.MostPause <= 0 {
-		cfg.MostPause = DefaultMostPause
+	cfg.OriginSlots = orDefault(cfg.OriginSlots, DefaultOriginSlots)
+	if cfg.MaxBackoff <= 0 {
+		cfg.MaxBackoff = DefaultMaxBackoff
 	}
-	if cfg.LeastPatience <= 0 {
-		cfg.LeastPatience = DefaultLeastPatience
+	if cfg.MinTimeout <= 0 {
+		cfg.MinTimeout = DefaultMinTimeout
 	}
 	return &State{
 		cfg:          cfg,
@@ -268,11 +268,11 @@
 	return v
 }
 
-// SetWeigh sets whether the document prefers few origin bytes or short time.
-func (s *State) SetWeigh(w envdoc.Weigh) { s.cfg.Weigh = w }
+// SetGoal sets whether the document prefers few origin bytes or short time.
+func (s *State) SetGoal(w envdoc.Weigh) { s.cfg.Goal = w }
 
-// SetTurns changes how many chunks are transferred at a time between two regions.
-func (s *State) SetTurns(n int) { s.cfg.Turns = n }
+// SetImportSlots changes how many chunks are transferred at a time between two regions.
+func (s *State) SetImportSlots(n int) { s.cfg.ImportSlots = n }
 
 // SetFanout changes to how many regions one region passes a chunk on; it takes
 // effect at the next Update.
@@ -297,29 +297,29 @@
 	return c.ref, true
 }
 
-// Tally is how much of one wanted version a side holds.
-type Tally struct {
-	Have  int
+// Progress is how much of one wanted version a side holds.
+type Progress struct {
+	Held  int
 	Total int
 	Bytes int64
 }
 
-// Tally returns the progress of the wanted version id.
-func (s *State) Tally(id chunk.Digest) (Tally, bool) {
+// Progress returns the progress of the wanted version id.
+func (s *State) Progress(id chunk.Digest) (Progress, bool) {
 	for _, v := range s.versions {
 		if v.id != id {
 			continue
 		}
-		t := Tally{Total: len(v.chunks)}
+		t := Progress{Total: len(v.chunks)}
 		for _, c := range v.chunks {
 			if c.held {
-				t.Have++
+				t.Held++
 				t.Bytes += c.ref.Size
 			}
 		}
 		return t, true
 	}
-	return Tally{}, false
+	return Progress{}, false
 }
 
 func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
--- a/core/version/burst/burst_test.go
+++ b/core/version/burst/burst_test.go
@@ -44,7 +44,7 @@
 	for _, regions := range [][]string{regionNames(1), regionNames(2, 1, 1), regionNames(6), regionNames(9, 8, 7)} {
 		n := newNetwork(t, regions...)
 		for _, s := range n.sides {
-			s.state.SetWeigh(envdoc.WeighTime)
+			s.state.SetGoal(envdoc.WeighTime)
 		}
 		v := testVersion("1", 0, 24).withMembers(n.members())
 		n.update(v)
@@ -136,7 +136,7 @@
 	}
 }
 
-func checkUnwantedDiscarded(t *testing.T, s *fakeSide, v Set) {
+func checkUnwantedDiscarded(t *testing.T, s *fakeSide, v WantedVersion) {
 	t.Helper()
 	wanted := map[chunk.Digest]bool{}
 	for _, ref := range v.Manifest.Chunks {
@@ -156,7 +156,7 @@
 	v := testVersion("1", 0, 40).withMembers(n.members())
 	n.update(v)
 	n.runUntil(func() bool { return n.originFetches() > 8 })
-	v.Keep = true
+	v.KeepOnly = true
 	n.update(v)
 	begin := n.now
 	n.runUntil(func() bool { return n.now > begin+time.Second })
@@ -165,7 +165,7 @@
 	if diff := cmp.Diff(before, n.originFetches()); diff != "" {
 		t.Errorf("origin requests (-want +got):\n%s", diff)
 	}
-	v.Keep = false
+	v.KeepOnly = false
 	n.update(v)
 	n.runUntil(n.allComplete(v.ID))
 }
@@ -178,7 +178,7 @@
 	n.runUntil(func() bool { return n.originFetches() > 8 })
 	n.update()
 	for _, s := range n.sides {
-		checkUnwantedDiscarded(t, s, Set{})
+		checkUnwantedDiscarded(t, s, WantedVersion{})
 		if diff := cmp.Diff(0, len(s.state.chunks)); diff != "" {
 			t.Errorf("%s: chunks left (-want +got):\n%s", s.Name, diff)
 		}
@@ -212,7 +212,7 @@
 	n.update(v)
 	n.runUntil(func() bool {
 		for name, s := range n.sides {
-			if got, _ := s.state.Tally(v.ID); !inR3(name) && got.Have < got.Total {
+			if got, _ := s.state.Progress(v.ID); !inR3(name) && got.Held < got.Total {
 				return false
 			}
 		}
@@ -257,7 +257,7 @@
 		chunks = 96
 		// spare allows for the chunks that are due as the origin returns: each
 		// other side may just be requesting them too.
-		spare = DefaultDraws * (sides - 1)
+		spare = DefaultOriginSlots * (sides - 1)
 	)
 	n := newNetwork(t, regionNames(sides, sides, sides)...)
 	sent := 0
@@ -274,7 +274,7 @@
 		t.Errorf("the origin sent %d chunks of a version of %d", sent, chunks)
 	}
 	// A side may have just begun its longest retry delay when the origin returns.
-	if most := outage + DefaultMostPause + 2*time.Second; n.now > most {
+	if most := outage + DefaultMaxBackoff + 2*time.Second; n.now > most {
 		t.Errorf("complete after %v, want %v at most", n.now, most)
 	}
 }
@@ -292,14 +292,14 @@
 	for i := range 8 {
 		all.Set(i)
 	}
-	s.state.Connected(n.time(), liar.Member)
-	s.state.Greeted(n.time(), "side02", v.ID, all, nil)
-	got := s.state.Offered(n.time(), "side02")
+	s.state.PeerConnected(n.time(), liar.Member)
+	s.state.ChunkSetsReceived(n.time(), "side02", v.ID, all, nil)
+	got := s.state.OfferReceived(n.time(), "side02")
 	f, ok := got[0].(Fetch)
 	if !ok {
 		t.Fatalf("answer to an offer is %T, want Fetch", got[0])
 	}
-	s.state.Failed(n.time(), f.Chunk.Digest, "side02", FailLacks, 0)
+	s.state.TransferFailed(n.time(), f.Chunk.Digest, "side02", FailNotHeld, 0)
 	i := slices.Index(v.Manifest.Chunks, f.Chunk)
 	if s.state.peers["side02"].heldChunks[v.ID].Has(i) {
 		t.Error("the false claim was not dropped")
@@ -313,15 +313,15 @@
 	n := newNetwork(t, regionNames(2)...)
 	v := testVersion("1", 0, 1).withMembers(n.members())
 	s, peer := n.sides["side00"], n.sides["side01"]
-	s.state.Update(n.time(), []Set{v})
-	s.state.Connected(n.time(), peer.Member)
+	s.state.Update(n.time(), []WantedVersion{v})
+	s.state.PeerConnected(n.time(), peer.Member)
 	held := NewBits(1)
 	held.Set(0)
-	s.state.Greeted(n.time(), peer.Name, v.ID, held, nil)
+	s.state.ChunkSetsReceived(n.time(), peer.Name, v.ID, held, nil)
 	d := v.Manifest.Chunks[0].Digest
 	// The request to the origin that began with the update must end first.
-	s.state.Failed(n.time(), d, "", FailQueued, 0)
-	if _, ok := s.state.Offered(n.time(), peer.Name)[0].(Fetch); !ok {
+	s.state.TransferFailed(n.time(), d, "", FailQueueTimeout, 0)
+	if _, ok := s.state.OfferReceived(n.time(), peer.Name)[0].(Fetch); !ok {
 		t.Fatal("the offer was not accepted")
 	}
 	n.now += s.state.startTimeout(ViaTrade) + time.Second
@@ -329,7 +329,7 @@
 	if s.state.chunks[d].source != peer.Name {
 		t.Errorf("the transfer was stopped while it waited for this side's own link")
 	}
-	n.now += 2 * maxQueueBackoffs * DefaultMostPause
+	n.now += 2 * maxQueueBackoffs * DefaultMaxBackoff
 	s.state.Tick(n.time())
 	if got := s.state.peers[peer.Name].consecutiveFaults + s.state.chunks[d].failedTrades; got != 0 {
 		t.Errorf("%d faults of the source were recorded, want none", got)
@@ -343,7 +343,7 @@
 	v := testVersion("1", 0, 1).withMembers(n.members())
 	s := n.sides["side01"]
 	var began bool
-	for _, a := range s.state.Update(n.time(), []Set{v}) {
+	for _, a := range s.state.Update(n.time(), []WantedVersion{v}) {
 		f, ok := a.(Fetch)
 		began = began || ok && f.Via == ViaImport
 	}
@@ -351,9 +351,9 @@
 		t.Fatal("no import was begun")
 	}
 	d := v.Manifest.Chunks[0].Digest
-	s.state.Requested(n.time(), d)
+	s.state.RequestSent(n.time(), d)
 	for end := n.now + 2*cutOffFactor*s.state.startTimeout(ViaImport); n.now < end; n.now += tickTime {
-		s.state.Deferred(n.time(), d, "side00")
+		s.state.ImportDeferred(n.time(), d, "side00")
 		s.state.Tick(n.time())
 	}
 	if s.state.chunks[d].deferrals == 0 {
--- a/core/version/burst/early_announce_test.go
+++ b/core/version/burst/early_announce_test.go
@@ -23,10 +23,10 @@
 	self, peer := Member{Name: "self", Region: "r"}, Member{Name: "peer", Region: "r"}
 	now := time.Unix(1000, 0)
 	s := New(Config{Self: self, OriginRegion: "r"})
-	s.Connected(now, peer)
-	s.Greeted(now, peer.Name, id, Bits{0b001}, Bits{0b001})
-	s.Announced(now, peer.Name, id, []int{1}, []int{1, 2})
-	actions := s.Update(now, []Set{{ID: id, Manifest: m, Members: []Member{self, peer}}})
+	s.PeerConnected(now, peer)
+	s.ChunkSetsReceived(now, peer.Name, id, Bits{0b001}, Bits{0b001})
+	s.AnnounceReceived(now, peer.Name, id, []int{1}, []int{1, 2})
+	actions := s.Update(now, []WantedVersion{{ID: id, Manifest: m, Members: []Member{self, peer}}})
 	for _, a := range actions {
 		if f, ok := a.(Fetch); ok {
 			t.Errorf("chunk %s is fetched via %s although the region holds it", f.Chunk.Digest, f.Via)
@@ -34,7 +34,7 @@
 	}
 	var got []chunk.Digest
 	for range 2 {
-		for _, a := range s.Offered(now, peer.Name) {
+		for _, a := range s.OfferReceived(now, peer.Name) {
 			if f, ok := a.(Fetch); ok && f.Via == ViaTrade {
 				got = append(got, f.Chunk.Digest)
 			}
--- a/core/version/burst/events.go
+++ b/core/version/burst/events.go
@@ -11,15 +11,15 @@
 
 // The causes of a failed transfer.
 const (
-	FailStalled Failure = "stalled"
-	FailCorrupt Failure = "corrupt"
-	FailLacks   Failure = "lacks"
-	FailRefused Failure = "refused"
-	FailGone    Failure = "gone"
-	// FailLater is a timed-out wait for a peer that does not hold the chunk yet.
-	FailLater Failure = "lacksAsYet"
-	// FailQueued is a request that waited too long for this side's own link.
-	FailQueued Failure = "queuedTooLong"
+	FailStalled      Failure = "stalled"
+	FailCorrupt      Failure = "corrupt"
+	FailNotHeld      Failure = "lacks"
+	FailRefused      Failure = "refused"
+	FailDisconnected Failure = "gone"
+	// FailDeferred is a timed-out wait for a peer that does not hold the chunk yet.
+	FailDeferred Failure = "lacksAsYet"
+	// FailQueueTimeout is a request that waited too long for this side's own link.
+	FailQueueTimeout Failure = "queuedTooLong"
 )
 
 // Tick must be called a few times a second: it ends transfers that timed out,
@@ -34,8 +34,8 @@
 	return s.decide(now)
 }
 
-// Connected is called when a connection to a side is open.
-func (s *State) Connected(now time.Time, m Member) []Action {
+// PeerConnected is called when a connection to a side is open.
+func (s *State) PeerConnected(now time.Time, m Member) []Action {
 	if len(s.peers) >= MaxPeers && s.peers[m.Name] == nil {
 		return nil
 	}
@@ -47,9 +47,9 @@
 	return s.decide(now)
 }
 
-// Disconnected is called when the last connection to a side has closed. Its
+// PeerDisconnected is called when the last connection to a side has closed. Its
 // transfers end, and the chunks it announced are forgotten.
-func (s *State) Disconnected(now time.Time, name string) []Action {
+func (s *State) PeerDisconnected(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
@@ -62,7 +62,7 @@
 	}
 	for _, c := range s.pendingChunks() {
 		if c.source == name {
-			s.handleFailure(now, c, FailGone, 0)
+			s.handleFailure(now, c, FailDisconnected, 0)
 		}
 	}
 	// A new connection shows at once whether the side still runs.
@@ -70,8 +70,8 @@
 	return s.decide(now)
 }
 
-// Greeted handles the complete chunk sets of a peer for one version.
-func (s *State) Greeted(now time.Time, name string, id chunk.Digest, have, seen Bits) []Action {
+// ChunkSetsReceived handles the complete chunk sets of a peer for one version.
+func (s *State) ChunkSetsReceived(now time.Time, name string, id chunk.Digest, have, seen Bits) []Action {
 	p, ok := s.peers[name]
 	if !ok || (p.heldChunks[id] == nil && len(p.heldChunks) >= maxVersionsPerPeer) {
 		return nil
@@ -81,12 +81,12 @@
 		p.storeEarly(id, have.indexes(), seen.indexes())
 		return s.decide(now)
 	}
-	return s.Announced(now, name, id, have.indexes(), seen.indexes())
+	return s.AnnounceReceived(now, name, id, have.indexes(), seen.indexes())
 }
 
-// Announced handles a peer's announcement of chunks that it holds (have) and of
+// AnnounceReceived handles a peer's announcement of chunks that it holds (have) and of
 // chunks that it knows to be held in the region (seen).
-func (s *State) Announced(now time.Time, name string, id chunk.Digest, have, seen []int) []Action {
+func (s *State) AnnounceReceived(now time.Time, name string, id chunk.Digest, have, seen []int) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
@@ -168,17 +168,17 @@
 			continue
 		}
 		if heldInRegion := without(news, p.heldChunks[v.id]); len(heldInRegion) > 0 {
-			s.emit(Announce{Peer: p.Name, Manifest: v.id, Seen: heldInRegion})
+			s.emit(Announce{Peer: p.Name, Manifest: v.id, HeldInRegion: heldInRegion})
 		}
 	}
 }
 
-// Arrived is called when a chunk is verified and staged. It is also accepted for
+// ChunkStaged is called when a chunk is verified and staged. It is also accepted for
 // chunks without a transfer, such as those found in the staging area.
-func (s *State) Arrived(now time.Time, d chunk.Digest) []Action {
+func (s *State) ChunkStaged(now time.Time, d chunk.Digest) []Action {
 	c, ok := s.chunks[d]
 	if !ok {
-		return []Action{Discard{Chunk: d}}
+		return []Action{DiscardChunk{Chunk: d}}
 	}
 	if c.held {
 		return nil
--- a/core/version/burst/extra.go
+++ b/core/version/burst/extra.go
@@ -16,7 +16,7 @@
 // origin then serves as an additional peer. Each of these sides keeps to its part of
 // the extra copies, so that the sides together stay within maxExtraCopies.
 func (s *State) fetchExtraCopy(now time.Time, v *version) {
-	if s.cfg.Weigh != envdoc.WeighTime || !s.fetchesExtraCopies(v) || s.countVia(ViaOrigin) > 0 {
+	if s.cfg.Goal != envdoc.WeighTime || !s.fetchesExtraCopies(v) || s.countVia(ViaOrigin) > 0 {
 		return
 	}
 	i := s.rarestForExtraCopy(now, v)
@@ -25,7 +25,7 @@
 	}
 	c := v.chunks[i]
 	members := len(v.members[s.cfg.Self.Region])
-	limit := maxExtraCopies * v.manifest.Size / int64(min(members, s.cfg.Draws))
+	limit := maxExtraCopies * v.manifest.Size / int64(min(members, s.cfg.OriginSlots))
 	if v.extraBytes+c.ref.Size > limit {
 		return
 	}
@@ -37,7 +37,7 @@
 	if v.extraRank == rankUnknown {
 		v.extraRank = rank.Position(string(v.id), s.cfg.Self.Name, v.members[s.cfg.Self.Region])
 	}
-	return v.extraRank >= 0 && v.extraRank < s.cfg.Draws
+	return v.extraRank >= 0 && v.extraRank < s.cfg.OriginSlots
 }
 
 // rarestForExtraCopy returns the index of the chunk to fetch again, or -1 when there
--- a/core/version/burst/network_test.go
+++ b/core/version/burst/network_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-func (n *network) update(sets ...Set) {
+func (n *network) update(sets ...WantedVersion) {
 	for _, name := range n.names {
 		s := n.sides[name]
 		if !s.dead {
@@ -120,7 +120,7 @@
 func (n *network) allComplete(id chunk.Digest) func() bool {
 	return func() bool {
 		for _, s := range n.sides {
-			if t, ok := s.state.Tally(id); !s.dead && (!ok || t.Have < t.Total) {
+			if t, ok := s.state.Progress(id); !s.dead && (!ok || t.Held < t.Total) {
 				return false
 			}
 		}
@@ -143,7 +143,7 @@
 	delete(n.links, key(a, b))
 	for _, end := range [][2]string{{a, b}, {b, a}} {
 		if s := n.sides[end[0]]; !s.dead {
-			n.carryOutAll(s, s.state.Disconnected(n.time(), end[1]))
+			n.carryOutAll(s, s.state.PeerDisconnected(n.time(), end[1]))
 		}
 	}
 }
@@ -153,7 +153,7 @@
 // dial connects a side to another; one that has stopped refuses the connection.
 func (n *network) dial(a, b *fakeSide) {
 	if !n.connect(a, b) && b.dead && !a.dead {
-		n.carryOutAll(a, a.state.Refused(n.time(), b.Name))
+		n.carryOutAll(a, a.state.ConnectionRefused(n.time(), b.Name))
 	}
 }
 
@@ -165,8 +165,8 @@
 		return false
 	}
 	n.links[key(a.Name, b.Name)] = true
-	n.carryOutAll(a, a.state.Connected(n.time(), b.Member))
-	n.carryOutAll(b, b.state.Connected(n.time(), a.Member))
+	n.carryOutAll(a, a.state.PeerConnected(n.time(), b.Member))
+	n.carryOutAll(b, b.state.PeerConnected(n.time(), a.Member))
 	return true
 }
 
@@ -180,33 +180,35 @@
 	switch a := a.(type) {
 	case Connect:
 		n.after(messageTime, func() { n.dial(s, n.sides[a.Peer]) })
-	case Gone:
-		n.deliver(s, a.Peer, func(p *State) []Action { return p.SidesGone(n.time(), s.Name, a.Sides) })
-	case Greet:
-		n.deliver(s, a.Peer, func(p *State) []Action { return p.Greeted(n.time(), s.Name, a.Manifest, a.Have, a.Seen) })
+	case ReportDown:
+		n.deliver(s, a.Peer, func(p *State) []Action { return p.SidesReportedDown(n.time(), s.Name, a.Sides) })
+	case SendChunkSets:
+		n.deliver(s, a.Peer, func(p *State) []Action {
+			return p.ChunkSetsReceived(n.time(), s.Name, a.Manifest, a.Have, a.HeldInRegion)
+		})
 	case Announce:
 		n.deliver(s, a.Peer, func(p *State) []Action {
-			if len(a.Tried) > 0 {
-				return p.Tried(n.time(), s.Name, a.Manifest, a.Tried)
+			if len(a.Retrying) > 0 {
+				return p.RetriesReported(n.time(), s.Name, a.Manifest, a.Retrying)
 			}
-			return p.Announced(n.time(), s.Name, a.Manifest, a.Have, a.Seen)
+			return p.AnnounceReceived(n.time(), s.Name, a.Manifest, a.Have, a.HeldInRegion)
 		})
 	case Offer:
-		n.deliver(s, a.Peer, func(p *State) []Action { return p.Offered(n.time(), s.Name) })
-	case Pass:
-		n.deliver(s, a.Peer, func(p *State) []Action { return p.Passed(n.time(), s.Name) })
-	case Ready:
-		n.deliver(s, a.Peer, func(p *State) []Action { return p.Readied(n.time(), s.Name) })
+		n.deliver(s, a.Peer, func(p *State) []Action { return p.OfferReceived(n.time(), s.Name) })
+	case RefuseOffer:
+		n.deliver(s, a.Peer, func(p *State) []Action { return p.OfferRefused(n.time(), s.Name) })
+	case AcceptOffers:
+		n.deliver(s, a.Peer, func(p *State) []Action { return p.PeerReady(n.time(), s.Name) })
 	case Disconnect:
 		n.after(messageTime, func() { n.disconnect(s.Name, a.Peer) })
-	case Discard:
+	case DiscardChunk:
 		s.discarded = append(s.discarded, a.Chunk)
-	case Stop:
+	case StopTransfer:
 		s.transferIDs[a.Chunk]++
-		n.deliver(s, a.Peer, func(p *State) []Action { return p.Served(n.time(), s.Name) })
+		n.deliver(s, a.Peer, func(p *State) []Action { return p.UploadEnded(n.time(), s.Name) })
 	case Fetch:
 		s.transferIDs[a.Chunk.Digest]++
-		s.state.Requested(n.time(), a.Chunk.Digest)
+		s.state.RequestSent(n.time(), a.Chunk.Digest)
 		n.scheduleTransfer(s, a, s.transferIDs[a.Chunk.Digest], n.transferDuration(s, a))
 	}
 }
@@ -233,8 +235,8 @@
 func (n *network) receiveHalf(s *fakeSide, f Fetch) {
 	d := f.Chunk.Digest
 	if f.Peer == "" || n.sides[f.Peer].state.Held(d) {
-		s.state.Progressed(n.time(), d)
-		n.carryOutAll(s, s.state.Asked(n.time(), d))
+		s.state.BytesReceived(n.time(), d)
+		n.carryOutAll(s, s.state.FullyRequested(n.time(), d))
 	}
 }
 
@@ -260,14 +262,14 @@
 	p := n.sides[f.Peer]
 	switch {
 	case !n.connect(s, p):
-		n.carryOutAll(s, s.state.Failed(n.time(), d, f.Peer, FailGone, 0))
+		n.carryOutAll(s, s.state.TransferFailed(n.time(), d, f.Peer, FailDisconnected, 0))
 	case n.stalled(p.Name, s.Name):
 	case p.state.Held(d) && n.corrupt(p.Name, s.Name):
-		n.carryOutAll(s, s.state.Failed(n.time(), d, f.Peer, FailCorrupt, 0))
-		n.carryOutAll(p, p.state.Served(n.time(), s.Name))
+		n.carryOutAll(s, s.state.TransferFailed(n.time(), d, f.Peer, FailCorrupt, 0))
+		n.carryOutAll(p, p.state.UploadEnded(n.time(), s.Name))
 	case p.state.Held(d):
 		n.receiveChunk(s, d)
-		n.carryOutAll(p, p.state.Served(n.time(), s.Name))
+		n.carryOutAll(p, p.state.UploadEnded(n.time(), s.Name))
 	default:
 		n.finishDeferred(s, p, f, id)
 	}
@@ -275,10 +277,10 @@
 
 func (n *network) finishDeferred(s, p *fakeSide, f Fetch, id int) {
 	if _, ok := p.state.Wanted(f.Chunk.Digest); !ok {
-		n.carryOutAll(s, s.state.Failed(n.time(), f.Chunk.Digest, f.Peer, FailLacks, 0))
+		n.carryOutAll(s, s.state.TransferFailed(n.time(), f.Chunk.Digest, f.Peer, FailNotHeld, 0))
 		return
 	}
-	n.carryOutAll(s, s.state.Deferred(n.time(), f.Chunk.Digest, f.Peer))
+	n.carryOutAll(s, s.state.ImportDeferred(n.time(), f.Chunk.Digest, f.Peer))
 	n.sendWhenHeld(s, p, f, id)
 }
 
@@ -299,7 +301,7 @@
 	n.originRequests[d]++
 	ok, after := n.origin(s.Name, d, n.originRequests[d])
 	if !ok {
-		n.carryOutAll(s, s.state.Failed(n.time(), d, "", FailRefused, after))
+		n.carryOutAll(s, s.state.TransferFailed(n.time(), d, "", FailRefused, after))
 		return
 	}
 	n.receiveChunk(s, d)
@@ -307,7 +309,7 @@
 
 func (n *network) receiveChunk(s *fakeSide, d chunk.Digest) {
 	s.fetched[d]++
-	n.carryOutAll(s, s.state.Arrived(n.time(), d))
+	n.carryOutAll(s, s.state.ChunkStaged(n.time(), d))
 	if n.onArrival != nil {
 		n.onArrival(s, d)
 	}
@@ -322,16 +324,16 @@
 }
 
 // testVersion returns a version of count chunks, numbered from first.
-func testVersion(name string, first, count int) Set {
+func testVersion(name string, first, count int) WantedVersion {
 	m := chunk.Manifest{Model: "m", Version: name, Size: int64(count)}
 	for i := range count {
 		d := chunk.Sum([]byte(fmt.Sprint("chunk", first+i)))
 		m.Chunks = append(m.Chunks, chunk.Ref{Digest: d, Size: 1})
 	}
-	return Set{ID: chunk.Sum([]byte(name)), Manifest: m}
+	return WantedVersion{ID: chunk.Sum([]byte(name)), Manifest: m}
 }
 
-func (s Set) withMembers(members []Member) Set {
+func (s WantedVersion) withMembers(members []Member) WantedVersion {
 	s.Members = members
 	return s
 }
--- a/core/version/burst/origin.go
+++ b/core/version/burst/origin.go
@@ -28,7 +28,7 @@
 	case s.originUpSince.IsZero():
 		return s.probesOrigin(now, v, int(silent/limit), limit/probesPerLimit)
 	default:
-		return now.Sub(s.originUpSince) >= originReturnBackoffs*s.cfg.MostPause+s.startTimeout(ViaImport)
+		return now.Sub(s.originUpSince) >= originReturnBackoffs*s.cfg.MaxBackoff+s.startTimeout(ViaImport)
 	}
 }
 
--- a/core/version/burst/outage_test.go
+++ b/core/version/burst/outage_test.go
@@ -17,24 +17,24 @@
 	v := testVersion("1", 0, 1).withMembers(n.members())
 	d := v.Manifest.Chunks[0].Digest
 	importer, neighbour := splitImporter(n, v)
-	importer.state.Connected(n.time(), neighbour.Member)
-	importer.state.Requested(n.time(), d)
-	asked := importer.state.Asked(n.time(), d)
-	later := importer.state.Deferred(n.time(), d, "side00")
+	importer.state.PeerConnected(n.time(), neighbour.Member)
+	importer.state.RequestSent(n.time(), d)
+	asked := importer.state.FullyRequested(n.time(), d)
+	later := importer.state.ImportDeferred(n.time(), d, "side00")
 	if seen := announcedInRegion(append(asked, later...)); len(seen) > 0 {
 		t.Errorf("the region was told of %v while the exporter lacks it", seen)
 	}
-	if diff := cmp.Diff([]int{0}, announcedInRegion(importer.state.Progressed(n.time(), d))); diff != "" {
+	if diff := cmp.Diff([]int{0}, announcedInRegion(importer.state.BytesReceived(n.time(), d))); diff != "" {
 		t.Errorf("announced once bytes arrive (-want +got):\n%s", diff)
 	}
 }
 
 // splitImporter gives both sides of the second region the version and returns the one
 // that imports its only chunk, and the other.
-func splitImporter(n *network, v Set) (importer, neighbour *fakeSide) {
+func splitImporter(n *network, v WantedVersion) (importer, neighbour *fakeSide) {
 	for _, name := range []string{"side01", "side02"} {
 		s := n.sides[name]
-		acts := s.state.Update(n.time(), []Set{v})
+		acts := s.state.Update(n.time(), []WantedVersion{v})
 		if slices.ContainsFunc(acts, func(a Action) bool { _, ok := a.(Fetch); return ok }) {
 			importer = s
 		} else {
@@ -48,7 +48,7 @@
 	var out []int
 	for _, a := range actions {
 		if a, ok := a.(Announce); ok {
-			out = append(out, a.Seen...)
+			out = append(out, a.HeldInRegion...)
 		}
 	}
 	return out
@@ -69,9 +69,9 @@
 			continue
 		}
 		asked++
-		s.state.Requested(n.time(), d)
-		s.state.Asked(n.time(), d)
-		s.state.Deferred(n.time(), d, "side00")
+		s.state.RequestSent(n.time(), d)
+		s.state.FullyRequested(n.time(), d)
+		s.state.ImportDeferred(n.time(), d, "side00")
 	}
 	if asked == 0 || asked > 4 {
 		t.Errorf("asked %d times in 10 s, want 1 to 4", asked)
@@ -84,8 +84,8 @@
 	const outage = 6 * time.Second
 	n := newNetwork(t, regionNames(7, 7, 6)...)
 	for _, s := range n.sides {
-		s.state.cfg.LeastPatience = 300 * time.Millisecond
-		s.state.cfg.MostPause = 500 * time.Millisecond
+		s.state.cfg.MinTimeout = 300 * time.Millisecond
+		s.state.cfg.MaxBackoff = 500 * time.Millisecond
 	}
 	begin := n.now
 	fetches := map[chunk.Digest]int{}
@@ -113,8 +113,8 @@
 	if total > 64*5/4 {
 		t.Errorf("%d origin fetches of 64 chunks after the outage, want at most a quarter more", total)
 	}
-	if most > DefaultDraws {
-		t.Errorf("one side fetched %d chunks at a time, want at most %d", most, DefaultDraws)
+	if most > DefaultOriginSlots {
+		t.Errorf("one side fetched %d chunks at a time, want at most %d", most, DefaultOriginSlots)
 	}
 }
 
@@ -123,8 +123,8 @@
 func TestImportAsksBeyondDeferringExporter(t *testing.T) {
 	n := newNetwork(t, regionNames(4, 3)...)
 	for _, s := range n.sides {
-		s.state.cfg.LeastPatience = 300 * time.Millisecond
-		s.state.cfg.MostPause = 500 * time.Millisecond
+		s.state.cfg.MinTimeout = 300 * time.Millisecond
+		s.state.cfg.MaxBackoff = 500 * time.Millisecond
 	}
 	const overloaded = "side00"
 	n.stalled = func(_, to string) bool { return to == overloaded }
@@ -134,7 +134,7 @@
 	n.update(v)
 	n.runUntil(func() bool {
 		for _, s := range n.sides {
-			if tally, _ := s.state.Tally(v.ID); s.Name != overloaded && tally.Have < tally.Total {
+			if tally, _ := s.state.Progress(v.ID); s.Name != overloaded && tally.Held < tally.Total {
 				return false
 			}
 		}
--- a/core/version/burst/retry.go
+++ b/core/version/burst/retry.go
@@ -66,14 +66,14 @@
 	}
 	for _, p := range s.sortedPeers {
 		if s.near(p) && p.Name != from {
-			s.emit(Announce{Peer: p.Name, Manifest: v.id, Tried: fresh})
+			s.emit(Announce{Peer: p.Name, Manifest: v.id, Retrying: fresh})
 		}
 	}
 }
 
 // Tried handles a peer's notice that some side of the region keeps trying to fetch
 // chunks.
-func (s *State) Tried(now time.Time, name string, id chunk.Digest, tried []int) []Action {
+func (s *State) RetriesReported(now time.Time, name string, id chunk.Digest, tried []int) []Action {
 	v := s.version(id)
 	p, ok := s.peers[name]
 	if v == nil || !ok || !s.near(p) || len(tried) == 0 {
--- a/core/version/burst/scale_test.go
+++ b/core/version/burst/scale_test.go
@@ -15,7 +15,7 @@
 // rollout is the distribution of one version over the links of a large deployment.
 type rollout struct {
 	*network
-	testVersion   Set
+	testVersion   WantedVersion
 	startedAt     time.Duration
 	originFetches int
 	// completedAt is when each side held the complete version.
@@ -29,8 +29,8 @@
 	n.sharedLinks = newSharedLinks()
 	for _, s := range n.sides {
 		cfg := &s.state.cfg
-		cfg.LeastPatience, cfg.MostPause = 300*time.Millisecond, 500*time.Millisecond
-		cfg.Draws, cfg.Uploads, cfg.Inbound, cfg.Turns, cfg.Fanout = 8, 4, 6, WideTurns, WideFanout
+		cfg.MinTimeout, cfg.MaxBackoff = 300*time.Millisecond, 500*time.Millisecond
+		cfg.OriginSlots, cfg.UploadSlots, cfg.DownloadSlots, cfg.ImportSlots, cfg.Fanout = 8, 4, 6, FastLinkImportSlots, FastLinkFanout
 	}
 	w := &rollout{network: n, startedAt: n.now, completedAt: map[string]time.Duration{}}
 	n.origin = func(string, chunk.Digest, int) (bool, time.Duration) {
@@ -42,7 +42,7 @@
 	}
 	w.testVersion = testVersion("1", 0, scaleChunks).withMembers(n.members())
 	n.onArrival = func(s *fakeSide, _ chunk.Digest) {
-		if tally, _ := s.state.Tally(w.testVersion.ID); tally.Have == tally.Total {
+		if tally, _ := s.state.Progress(w.testVersion.ID); tally.Held == tally.Total {
 			w.completedAt[s.Name] = n.now - w.startedAt
 		}
 	}
--- a/core/version/burst/suspect.go
+++ b/core/version/burst/suspect.go
@@ -27,15 +27,15 @@
 	s.resetRanks()
 }
 
-// Refused is called when a connection to a side was refused because no process listens:
+// ConnectionRefused is called when a connection to a side was refused because no process listens:
 // the side has stopped. The sides after it need not wait until its chunks are overdue.
-func (s *State) Refused(now time.Time, name string) []Action {
+func (s *State) ConnectionRefused(now time.Time, name string) []Action {
 	s.markDown(now, []string{name}, "")
 	return s.decide(now)
 }
 
-// SidesGone handles a peer's report of sides that do not run.
-func (s *State) SidesGone(now time.Time, from string, sides []string) []Action {
+// SidesReportedDown handles a peer's report of sides that do not run.
+func (s *State) SidesReportedDown(now time.Time, from string, sides []string) []Action {
 	if p, ok := s.peers[from]; !ok || !s.near(p) {
 		return nil
 	}
@@ -68,7 +68,7 @@
 	s.fetchesDue = true
 	for _, p := range s.sortedPeers {
 		if s.near(p) && p.Name != from {
-			s.emit(Gone{Peer: p.Name, Sides: fresh})
+			s.emit(ReportDown{Peer: p.Name, Sides: fresh})
 		}
 	}
 }
--- a/core/version/burst/timeout.go
+++ b/core/version/burst/timeout.go
@@ -4,7 +4,7 @@
 
 // Timeouts, retry delays and limits of failures.
 const (
-	// initialTimeoutFactor times LeastPatience is the timeout of a transfer before
+	// initialTimeoutFactor times MinTimeout is the timeout of a transfer before
 	// any duration has been measured.
 	initialTimeoutFactor = 10
 	maxTimeout           = 60 * time.Second
@@ -16,18 +16,18 @@
 	// unreachableFactor is for how many rank delays a chunk that the region is said to
 	// hold may stay unreachable.
 	unreachableFactor = 1
-	// maxAvoidBackoffs bounds, in multiples of MostPause, how long a peer is avoided.
+	// maxAvoidBackoffs bounds, in multiples of MaxBackoff, how long a peer is avoided.
 	// The first time it is avoided for the timeout of a trade; each further fault in
 	// a row doubles that.
 	maxAvoidBackoffs = 12
 	// cutOffFactor is for how many import timeouts the region upstream may send
 	// nothing before it is assumed to be cut off from the origin. probesPerLimit is
 	// how many times the origin is probed within that time. originReturnBackoffs is
-	// how many MostPause, once the origin answers, that region has to send something.
+	// how many MaxBackoff, once the origin answers, that region has to send something.
 	cutOffFactor         = 12
 	probesPerLimit       = 4
 	originReturnBackoffs = 2
-	// maxQueueBackoffs bounds, in multiples of MostPause, how long a request waits on
+	// maxQueueBackoffs bounds, in multiples of MaxBackoff, how long a request waits on
 	// this side for the machine's link.
 	maxQueueBackoffs = 4
 	// maxStalls is how many stalls in a row are tolerated before the connection to
@@ -86,7 +86,7 @@
 }
 
 // transferTimeout is timeoutFactor times the mean duration of recent transfers, counted
-// from the first byte and kept within LeastPatience and maxTimeout.
+// from the first byte and kept within MinTimeout and maxTimeout.
 func (s *State) transferTimeout(v Via) time.Duration { return s.timeoutFrom(s.durationsOf(v).receive) }
 
 // startTimeout is how long a transfer may take to deliver its first byte, and
@@ -95,9 +95,9 @@
 
 func (s *State) timeoutFrom(e movingMean) time.Duration {
 	if e.n == 0 {
-		return initialTimeoutFactor * s.cfg.LeastPatience
+		return initialTimeoutFactor * s.cfg.MinTimeout
 	}
-	return min(max(timeoutFactor*e.mean, s.cfg.LeastPatience), maxTimeout)
+	return min(max(timeoutFactor*e.mean, s.cfg.MinTimeout), maxTimeout)
 }
 
 // rankDelay is how long the side at a rank waits for those before it, counted from when
@@ -110,7 +110,7 @@
 	}
 	each := max(s.startTimeout(via), minRankDelay)
 	if s.unavailable[up] {
-		each += s.cfg.MostPause
+		each += s.cfg.MaxBackoff
 	}
 	return time.Duration(pos) * each
 }
@@ -123,7 +123,7 @@
 			continue
 		}
 		why := c.timeoutReason()
-		s.emit(Stop{Chunk: c.ref.Digest, Peer: c.source, Reason: string(why)})
+		s.emit(StopTransfer{Chunk: c.ref.Digest, Peer: c.source, Reason: string(why)})
 		s.handleFailure(now, c, why, 0)
 	}
 	for _, p := range s.sortedPeers {
@@ -140,9 +140,9 @@
 func (c *chunkState) timeoutReason() Failure {
 	switch {
 	case c.queued:
-		return FailQueued
+		return FailQueueTimeout
 	case c.awaitingPeer:
-		return FailLater
+		return FailDeferred
 	default:
 		return FailStalled
 	}
@@ -165,30 +165,30 @@
 // be requested again. after is the Retry-After of the origin, zero otherwise.
 func (s *State) handleFailure(now time.Time, c *chunkState, why Failure, after time.Duration) {
 	s.recordFault(now, c.source, why)
-	if c.via == ViaTrade && why != FailGone && why != FailQueued {
+	if c.via == ViaTrade && why != FailDisconnected && why != FailQueueTimeout {
 		c.failedTrades++
 	}
 	switch {
-	case why == FailLater:
+	case why == FailDeferred:
 		// The import goes on after another side has been asked: the one that ranks
 		// first may be the only one upstream that lacks the chunk.
 		c.deferrals++
-	case why == FailQueued:
+	case why == FailQueueTimeout:
 	case c.via != ViaTrade:
 		c.attempts++
 		c.retryAt = now.Add(max(after, s.retryDelay(c, why)))
 		c.failures++
 	}
-	if c.via == ViaOrigin && why != FailQueued {
+	if c.via == ViaOrigin && why != FailQueueTimeout {
 		c.attempts, c.deferrals = 0, 0
 		s.noteOriginResult(now, false)
 		s.markUnavailable(now, "")
 	}
-	if why == FailLacks {
+	if why == FailNotHeld {
 		s.dropClaim(c)
 	}
 	s.clearPending(c)
-	c.probing = why == FailLater
+	c.probing = why == FailDeferred
 	s.fetchesDue = true
 	s.sendReady()
 }
@@ -197,17 +197,17 @@
 // another side upstream can be asked in place of one that disconnected.
 func (s *State) retryDelay(c *chunkState, why Failure) time.Duration {
 	at := c.positions[0]
-	if c.via == ViaImport && why == FailGone && c.attempts < len(at.version.members[at.upstream()]) {
+	if c.via == ViaImport && why == FailDisconnected && c.attempts < len(at.version.members[at.upstream()]) {
 		return 0
 	}
-	return backoff(minRetryDelay, c.failures, s.cfg.MostPause)
+	return backoff(minRetryDelay, c.failures, s.cfg.MaxBackoff)
 }
 
 // recordFault makes this side avoid a peer for a while after a fault. Otherwise the
 // next pick would often be the same peer and the chunk would never arrive.
 func (s *State) recordFault(now time.Time, name string, why Failure) {
 	p, ok := s.peers[name]
-	if !ok || why == FailGone || why == FailLater || why == FailQueued {
+	if !ok || why == FailDisconnected || why == FailDeferred || why == FailQueueTimeout {
 		return
 	}
 	p.consecutiveFaults++
@@ -216,7 +216,7 @@
 		// A connection can stop working for good while a new one would work.
 		s.emit(Disconnect{Peer: name})
 	}
-	p.avoidUntil = now.Add(backoff(s.transferTimeout(ViaTrade), p.consecutiveFaults-1, maxAvoidBackoffs*s.cfg.MostPause))
+	p.avoidUntil = now.Add(backoff(s.transferTimeout(ViaTrade), p.consecutiveFaults-1, maxAvoidBackoffs*s.cfg.MaxBackoff))
 	if p.avoidUntil.After(s.avoidEnd) {
 		s.avoidEnd = p.avoidUntil
 	}
@@ -255,5 +255,5 @@
 }
 
 func (s *State) dialDelay(fails int) time.Duration {
-	return backoff(minDialDelay, fails, s.cfg.MostPause)
+	return backoff(minDialDelay, fails, s.cfg.MaxBackoff)
 }
--- a/core/version/burst/trade.go
+++ b/core/version/burst/trade.go
@@ -14,10 +14,10 @@
 // sendOffers fills the free upload slots. Each goes to a neighbour that lacks
 // something this side holds: of two chosen at random, the one that holds less.
 func (s *State) sendOffers(now time.Time) {
-	if s.cfg.Direct {
+	if s.cfg.OriginOnly {
 		return
 	}
-	if s.uploads >= s.cfg.Uploads {
+	if s.uploads >= s.cfg.UploadSlots {
 		return
 	}
 	var open []*peer
@@ -26,7 +26,7 @@
 			open = append(open, p)
 		}
 	}
-	for s.uploads < s.cfg.Uploads && len(open) > 0 {
+	for s.uploads < s.cfg.UploadSlots && len(open) > 0 {
 		k := s.pickPeer(open)
 		p := open[k]
 		if p.uploads+1 >= s.slotsPerPeer() {
@@ -48,7 +48,7 @@
 			near++
 		}
 	}
-	return max(1, (s.cfg.Uploads+near-1)/max(near, 1))
+	return max(1, (s.cfg.UploadSlots+near-1)/max(near, 1))
 }
 
 // releaseSlot frees one upload slot of a peer, if it has any.
@@ -99,17 +99,17 @@
 	return n
 }
 
-// Offered handles a peer's offer of one chunk: of the chunks the peer holds, this side
+// OfferReceived handles a peer's offer of one chunk: of the chunks the peer holds, this side
 // requests the one that the fewest neighbours hold, at random among equals.
-func (s *State) Offered(now time.Time, name string) []Action {
+func (s *State) OfferReceived(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok || !s.near(p) {
 		return nil
 	}
 	c := s.pickChunk(now, p)
-	if c == nil || s.inboundTrades >= s.cfg.Inbound {
+	if c == nil || s.inboundTrades >= s.cfg.DownloadSlots {
 		p.owedReady = true
-		s.emit(Pass{Peer: name})
+		s.emit(RefuseOffer{Peer: name})
 		return s.decide(now)
 	}
 	p.owedReady = false
@@ -162,8 +162,8 @@
 	return false
 }
 
-// Passed is called when a peer refused an offer.
-func (s *State) Passed(now time.Time, name string) []Action {
+// OfferRefused is called when a peer refused an offer.
+func (s *State) OfferRefused(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
@@ -174,8 +174,8 @@
 	return s.decide(now)
 }
 
-// Readied is called when a peer accepts offers again.
-func (s *State) Readied(now time.Time, name string) []Action {
+// PeerReady is called when a peer accepts offers again.
+func (s *State) PeerReady(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
@@ -184,17 +184,17 @@
 	return s.decide(now)
 }
 
-// Sent is called when a block of the chunk that a peer requested has been sent; it
+// BlockSent is called when a block of the chunk that a peer requested has been sent; it
 // extends the time that the peer has to request more.
-func (s *State) Sent(now time.Time, name string) {
+func (s *State) BlockSent(now time.Time, name string) {
 	if p, ok := s.peers[name]; ok && p.uploads > 0 {
 		p.uploadDeadline = now.Add(s.startTimeout(ViaTrade))
 	}
 }
 
-// Served is called when the chunk that a peer requested on an offer has been sent, or
+// UploadEnded is called when the chunk that a peer requested on an offer has been sent, or
 // will not be.
-func (s *State) Served(now time.Time, name string) []Action {
+func (s *State) UploadEnded(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
@@ -218,7 +218,7 @@
 func (s *State) sendReadyToAll() { s.sendReadyUpTo(len(s.peers)) }
 
 func (s *State) sendReadyUpTo(n int) {
-	if s.inboundTrades >= s.cfg.Inbound {
+	if s.inboundTrades >= s.cfg.DownloadSlots {
 		return
 	}
 	var owedReady []*peer
@@ -230,7 +230,7 @@
 	s.rng.Shuffle(len(owedReady), func(i, j int) { owedReady[i], owedReady[j] = owedReady[j], owedReady[i] })
 	for _, p := range owedReady[:min(n, len(owedReady))] {
 		p.owedReady = false
-		s.emit(Ready{Peer: p.Name})
+		s.emit(AcceptOffers{Peer: p.Name})
 	}
 }
 
--- a/core/version/burst/transfer.go
+++ b/core/version/burst/transfer.go
@@ -6,9 +6,9 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Requested is called when the request has been sent to the source. Before that the
+// RequestSent is called when the request has been sent to the source. Before that the
 // transfer waits for this machine's own link, which is not the source's fault.
-func (s *State) Requested(now time.Time, d chunk.Digest) {
+func (s *State) RequestSent(now time.Time, d chunk.Digest) {
 	c, ok := s.chunks[d]
 	if !ok || !c.queued {
 		return
@@ -18,10 +18,10 @@
 	c.deadline = now.Add(s.startTimeout(c.via))
 }
 
-// Progressed is called when bytes of a transfer came in. From then on a pause as long as
+// BytesReceived is called when bytes of a transfer came in. From then on a pause as long as
 // a mean transfer takes means that it has stalled. A transfer from a peer also has a limit
 // of its total time, so that it cannot go on for ever at a trickle.
-func (s *State) Progressed(now time.Time, d chunk.Digest) []Action {
+func (s *State) BytesReceived(now time.Time, d chunk.Digest) []Action {
 	c, ok := s.chunks[d]
 	if !ok || !c.pending() {
 		return nil
@@ -34,7 +34,7 @@
 		c.firstByteAt = now
 	}
 	p := s.transferTimeout(c.via)
-	pause := max(p/timeoutFactor, s.cfg.LeastPatience)
+	pause := max(p/timeoutFactor, s.cfg.MinTimeout)
 	if c.via == ViaImport {
 		// An exporter serves several regions and its own; an import that is
 		// restarted crosses the region link twice.
@@ -49,11 +49,11 @@
 	return s.decide(now)
 }
 
-// Deferred is called when the peer of an import wants the chunk too but does not hold it
+// ImportDeferred is called when the peer of an import wants the chunk too but does not hold it
 // yet. That is a fault neither of the peer nor of the sides of this region that rank
 // before this one. Only the first in rank waits at that peer, or the chunk would cross
 // the region link once for each side that waits.
-func (s *State) Deferred(now time.Time, d chunk.Digest, from string) []Action {
+func (s *State) ImportDeferred(now time.Time, d chunk.Digest, from string) []Action {
 	c, ok := s.chunks[d]
 	if !ok || c.via != ViaImport || c.source != from || c.receiving || c.awaitingPeer {
 		return nil
@@ -66,7 +66,7 @@
 	}
 	// markUnavailable cleared the suspicions, so this side may now be first by rank.
 	if stepped := s.isStandIn(c); stepped || c.probing {
-		s.emit(Stop{Chunk: d, Peer: from, Reason: string(FailLater)})
+		s.emit(StopTransfer{Chunk: d, Peer: from, Reason: string(FailDeferred)})
 		s.clearPending(c)
 		if stepped {
 			c.dueAt, c.unreachableSince = now, now
@@ -77,12 +77,12 @@
 		return s.decide(now)
 	}
 	c.awaitingPeer = true
-	c.deadline = now.Add(s.cfg.LeastPatience)
+	c.deadline = now.Add(s.cfg.MinTimeout)
 	return s.decide(now)
 }
 
-// Asked is called when every byte of an import has been requested.
-func (s *State) Asked(now time.Time, d chunk.Digest) []Action {
+// FullyRequested is called when every byte of an import has been requested.
+func (s *State) FullyRequested(now time.Time, d chunk.Digest) []Action {
 	c, ok := s.chunks[d]
 	if !ok || c.via != ViaImport {
 		return nil
@@ -107,9 +107,9 @@
 	}
 }
 
-// Failed is called when a transfer ended without the chunk. after is the Retry-After of
+// TransferFailed is called when a transfer ended without the chunk. after is the Retry-After of
 // the origin, zero otherwise.
-func (s *State) Failed(now time.Time, d chunk.Digest, from string, why Failure, after time.Duration) []Action {
+func (s *State) TransferFailed(now time.Time, d chunk.Digest, from string, why Failure, after time.Duration) []Action {
 	c, ok := s.chunks[d]
 	if !ok || !c.pending() || c.source != from {
 		return nil
--- a/core/version/burst/update.go
+++ b/core/version/burst/update.go
@@ -13,7 +13,7 @@
 // Update replaces the wanted versions and their members. Chunks that an old version
 // shares with a wanted one are kept. Transfers of chunks that no version wants any more
 // are stopped, and those that are held are discarded.
-func (s *State) Update(now time.Time, sets []Set) []Action {
+func (s *State) Update(now time.Time, sets []WantedVersion) []Action {
 	old := s.versions
 	s.versions = nil
 	for _, c := range s.chunks {
@@ -30,11 +30,11 @@
 }
 
 // newSet returns the state of a wanted version, and adds its chunks to s.chunks.
-func (s *State) newSet(w Set) *version {
+func (s *State) newSet(w WantedVersion) *version {
 	n := len(w.Manifest.Chunks)
 	v := &version{
 		id:              w.ID,
-		keepOnly:        w.Keep,
+		keepOnly:        w.KeepOnly,
 		extraRank:       rankUnknown,
 		manifest:        w.Manifest,
 		members:         map[string][]string{},
@@ -105,11 +105,11 @@
 			continue
 		}
 		if c.pending() {
-			s.emit(Stop{Chunk: d, Peer: c.source, Reason: "no longer wanted"})
+			s.emit(StopTransfer{Chunk: d, Peer: c.source, Reason: "no longer wanted"})
 			s.clearPending(c)
 		}
 		if c.held {
-			s.emit(Discard{Chunk: d})
+			s.emit(DiscardChunk{Chunk: d})
 		}
 		delete(s.chunks, d)
 	}
@@ -196,7 +196,7 @@
 }
 
 func (s *State) connect(now time.Time) {
-	if s.cfg.Direct {
+	if s.cfg.OriginOnly {
 		return
 	}
 	for _, n := range s.dialNames {
@@ -234,6 +234,6 @@
 		return
 	}
 	for _, v := range s.versions {
-		s.emit(Greet{Peer: p.Name, Manifest: v.id, Have: v.heldHere.clone(), Seen: v.heldInRegion.clone()})
+		s.emit(SendChunkSets{Peer: p.Name, Manifest: v.id, Have: v.heldHere.clone(), HeldInRegion: v.heldInRegion.clone()})
 	}
 }
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -134,7 +134,7 @@
 		Self: p.self, Clock: p.clock, Log: p.log, Logger: p.logger, Metrics: p.metrics,
 		Members: s.members, Staging: s.adapter, Source: s.adapter, CacheBytes: cacheBytes,
 		Burst: burst.Config{
-			LeastPatience: minStallTimeout, MostPause: maxRetryPause, Draws: originDownloads, Uploads: peerUploads, Inbound: peerDownloads,
+			MinTimeout: minStallTimeout, MaxBackoff: maxRetryPause, OriginSlots: originDownloads, UploadSlots: peerUploads, DownloadSlots: peerDownloads,
 		},
 		BlockTime: blockTime,
 		Inflow:    &pace.Window{Clock: p.clock, Most: max(scaleRate(rate, inflightTime.Seconds()), minInflight)},
--- a/io/version/swarm/actions.go
+++ b/io/version/swarm/actions.go
@@ -12,26 +12,28 @@
 	case burst.Fetch:
 		n.logDecision("fetch", a.Chunk.Digest, peerOrOrigin(a.Peer), string(a.Via), a.Reason)
 		n.startTransfer(s, a)
-	case burst.Stop:
+	case burst.StopTransfer:
 		n.stopTransfer(s, a)
-	case burst.Discard:
+	case burst.DiscardChunk:
 		n.logDecision("discard", a.Chunk, "", "", "no longer wanted")
 		n.discardChunk(s, a.Chunk)
 	case burst.Connect:
 		n.dial(s, a.Peer)
 	case burst.Disconnect:
 		n.withConn(s, a.Peer, func(c *conn) { c.Close() })
-	case burst.Greet:
-		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&chunkSets{Manifest: a.Manifest, Have: a.Have, HeldInRegion: a.Seen}) })
+	case burst.SendChunkSets:
+		n.withConn(s, a.Peer, func(c *conn) {
+			c.queueControl(&chunkSets{Manifest: a.Manifest, Have: a.Have, HeldInRegion: a.HeldInRegion})
+		})
 	case burst.Announce:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueUpdate(a) })
-	case burst.Gone:
+	case burst.ReportDown:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&downSides{Sides: a.Sides[:min(len(a.Sides), maxDownSides)]}) })
 	case burst.Offer:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&offer{}) })
-	case burst.Pass:
+	case burst.RefuseOffer:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&refuseOffer{}) })
-	case burst.Ready:
+	case burst.AcceptOffers:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&acceptOffers{}) })
 	}
 }
@@ -45,7 +47,7 @@
 }
 
 // stopTransfer cancels the transfer of a chunk. The caller holds n.mu.
-func (n *Node) stopTransfer(s *state, a burst.Stop) {
+func (n *Node) stopTransfer(s *state, a burst.StopTransfer) {
 	in, ok := s.incoming[a.Chunk]
 	if !ok {
 		return
--- a/io/version/swarm/conn.go
+++ b/io/version/swarm/conn.go
@@ -76,8 +76,8 @@
 		c.updates[a.Manifest] = n
 	}
 	n.Have = append(n.Have, a.Have...)
-	n.HeldInRegion = append(n.HeldInRegion, a.Seen...)
-	n.Retrying = append(n.Retrying, a.Tried...)
+	n.HeldInRegion = append(n.HeldInRegion, a.HeldInRegion...)
+	n.Retrying = append(n.Retrying, a.Retrying...)
 	full := len(n.Have) > maxIndexes || len(n.HeldInRegion) > maxIndexes || len(n.Retrying) > maxIndexes
 	c.mu.Unlock()
 	c.wakeOrClose(full)
@@ -184,21 +184,21 @@
 	switch m := m.(type) {
 	case *chunkSets:
 		n.withState(func(s *state) {
-			s.addActions(s.distribution.Greeted(s.now, c.peerName(), m.Manifest, m.Have, m.HeldInRegion))
+			s.addActions(s.distribution.ChunkSetsReceived(s.now, c.peerName(), m.Manifest, m.Have, m.HeldInRegion))
 		})
 	case *chunkUpdate:
 		n.withState(func(s *state) {
-			s.addActions(s.distribution.Announced(s.now, c.peerName(), m.Manifest, m.Have, m.HeldInRegion))
-			s.addActions(s.distribution.Tried(s.now, c.peerName(), m.Manifest, m.Retrying))
+			s.addActions(s.distribution.AnnounceReceived(s.now, c.peerName(), m.Manifest, m.Have, m.HeldInRegion))
+			s.addActions(s.distribution.RetriesReported(s.now, c.peerName(), m.Manifest, m.Retrying))
 		})
 	case *downSides:
-		n.withState(func(s *state) { s.addActions(s.distribution.SidesGone(s.now, c.peerName(), m.Sides)) })
+		n.withState(func(s *state) { s.addActions(s.distribution.SidesReportedDown(s.now, c.peerName(), m.Sides)) })
 	case *offer:
-		n.withState(func(s *state) { s.addActions(s.distribution.Offered(s.now, c.peerName())) })
+		n.withState(func(s *state) { s.addActions(s.distribution.OfferReceived(s.now, c.peerName())) })
 	case *refuseOffer:
-		n.withState(func(s *state) { s.addActions(s.distribution.Passed(s.now, c.peerName())) })
+		n.withState(func(s *state) { s.addActions(s.distribution.OfferRefused(s.now, c.peerName())) })
 	case *acceptOffers:
-		n.withState(func(s *state) { s.addActions(s.distribution.Readied(s.now, c.peerName())) })
+		n.withState(func(s *state) { s.addActions(s.distribution.PeerReady(s.now, c.peerName())) })
 	case *blockRequest:
 		n.uploads.handleRequest(c, m)
 	case *cancelTransfer:
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -142,7 +142,7 @@
 			c.queueControl(&blockRequest{transferID: in.id, Offset: requested, Length: k})
 			requested += k
 			if requested == size {
-				n.withState(func(s *state) { s.addActions(s.distribution.Asked(s.now, in.fetch.Chunk.Digest)) })
+				n.withState(func(s *state) { s.addActions(s.distribution.FullyRequested(s.now, in.fetch.Chunk.Digest)) })
 			}
 		}
 		select {
@@ -186,7 +186,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if d := in.fetch.Chunk.Digest; n.state.incoming[d] == in {
-		n.state.distribution.Requested(n.Clock.Now(), d)
+		n.state.distribution.RequestSent(n.Clock.Now(), d)
 	}
 }
 
@@ -195,7 +195,7 @@
 func (n *Node) bytesReceived(in *incoming) {
 	n.withState(func(s *state) {
 		if d := in.fetch.Chunk.Digest; s.incoming[d] == in {
-			s.addActions(s.distribution.Progressed(s.now, d))
+			s.addActions(s.distribution.BytesReceived(s.now, d))
 		}
 	})
 }
--- a/io/version/swarm/incoming.go
+++ b/io/version/swarm/incoming.go
@@ -38,7 +38,7 @@
 		default:
 			// An earlier deferral is still waiting to be read by the transfer.
 		}
-		s.addActions(s.distribution.Deferred(s.now, id.Chunk, c.peerName()))
+		s.addActions(s.distribution.ImportDeferred(s.now, id.Chunk, c.peerName()))
 	})
 }
 
@@ -78,14 +78,14 @@
 			delete(s.incoming, d)
 		}
 		if err == nil {
-			s.addActions(s.distribution.Arrived(s.now, d))
+			s.addActions(s.distribution.ChunkStaged(s.now, d))
 			return
 		}
 		if errors.Is(err, errStopped) || n.ctx.Err() != nil {
 			return
 		}
 		why, after := classifyFailure(err)
-		s.addActions(s.distribution.Failed(s.now, d, in.fetch.Peer, why, after))
+		s.addActions(s.distribution.TransferFailed(s.now, d, in.fetch.Peer, why, after))
 	})
 	if err == nil {
 		n.uploads.signal()
@@ -107,8 +107,8 @@
 	case errors.Is(err, errCorrupt):
 		return burst.FailCorrupt, 0
 	case errors.Is(err, errNotHeld):
-		return burst.FailLacks, 0
+		return burst.FailNotHeld, 0
 	default:
-		return burst.FailGone, 0
+		return burst.FailDisconnected, 0
 	}
 }
--- a/io/version/swarm/node.go
+++ b/io/version/swarm/node.go
@@ -276,11 +276,11 @@
 		return p
 	}
 	p.Manifest = k.manifest
-	t, ok := n.state.distribution.Tally(w.Manifest)
+	t, ok := n.state.distribution.Progress(w.Manifest)
 	if !ok {
 		return p
 	}
-	p.Have, p.Total, p.Bytes = t.Have, t.Total, t.Bytes
-	p.Verified = t.Total > 0 && t.Have == t.Total
+	p.Have, p.Total, p.Bytes = t.Held, t.Total, t.Bytes
+	p.Verified = t.Total > 0 && t.Held == t.Total
 	return p
 }
--- a/io/version/swarm/peers.go
+++ b/io/version/swarm/peers.go
@@ -60,7 +60,7 @@
 		n.withState(func(s *state) {
 			delete(s.dialing, name)
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				s.addActions(s.distribution.Refused(s.now, name))
+				s.addActions(s.distribution.ConnectionRefused(s.now, name))
 			}
 		})
 		close(done)
@@ -135,9 +135,9 @@
 			// waits on it would keep its buffer until the process ends.
 			n.cancelFrom(s, c.peerName())
 			s.endManifestRequests(c.peerName())
-			s.addActions(s.distribution.Disconnected(s.now, c.peerName()))
+			s.addActions(s.distribution.PeerDisconnected(s.now, c.peerName()))
 		}
-		s.addActions(s.distribution.Connected(s.now, burst.Member{Name: c.peerName(), Region: c.Peer.VM.Region}))
+		s.addActions(s.distribution.PeerConnected(s.now, burst.Member{Name: c.peerName(), Region: c.Peer.VM.Region}))
 	})
 	if registered && old != nil {
 		old.Close()
@@ -158,7 +158,7 @@
 		delete(s.conns, c.peerName())
 		n.cancelFrom(s, c.peerName())
 		s.endManifestRequests(c.peerName())
-		s.addActions(s.distribution.Disconnected(s.now, c.peerName()))
+		s.addActions(s.distribution.PeerDisconnected(s.now, c.peerName()))
 	})
 	return wasCurrent
 }
--- a/io/version/swarm/report.go
+++ b/io/version/swarm/report.go
@@ -126,14 +126,14 @@
 
 // uploadEnded tells the distribution that an upload to a peer has ended.
 func (n *Node) uploadEnded(peer string) {
-	n.withState(func(s *state) { s.addActions(s.distribution.Served(s.now, peer)) })
+	n.withState(func(s *state) { s.addActions(s.distribution.UploadEnded(s.now, peer)) })
 }
 
 // blockSent tells the distribution that a block was queued for a peer.
 func (n *Node) blockSent(peer string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.state.distribution.Sent(n.Clock.Now(), peer)
+	n.state.distribution.BlockSent(n.Clock.Now(), peer)
 }
 
 // isHeld reports whether a chunk is verified and staged.
--- a/io/version/swarm/swarm_test.go
+++ b/io/version/swarm/swarm_test.go
@@ -194,7 +194,7 @@
 		Store:        c.p.addr(),
 		OriginRegion: "r1",
 		BlockSize:    4 << 10,
-		Burst:        burst.Config{LeastPatience: c.minTimeout},
+		Burst:        burst.Config{MinTimeout: c.minTimeout},
 	}
 	if c.configure != nil {
 		c.configure(n)
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -155,29 +155,29 @@
 // holds n.mu.
 func (n *Node) updateDistribution(s *state) {
 	n.removeUnwantedManifests(s)
-	var sets []burst.Set
+	var sets []burst.WantedVersion
 	for _, d := range s.manifestsByPriority() {
 		k := s.manifests[d]
 		if k == nil || !k.ready {
 			continue
 		}
-		sets = append(sets, burst.Set{
+		sets = append(sets, burst.WantedVersion{
 			ID:       d,
-			Keep:     !s.isWanted(d),
+			KeepOnly: !s.isWanted(d),
 			Manifest: k.manifest,
 			Members:  n.members(s, d),
 			Staged:   k.staged,
 		})
 	}
 	if s.view.Document != nil {
-		s.distribution.SetWeigh(s.view.Document.Weigh)
+		s.distribution.SetGoal(s.view.Document.Weigh)
 		s.distribution.SetOriginRegion(n.originRegion(s.view.Document))
 		if r, ok := s.view.Document.RegionByName(n.Self.VM.Region); ok && r.Link > 0 {
 			n.pacer.SetRegionRate(r.Link)
 		}
 	}
-	if n.Burst.Turns == 0 {
-		s.distribution.SetTurns(n.importSlots())
+	if n.Burst.ImportSlots == 0 {
+		s.distribution.SetImportSlots(n.importSlots())
 	}
 	if n.Burst.Fanout == 0 {
 		s.distribution.SetFanout(n.regionFanout())
@@ -189,9 +189,9 @@
 // at a time.
 func (n *Node) importSlots() int {
 	if n.pacer.RegionIsBottleneck() {
-		return burst.DefaultTurns
+		return burst.DefaultImportSlots
 	}
-	return burst.WideTurns
+	return burst.FastLinkImportSlots
 }
 
 // regionFanout returns to how many other regions one region passes a chunk on.
@@ -199,7 +199,7 @@
 	if n.pacer.RegionIsBottleneck() {
 		return burst.DefaultFanout
 	}
-	return burst.WideFanout
+	return burst.FastLinkFanout
 }
 
 // originRegion returns the origin's region from the document, or from
