--- a/core/version/roll/explore_test.go
+++ b/core/version/roll/explore_test.go
@@ -96,7 +96,7 @@
 func (m zoneModel) facts(z *zone, i int) Facts {
 	s := z.sides[i]
 	f := Facts{
-		At: z.at().Sub(start),
+		ReadAt: z.at().Sub(start),
 		Want: Want{
 			Revision: 1,
 			Service:  envdoc.Service{Name: "helper", Floor: m.floor},
@@ -104,9 +104,9 @@
 			Manifest: oldVersion,
 			Rank:     i,
 		},
-		Verified:    s.verified || m.omitted == omitVerified,
-		TargetKnown: true,
-		Target:      s.engine,
+		WeightsVerified: s.verified || m.omitted == omitVerified,
+		TargetKnown:     true,
+		Target:          s.engine,
 	}
 	if m.omitted == omitFloor {
 		f.Want.Service.Floor = 0
@@ -186,9 +186,9 @@
 	}
 	f := m.facts(z, i)
 	if m.omitted == omitPermitLife {
-		f.At = s.machine.askedAt
+		f.ReadAt = s.machine.askedAt
 	}
-	a := s.machine.Answered(start.Add(f.At), f, came)
+	a := s.machine.AnswersReceived(start.Add(f.ReadAt), f, came)
 	s.asking = false
 	s.answers = nil
 	m.send(z, i, a)
--- a/core/version/roll/machine.go
+++ b/core/version/roll/machine.go
@@ -30,14 +30,14 @@
 // of the wanted manifest is staged and has its digest. TargetKnown is false
 // while the engine does not answer.
 type Facts struct {
-	// At is when the facts were read, on a clock that also counts the time in which
+	// ReadAt is when the facts were read, on a clock that also counts the time in which
 	// the machine was suspended.
-	At          time.Duration
-	Want        Want
-	Verified    bool
-	Target      Target
-	TargetKnown bool
-	Draining    bool
+	ReadAt          time.Duration
+	Want            Want
+	WeightsVerified bool
+	Target          Target
+	TargetKnown     bool
+	Draining        bool
 	// Deadline is the time by which the load must begin.
 	Deadline Deadline
 }
@@ -53,10 +53,10 @@
 	Leaving  bool         `msgpack:"leaving"`
 	// Rank is the replica's place in the order of loading, 0 being the first.
 	Rank int `msgpack:"rank,omitempty"`
-	// Ordered is the version of the replica's last order, empty for none, and
+	// OrderedVersion is the version of the replica's last order, empty for none, and
 	// OrderAge how long ago that order was given.
-	Ordered  chunk.Digest  `msgpack:"ordered,omitempty"`
-	OrderAge time.Duration `msgpack:"orderAge,omitempty"`
+	OrderedVersion chunk.Digest  `msgpack:"ordered,omitempty"`
+	OrderAge       time.Duration `msgpack:"orderAge,omitempty"`
 }
 
 // ActionKind is the kind of an Action.
@@ -82,31 +82,31 @@
 
 // The reasons. They appear in the decision log.
 const (
-	ReasonServed       Reason = "already served"
-	ReasonNotPlaced    Reason = "not placed"
-	ReasonNoModel      Reason = "service has no model"
-	ReasonUnverified   Reason = "weights not verified whole"
-	ReasonTargetSilent Reason = "target does not answer"
-	ReasonTargetBusy   Reason = "target is loading"
-	ReasonDraining     Reason = "draining"
-	ReasonBackoff      Reason = "waiting after a refusal"
-	ReasonFirstLoad    Reason = "target serves nothing"
-	ReasonOverdue      Reason = "the old version may not be served any longer"
-	ReasonAsking       Reason = "asking the replicas of the zone"
-	ReasonFloor        Reason = "floor of serving replicas"
-	ReasonSpaced       Reason = "loads of the zone are spaced out"
-	ReasonBehind       Reason = "a replica holds a higher revision"
-	ReasonPermitOld    Reason = "permission is too old"
-	ReasonWantChanged  Reason = "wanted version changed"
-	ReasonFloorHolds   Reason = "floor holds without this replica"
+	ReasonAlreadyServed Reason = "already served"
+	ReasonNotPlaced     Reason = "not placed"
+	ReasonNoModel       Reason = "service has no model"
+	ReasonUnverified    Reason = "weights not verified whole"
+	ReasonTargetSilent  Reason = "target does not answer"
+	ReasonTargetBusy    Reason = "target is loading"
+	ReasonDraining      Reason = "draining"
+	ReasonBackoff       Reason = "waiting after a refusal"
+	ReasonFirstLoad     Reason = "target serves nothing"
+	ReasonOverdue       Reason = "the old version may not be served any longer"
+	ReasonAsking        Reason = "asking the replicas of the zone"
+	ReasonFloor         Reason = "floor of serving replicas"
+	ReasonSpaced        Reason = "loads of the zone are spaced out"
+	ReasonOlderRevision Reason = "a replica holds a higher revision"
+	ReasonPermitExpired Reason = "permission is too old"
+	ReasonWantChanged   Reason = "wanted version changed"
+	ReasonFloorHolds    Reason = "floor holds without this replica"
 )
 
 // Times of the Machine.
 const (
-	// PermitLife is how long the answers of the other replicas permit an order. A
+	// PermitLifetime is how long the answers of the other replicas permit an order. A
 	// process that was paused, or suspended with its machine, after it asked must
 	// not act on outdated answers; it asks again.
-	PermitLife = 2 * time.Second
+	PermitLifetime = 2 * time.Second
 	// minAskBackoff and backoffPerRank space the questions of the sides of a zone. Of
 	// two sides that ask at the same moment neither counts the other as serving, so
 	// that both may have to ask again. Delays by rank make that rare, and questions a
@@ -155,14 +155,14 @@
 		return noAction(ReasonBackoff)
 	}
 	m.phase = PhaseAsking
-	m.askedAt = f.At
+	m.askedAt = f.ReadAt
 	return Action{Kind: ActionAsk, Manifest: m.manifest, Reason: ReasonAsking}
 }
 
-// Answered decides on the answers to a question. f must be read again after the
+// AnswersReceived decides on the answers to a question. f must be read again after the
 // answers came in. Replicas that did not answer are missing from answers and
 // so count as not serving.
-func (m *Machine) Answered(now time.Time, f Facts, answers []Status) Action {
+func (m *Machine) AnswersReceived(now time.Time, f Facts, answers []Status) Action {
 	if m.phase != PhaseAsking {
 		return noAction(ReasonWantChanged)
 	}
@@ -191,8 +191,8 @@
 	// A side that was suspended between question and order would load at the same
 	// time as one that asked meanwhile, and the zone would drop below its floor. Only a
 	// clock that counts suspension shows this.
-	if f.At-m.askedAt > PermitLife {
-		return ReasonPermitOld, true
+	if f.ReadAt-m.askedAt > PermitLifetime {
+		return ReasonPermitExpired, true
 	}
 	serving := 0
 	for _, s := range answers {
@@ -201,7 +201,7 @@
 		// enough to wait. A higher revision alone is not: documents change
 		// about once a second, mostly in parts that do not concern this service.
 		if s.Revision > f.Want.Revision && s.Wanted != f.Want.Manifest {
-			return ReasonBehind, true
+			return ReasonOlderRevision, true
 		}
 		if keepsServing(s) {
 			serving++
@@ -236,10 +236,10 @@
 	}
 }
 
-// Wait is how long the next Step may be delayed after now, at most longest. If steps
+// StepDelay is how long the next Step may be delayed after now, at most longest. If steps
 // were rounded up to a common tick, sides whose delays differ by rank would ask at
 // the same moment again.
-func (m *Machine) Wait(now time.Time, longest time.Duration) time.Duration {
+func (m *Machine) StepDelay(now time.Time, longest time.Duration) time.Duration {
 	until := m.retryAt.Sub(now)
 	if until <= 0 {
 		return longest
@@ -247,9 +247,9 @@
 	return min(until, longest)
 }
 
-// Failed is called when an order was refused or not answered, or when the target
+// LoadFailed is called when an order was refused or not answered, or when the target
 // stopped loading without serving the version.
-func (m *Machine) Failed(now time.Time, f Facts) {
+func (m *Machine) LoadFailed(now time.Time, f Facts) {
 	m.phase = PhaseIdle
 	m.retryAt = now.Add(askBackoff(f.Want))
 }
@@ -267,7 +267,7 @@
 		s.Serving = f.Target.Serving
 	}
 	if !m.orderedAt.IsZero() {
-		s.Ordered, s.OrderAge = m.manifest, now.Sub(m.orderedAt)
+		s.OrderedVersion, s.OrderAge = m.manifest, now.Sub(m.orderedAt)
 	}
 	if s.Phase == "" {
 		s.Phase = PhaseIdle
@@ -289,12 +289,12 @@
 		return
 	}
 	if f.Target.Loading == "" && now.Sub(m.orderedAt) > loadStartTimeout {
-		m.Failed(now, f)
+		m.LoadFailed(now, f)
 	}
 }
 
 func (m *Machine) resetPhase(r Reason) {
-	if m.phase == PhaseAsking || r == ReasonServed {
+	if m.phase == PhaseAsking || r == ReasonAlreadyServed {
 		m.phase = PhaseIdle
 	}
 }
@@ -311,8 +311,8 @@
 	case !f.TargetKnown:
 		return ReasonTargetSilent, true
 	case f.Target.Serving == f.Want.Manifest:
-		return ReasonServed, true
-	case !f.Verified:
+		return ReasonAlreadyServed, true
+	case !f.WeightsVerified:
 		return ReasonUnverified, true
 	}
 	return "", false
--- a/core/version/roll/machine_test.go
+++ b/core/version/roll/machine_test.go
@@ -25,9 +25,9 @@
 			Placed:   true,
 			Manifest: newVersion,
 		},
-		Verified:    true,
-		TargetKnown: true,
-		Target:      Target{Boot: "b1", Serving: oldVersion, LastOrder: 4},
+		WeightsVerified: true,
+		TargetKnown:     true,
+		Target:          Target{Boot: "b1", Serving: oldVersion, LastOrder: 4},
 	}
 }
 
@@ -37,9 +37,9 @@
 		edit func(f *Facts)
 		want Reason
 	}{
-		{"served", func(f *Facts) { f.Target.Serving = newVersion }, ReasonServed},
+		{"served", func(f *Facts) { f.Target.Serving = newVersion }, ReasonAlreadyServed},
 		{"not placed", func(f *Facts) { f.Want.Placed = false }, ReasonNotPlaced},
-		{"unverified", func(f *Facts) { f.Verified = false }, ReasonUnverified},
+		{"unverified", func(f *Facts) { f.WeightsVerified = false }, ReasonUnverified},
 		{"target silent", func(f *Facts) { f.TargetKnown = false }, ReasonTargetSilent},
 		{"target busy", func(f *Facts) { f.Target.Loading = oldVersion }, ReasonTargetBusy},
 		{"draining", func(f *Facts) { f.Draining = true }, ReasonDraining},
@@ -73,9 +73,9 @@
 		{"loads", 0, func(s *Status) { s.Phase = PhaseLoading }, noAction(ReasonFloor)},
 		{"serves nothing", 0, func(s *Status) { s.Serving = "" }, noAction(ReasonFloor)},
 		{"leaves", 0, func(s *Status) { s.Leaving = true }, noAction(ReasonFloor)},
-		{"knows a later document", 0, func(s *Status) { s.Revision = 3; s.Wanted = oldVersion }, noAction(ReasonBehind)},
+		{"knows a later document", 0, func(s *Status) { s.Revision = 3; s.Wanted = oldVersion }, noAction(ReasonOlderRevision)},
 		{"later document, same version", 0, func(s *Status) { s.Revision = 3 }, order},
-		{"asker was suspended", PermitLife + time.Millisecond, func(*Status) {}, noAction(ReasonPermitOld)},
+		{"asker was suspended", PermitLifetime + time.Millisecond, func(*Status) {}, noAction(ReasonPermitExpired)},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -86,8 +86,8 @@
 			}
 			s := serving
 			tc.edit(&s)
-			f.At += tc.after
-			got := m.Answered(start.Add(tc.after), f, []Status{s})
+			f.ReadAt += tc.after
+			got := m.AnswersReceived(start.Add(tc.after), f, []Status{s})
 			if diff := cmp.Diff(tc.want, got); diff != "" {
 				t.Errorf("Answered (-want +got):\n%s", diff)
 			}
@@ -124,9 +124,9 @@
 	if got := m.Step(start, f); got.Kind != ActionAsk {
 		t.Fatalf("Step = %+v, want a question", got)
 	}
-	f.At += PermitLife + time.Millisecond
+	f.ReadAt += PermitLifetime + time.Millisecond
 	other := Status{Name: "b", Phase: PhaseIdle, Serving: oldVersion, Wanted: newVersion, Revision: 2}
-	if diff := cmp.Diff(noAction(ReasonPermitOld), m.Answered(start, f, []Status{other})); diff != "" {
+	if diff := cmp.Diff(noAction(ReasonPermitExpired), m.AnswersReceived(start, f, []Status{other})); diff != "" {
 		t.Errorf("Answered (-want +got):\n%s", diff)
 	}
 	if got := m.Step(start.Add(minAskBackoff), f); got.Kind != ActionAsk {
--- a/core/version/roll/place.go
+++ b/core/version/roll/place.go
@@ -30,9 +30,9 @@
 	Rank     int
 }
 
-// Place returns what view v requires of self. It returns false when there is
+// WantOf returns what view v requires of self. It returns false when there is
 // no document yet or the document does not contain the VM's service.
-func Place(v view.View, self fleet.VM) (Want, bool) {
+func WantOf(v view.View, self fleet.VM) (Want, bool) {
 	if v.Document == nil {
 		return Want{}, false
 	}
@@ -41,7 +41,7 @@
 		return Want{}, false
 	}
 	w := Want{Revision: v.Document.Revision, Service: svc, Zone: self.Zone}
-	placed := Placed(v, svc, self)
+	placed := PlacedVMs(v, svc, self)
 	for _, vm := range placed {
 		if vm.Name == self.Name {
 			w.Placed = true
@@ -58,11 +58,11 @@
 	return w, true
 }
 
-// Placed returns the VMs that serve svc in the zone of self: the first live VMs by
+// PlacedVMs returns the VMs that serve svc in the zone of self: the first live VMs by
 // rendezvous hash, as many as the document asks for. self is counted even when the
 // VM list, which lags behind, does not contain it yet; otherwise a new VM would wait
 // for the list before it fetches its first byte.
-func Placed(v view.View, svc envdoc.Service, self fleet.VM) []fleet.VM {
+func PlacedVMs(v view.View, svc envdoc.Service, self fleet.VM) []fleet.VM {
 	var live []fleet.VM
 	seen := false
 	for _, vm := range v.VMs {
--- a/core/version/roll/spacing.go
+++ b/core/version/roll/spacing.go
@@ -10,12 +10,12 @@
 // long the version that the target serves may still be used; it is valid while Bounded
 // is set.
 type Deadline struct {
-	Bounded bool
-	Left    time.Duration
+	Bounded   bool
+	Remaining time.Duration
 }
 
 // passed reports whether the target's version may no longer be used, so that it serves nobody.
-func (d Deadline) passed() bool { return d.Bounded && d.Left <= 0 }
+func (d Deadline) passed() bool { return d.Bounded && d.Remaining <= 0 }
 
 // delay is how long a side delays its load so that the loads of the zone spread over
 // the time left. An engine that is about to load accepts no calls until its current ones
@@ -31,7 +31,7 @@
 	remaining := 1
 	last := time.Duration(-1)
 	for _, s := range answers {
-		if s.Ordered == want.Manifest && (last < 0 || s.OrderAge < last) {
+		if s.OrderedVersion == want.Manifest && (last < 0 || s.OrderAge < last) {
 			last = s.OrderAge
 		}
 		if s.Phase == PhaseAsking && s.Wanted == want.Manifest && s.Rank < want.Rank {
@@ -44,5 +44,5 @@
 	if last < 0 {
 		return 0
 	}
-	return d.Left/time.Duration(remaining) - last
+	return d.Remaining/time.Duration(remaining) - last
 }
--- a/core/version/roll/spacing_test.go
+++ b/core/version/roll/spacing_test.go
@@ -11,14 +11,14 @@
 func TestDelaySpacesLoads(t *testing.T) {
 	waiting := Status{Name: "b", Phase: PhaseIdle, Serving: oldVersion, Wanted: newVersion, Revision: 2}
 	loading := waiting
-	loading.Phase, loading.Ordered, loading.OrderAge = PhaseLoading, newVersion, 300*time.Millisecond
+	loading.Phase, loading.OrderedVersion, loading.OrderAge = PhaseLoading, newVersion, 300*time.Millisecond
 	loaded := waiting
-	loaded.Serving, loaded.Ordered, loaded.OrderAge = newVersion, newVersion, 2*time.Second
+	loaded.Serving, loaded.OrderedVersion, loaded.OrderAge = newVersion, newVersion, 2*time.Second
 	asksFirst, asksLater := waiting, waiting
 	asksFirst.Phase = PhaseAsking
 	asksLater.Phase, asksLater.Rank = PhaseAsking, 2
 	earlier := waiting
-	earlier.Ordered, earlier.OrderAge = oldVersion, time.Millisecond
+	earlier.OrderedVersion, earlier.OrderAge = oldVersion, time.Millisecond
 	tests := []struct {
 		name     string
 		deadline Deadline
@@ -87,14 +87,14 @@
 
 func (r *simulatedReplica) facts(at, limit time.Duration, rank int) Facts {
 	f := facts()
-	f.At = at
+	f.ReadAt = at
 	f.Want.Rank = rank
 	f.Want.Service.Floor = 1
 	if r.target.Serving == "" {
 		r.target.Serving = oldVersion
 	}
 	f.Target = r.target
-	f.Deadline = Deadline{Bounded: r.target.Serving == oldVersion, Left: limit - at}
+	f.Deadline = Deadline{Bounded: r.target.Serving == oldVersion, Remaining: limit - at}
 	return f
 }
 
@@ -113,9 +113,9 @@
 				answers = append(answers, zone[i].machine.Status(now, zone[i].facts(at, limit, i)))
 			}
 		}
-		a = r.machine.Answered(now, f, answers)
+		a = r.machine.AnswersReceived(now, f, answers)
 	}
-	r.next = at + r.machine.Wait(now, 200*time.Millisecond)
+	r.next = at + r.machine.StepDelay(now, 200*time.Millisecond)
 	if a.Kind == ActionOrder {
 		r.target.Loading = newVersion
 	}
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -292,5 +292,5 @@
 	if !replaced {
 		return roll.Deadline{}
 	}
-	return roll.Deadline{Bounded: true, Left: bound - loadReserve - s.process.clock.Since(since)}
+	return roll.Deadline{Bounded: true, Remaining: bound - loadReserve - s.process.clock.Since(since)}
 }
--- a/io/process/side/side.go
+++ b/io/process/side/side.go
@@ -142,7 +142,7 @@
 }
 
 func (s *Side) update(v view.View) {
-	want, ok := roll.Place(v, s.Host.Self.VM)
+	want, ok := roll.WantOf(v, s.Host.Self.VM)
 	if !ok {
 		return
 	}
--- a/io/process/side/status.go
+++ b/io/process/side/status.go
@@ -26,7 +26,7 @@
 }
 
 func (s *Side) rollouts() []admin.Rollout {
-	want, ok := roll.Place(s.Host.Watcher.Current(), s.Host.Self.VM)
+	want, ok := roll.WantOf(s.Host.Watcher.Current(), s.Host.Self.VM)
 	if !ok || !want.Placed {
 		return nil
 	}
--- a/io/version/order/controller.go
+++ b/io/version/order/controller.go
@@ -23,7 +23,7 @@
 	// version, unless a new view arrives or Notice is called earlier.
 	idleInterval = time.Second
 	// statusTimeout bounds the status requests to all peers. It must be well below
-	// roll.PermitLife, for which the replies permit a load.
+	// roll.PermitLifetime, for which the replies permit a load.
 	statusTimeout = time.Second
 )
 
@@ -110,7 +110,7 @@
 func (o *Orderer) idle() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.lastReason == roll.ReasonServed
+	return o.lastReason == roll.ReasonAlreadyServed
 }
 
 // stepDelay is how long Run waits for the next step.
@@ -120,7 +120,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.machine.Wait(o.Clock.Now(), stepInterval)
+	return o.machine.StepDelay(o.Clock.Now(), stepInterval)
 }
 
 // Target returns what the engine last reported, and whether it answered the last time.
@@ -154,7 +154,7 @@
 // readFacts reads everything that a decision depends on. It returns false if there is no
 // document yet or it does not contain the service of this VM.
 func (o *Orderer) readFacts(ctx context.Context) (roll.Facts, bool) {
-	want, ok := roll.Place(o.Source.Current(), o.Self.VM)
+	want, ok := roll.WantOf(o.Source.Current(), o.Self.VM)
 	if !ok {
 		return roll.Facts{}, false
 	}
@@ -165,13 +165,13 @@
 	if o.Deadline != nil {
 		f.Deadline = o.Deadline()
 	}
-	_, f.Verified = o.Verified(want.Manifest)
+	_, f.WeightsVerified = o.Verified(want.Manifest)
 	t, err := o.Engine.State(ctx)
 	if err == nil {
 		f.Target = t
 		f.TargetKnown = true
 	}
-	f.At = o.Awake()
+	f.ReadAt = o.Awake()
 	return f, true
 }
 
@@ -190,7 +190,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.facts = updated
-	return o.machine.Answered(o.Clock.Now(), updated, answers), updated
+	return o.machine.AnswersReceived(o.Clock.Now(), updated, answers), updated
 }
 
 // orderLoad orders the engine to load, unless the weights are no longer verified.
@@ -208,7 +208,7 @@
 // loadFailed tells the machine that an order failed, and logs it.
 func (o *Orderer) loadFailed(f roll.Facts, reason string) {
 	o.mu.Lock()
-	o.machine.Failed(o.Clock.Now(), f)
+	o.machine.LoadFailed(o.Clock.Now(), f)
 	o.mu.Unlock()
 	o.Log.Decide(trail.Decision{
 		Area:     trail.AreaPlacement,
@@ -232,11 +232,11 @@
 // logFacts logs when the wanted weights become verified and when the target serves
 // another version. The audit of the decision log checks the orders against both.
 func (o *Orderer) logFacts(f roll.Facts) {
-	if f.Verified && o.loggedVerified != f.Want.Manifest {
+	if f.WeightsVerified && o.loggedVerified != f.Want.Manifest {
 		o.logFact("verified", f.Want.Manifest, f)
 	}
 	o.loggedVerified = ""
-	if f.Verified {
+	if f.WeightsVerified {
 		o.loggedVerified = f.Want.Manifest
 	}
 	if f.TargetKnown && f.Target.Serving != o.loggedServing {
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -250,7 +250,7 @@
 			continue
 		}
 		for _, p := range svc.Replicas {
-			out = n.appendOthers(out, roll.Placed(s.view, svc, fleet.VM{Zone: p.Zone}))
+			out = n.appendOthers(out, roll.PlacedVMs(s.view, svc, fleet.VM{Zone: p.Zone}))
 		}
 	}
 	return out
