--- a/bench/burst/run.go
+++ b/bench/burst/run.go
@@ -100,7 +100,7 @@
 	for _, s := range w.sides {
 		for _, ref := range w.manifest.Chunks {
 			b, err := s.node.Staging.Get(context.Background(), ref.Digest)
-			if err != nil || chunk.Sum(b) != ref.Digest {
+			if err != nil || chunk.DigestOf(b) != ref.Digest {
 				out.lost++
 				break
 			}
--- a/bench/burst/world.go
+++ b/bench/burst/world.go
@@ -83,16 +83,16 @@
 func (w *world) publish(seed uint64) error {
 	w.chunks = map[chunk.Digest][]byte{}
 	src := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16)})
-	m := chunk.Manifest{Model: "model", Version: "1", Whole: chunk.Sum(nil), Size: w.trial.bytes()}
+	m := chunk.Manifest{Model: "model", Version: "1", ContentDigest: chunk.DigestOf(nil), Size: w.trial.bytes()}
 	for range w.trial.chunks {
 		b := make([]byte, w.trial.size)
 		_, _ = src.Read(b)
-		d := chunk.Sum(b)
+		d := chunk.DigestOf(b)
 		w.chunks[d] = b
 		m.Chunks = append(m.Chunks, chunk.Ref{Digest: d, Size: int64(w.trial.size)})
 	}
 	b, err := m.Encode()
-	w.manifest, w.encoded, w.pinned = m, b, chunk.Sum(b)
+	w.manifest, w.encoded, w.pinned = m, b, chunk.DigestOf(b)
 	return err
 }
 
--- a/core/process/envdoc/plan_test.go
+++ b/core/process/envdoc/plan_test.go
@@ -13,7 +13,7 @@
 func manifestOf(version string, contents ...string) chunk.Manifest {
 	m := chunk.Manifest{Model: "permit-assistant", Version: version}
 	for _, c := range contents {
-		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.Sum([]byte(c)), Size: int64(len(c))})
+		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.DigestOf([]byte(c)), Size: int64(len(c))})
 		m.Size += int64(len(c))
 	}
 	return m
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -90,7 +90,7 @@
 	}
 	for i := range s.targets {
 		t := &s.targets[i]
-		t.ServedVersion = chunk.Sum([]byte(fmt.Sprint(s.now.Sub(s.startTime) / versionLifetime)))
+		t.ServedVersion = chunk.DigestOf([]byte(fmt.Sprint(s.now.Sub(s.startTime) / versionLifetime)))
 		t.Report = route.LoadReport{ReceivedAt: s.now, Running: s.rand.IntN(8), Capacity: 16}
 		s.admit.Report(s.now, "helper", t.VM.Name, t.Report)
 	}
--- a/core/request/route/choose_test.go
+++ b/core/request/route/choose_test.go
@@ -46,7 +46,7 @@
 		change(&c)
 		return c
 	}
-	v1, v2 := chunk.Sum([]byte("1")), chunk.Sum([]byte("2"))
+	v1, v2 := chunk.DigestOf([]byte("1")), chunk.DigestOf([]byte("2"))
 	tests := []struct {
 		name       string
 		request    Request
--- a/core/version/burst/early_announce_test.go
+++ b/core/version/burst/early_announce_test.go
@@ -16,10 +16,10 @@
 func TestAnnouncementsBeforeManifestAreKept(t *testing.T) {
 	m := chunk.Manifest{Model: "m", Version: "1"}
 	for _, text := range []string{"a", "b", "c"} {
-		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.Sum([]byte(text)), Size: 1})
+		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.DigestOf([]byte(text)), Size: 1})
 		m.Size++
 	}
-	id := chunk.Sum([]byte("manifest"))
+	id := chunk.DigestOf([]byte("manifest"))
 	self, peer := Member{Name: "self", Region: "r"}, Member{Name: "peer", Region: "r"}
 	now := time.Unix(1000, 0)
 	s := New(Config{Self: self, OriginRegion: "r"})
--- a/core/version/burst/network_test.go
+++ b/core/version/burst/network_test.go
@@ -327,10 +327,10 @@
 func testVersion(name string, first, count int) WantedVersion {
 	m := chunk.Manifest{Model: "m", Version: name, Size: int64(count)}
 	for i := range count {
-		d := chunk.Sum([]byte(fmt.Sprint("chunk", first+i)))
+		d := chunk.DigestOf([]byte(fmt.Sprint("chunk", first+i)))
 		m.Chunks = append(m.Chunks, chunk.Ref{Digest: d, Size: 1})
 	}
-	return WantedVersion{ID: chunk.Sum([]byte(name)), Manifest: m}
+	return WantedVersion{ID: chunk.DigestOf([]byte(name)), Manifest: m}
 }
 
 func (s WantedVersion) withMembers(members []Member) WantedVersion {
--- a/core/version/chunk/manifest.go
+++ b/core/version/chunk/manifest.go
@@ -24,14 +24,14 @@
 // Digest identifies content: "sha256:" and 64 hexadecimal digits.
 type Digest string
 
-// Sum returns the digest of b.
-func Sum(b []byte) Digest {
+// DigestOf returns the digest of b.
+func DigestOf(b []byte) Digest {
 	s := sha256.Sum256(b)
 	return Digest(digestPrefix + hex.EncodeToString(s[:]))
 }
 
-// OfHex returns the digest with the given hexadecimal digits, in lower case.
-func OfHex(s string) Digest { return Digest(digestPrefix + strings.ToLower(s)) }
+// FromHex returns the digest with the given hexadecimal digits, in lower case.
+func FromHex(s string) Digest { return Digest(digestPrefix + strings.ToLower(s)) }
 
 // Check returns an error if d does not have the form of a digest.
 func (d Digest) Check() error {
@@ -57,11 +57,11 @@
 // Manifest lists the chunks of a version in the order of its bytes. Size is
 // the sum of the chunks' sizes; Whole is the digest of all bytes.
 type Manifest struct {
-	Model   string `json:"model" msgpack:"model"`
-	Version string `json:"version" msgpack:"version"`
-	Size    int64  `json:"size" msgpack:"size"`
-	Whole   Digest `json:"whole" msgpack:"whole"`
-	Chunks  []Ref  `json:"chunks" msgpack:"chunks"`
+	Model         string `json:"model" msgpack:"model"`
+	Version       string `json:"version" msgpack:"version"`
+	Size          int64  `json:"size" msgpack:"size"`
+	ContentDigest Digest `json:"whole" msgpack:"whole"`
+	Chunks        []Ref  `json:"chunks" msgpack:"chunks"`
 }
 
 // Encode returns the canonical bytes of m. An environment document refers to a
@@ -74,7 +74,7 @@
 // Decode parses the canonical bytes of a manifest and checks that they have the
 // digest pinned and that the manifest is consistent.
 func Decode(b []byte, pinned Digest) (Manifest, error) {
-	if got := Sum(b); got != pinned {
+	if got := DigestOf(b); got != pinned {
 		return Manifest{}, errors.Newf("manifest has digest %s, want %s", got, pinned)
 	}
 	var m Manifest
@@ -92,7 +92,7 @@
 	if len(m.Chunks) == 0 || len(m.Chunks) > MaxChunks {
 		return errors.Newf("manifest: %d chunks, want 1 to %d", len(m.Chunks), MaxChunks)
 	}
-	if err := m.Whole.Check(); err != nil {
+	if err := m.ContentDigest.Check(); err != nil {
 		return errors.Wrap(err, "manifest: whole")
 	}
 	var sum int64
--- a/io/process/cmds/plan.go
+++ b/io/process/cmds/plan.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			return nil, errors.Mark(fault.At("read manifest", path, err), errInput)
 		}
-		if err := addManifest(out, chunk.Sum(b), b, path); err != nil {
+		if err := addManifest(out, chunk.DigestOf(b), b, path); err != nil {
 			return nil, err
 		}
 	}
--- a/io/process/cmds/status_test.go
+++ b/io/process/cmds/status_test.go
@@ -40,7 +40,7 @@
 		Process: admin.Process{Name: name, Role: fleet.RoleEntry, Zone: "freo-shed", Ready: true},
 		Config:  admin.Config{Environment: "pindan", Revision: 4, Refused: 5, Fault: "no service"},
 		Rollouts: []admin.Rollout{{
-			Service: "helper", Model: "m", Version: "v2", Manifest: chunk.Sum(nil),
+			Service: "helper", Model: "m", Version: "v2", Manifest: chunk.DigestOf(nil),
 			Zones: []admin.Progress{{Zone: "freo-shed", Want: 2, Serving: serving, ChunksTotal: 8}},
 		}},
 		Outcomes: []admin.Outcome{{Customer: "c", Service: "booking", Done: done}},
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -73,7 +73,7 @@
 // fingerprint identifies a request, to detect a key or ticket that is reused for
 // another one.
 func fingerprint(m *sessn.Start, body []byte) string {
-	return m.Method + " " + m.Path + " " + string(chunk.Sum(body))
+	return m.Method + " " + m.Path + " " + string(chunk.DigestOf(body))
 }
 
 // execute passes a call to the target. It isn't cancelled when the caller disconnects:
--- a/io/version/order/controller_test.go
+++ b/io/version/order/controller_test.go
@@ -104,7 +104,7 @@
 func TestZoneKeepsMinServingDuringRollout(t *testing.T) {
 	const replicas, floor = 3, 2
 	z := &servingCounter{serving: replicas, lowest: replicas}
-	wanted := chunk.Sum([]byte("new"))
+	wanted := chunk.DigestOf([]byte("new"))
 	v := view.View{Document: &envdoc.Document{
 		Revision: 2,
 		Models:   []envdoc.Model{{Name: "m", Version: "2", Manifest: wanted}},
@@ -129,7 +129,7 @@
 	var wg sync.WaitGroup
 	var orderers []*Orderer
 	for i, vm := range v.VMs {
-		e := &fakeEngine{servingCounter: z, engineState: engineState{Boot: "boot", Manifest: chunk.Sum([]byte("old")), LastOrder: 7}}
+		e := &fakeEngine{servingCounter: z, engineState: engineState{Boot: "boot", Manifest: chunk.DigestOf([]byte("old")), LastOrder: 7}}
 		srv := httptest.NewServer(e)
 		t.Cleanup(srv.Close)
 		self := &link.Self{VM: vm, Boot: vm.Name}
--- a/io/version/order/polling_test.go
+++ b/io/version/order/polling_test.go
@@ -23,7 +23,7 @@
 // the wanted version, and against an engine that lost its weights and is not ordered to
 // load until the next poll.
 func TestServingEngineIsPolledRarely(t *testing.T) {
-	wanted := chunk.Sum([]byte("wanted"))
+	wanted := chunk.DigestOf([]byte("wanted"))
 	vm := fleet.VM{Name: "a", Role: fleet.RoleSide, Zone: "z", Region: "r", Service: "helper", State: fleet.StateLive}
 	v := view.View{VMs: []fleet.VM{vm}, Document: &envdoc.Document{
 		Models: []envdoc.Model{{Name: "m", Version: "1", Manifest: wanted}},
--- a/io/version/shelf/load.go
+++ b/io/version/shelf/load.go
@@ -194,7 +194,7 @@
 func (s *Shelf) ensureStaged(ctx context.Context, e *Edition, num int, ref chunk.Ref) (time.Duration, error) {
 	verifiedAt := s.now()
 	staged, err := s.Engine.Get(ctx, e.Model, num)
-	if err == nil && chunk.Sum(staged) == ref.Digest {
+	if err == nil && chunk.DigestOf(staged) == ref.Digest {
 		return verifiedAt, nil
 	}
 	b, ok := s.cachedChunk(ref.Digest)
--- a/io/version/shelf/load_test.go
+++ b/io/version/shelf/load_test.go
@@ -124,10 +124,10 @@
 }
 
 func manifest(version uint64) chunk.Manifest {
-	m := chunk.Manifest{Model: model, Version: fmt.Sprint(version), Whole: chunk.Sum([]byte("whole"))}
+	m := chunk.Manifest{Model: model, Version: fmt.Sprint(version), ContentDigest: chunk.DigestOf([]byte("whole"))}
 	for num := range numChunks {
 		b := chunkBytes(version, num)
-		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.Sum(b), Size: int64(len(b))})
+		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.DigestOf(b), Size: int64(len(b))})
 		m.Size += int64(len(b))
 	}
 	return m
@@ -149,7 +149,7 @@
 func putChunk(t *testing.T, s *Shelf, version uint64, num int) {
 	t.Helper()
 	b := chunkBytes(version, num)
-	if err := s.Put(t.Context(), chunk.Sum(b), b); err != nil {
+	if err := s.Put(t.Context(), chunk.DigestOf(b), b); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/io/version/shelf/manifest.go
+++ b/io/version/shelf/manifest.go
@@ -220,7 +220,7 @@
 		if err != nil {
 			return chunk.Manifest{}, err
 		}
-		if d := chunk.Sum(raw); !seen[d] {
+		if d := chunk.DigestOf(raw); !seen[d] {
 			seen[d] = true
 			continue
 		}
--- a/io/version/shelf/staging.go
+++ b/io/version/shelf/staging.go
@@ -70,7 +70,7 @@
 	if err := s.Engine.Put(ctx, p.model, p.num, b); err != nil {
 		return err
 	}
-	s.recordSeen(p.num, chunk.Sum(b))
+	s.recordSeen(p.num, chunk.DigestOf(b))
 	return nil
 }
 
@@ -151,7 +151,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if got := chunk.Sum(b); got != d {
+	if got := chunk.DigestOf(b); got != d {
 		return nil, fault.Newf("read chunk", "engine", "digest %s, want %s", got, d)
 	}
 	s.recordSeen(positions[0].num, d)
--- a/io/version/shelf/versions.go
+++ b/io/version/shelf/versions.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	e := &Edition{Model: model, Version: version, Digest: chunk.Sum(raw), Manifest: m, encoded: raw}
+	e := &Edition{Model: model, Version: version, Digest: chunk.DigestOf(raw), Manifest: m, encoded: raw}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corruptChunks = 0
@@ -192,7 +192,7 @@
 	if err != nil {
 		return nil, fault.At("read chunk", "origin", err)
 	}
-	if got := chunk.Sum(b); got != ref.Digest {
+	if got := chunk.DigestOf(b); got != ref.Digest {
 		s.mu.Lock()
 		s.corruptChunks++
 		s.mu.Unlock()
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -86,7 +86,7 @@
 		c.queueControl(&cancelTransfer{transferID: in.id})
 		return nil, err
 	}
-	if digest := chunk.Sum(b); digest != in.fetch.Chunk.Digest {
+	if digest := chunk.DigestOf(b); digest != in.fetch.Chunk.Digest {
 		err := errors.Wrapf(errCorrupt, "digest %s, want %s", digest, in.fetch.Chunk.Digest)
 		return nil, fault.At("verify chunk", in.fetch.Peer, err)
 	}
--- a/io/version/swarm/fuzz_test.go
+++ b/io/version/swarm/fuzz_test.go
@@ -12,7 +12,7 @@
 // FuzzMessages decodes arbitrary bytes from a peer: every message that is
 // accepted must be within its limits.
 func FuzzMessages(f *testing.F) {
-	d := chunk.Sum([]byte("a"))
+	d := chunk.DigestOf([]byte("a"))
 	id := transferID{Chunk: d, Number: 3}
 	seeds := []frame.Message{
 		&chunkSets{Manifest: d, Have: burst.Bits{1}, HeldInRegion: burst.Bits{3}},
--- a/io/version/swarm/reconnect_test.go
+++ b/io/version/swarm/reconnect_test.go
@@ -32,7 +32,7 @@
 	}
 	first := connect("first")
 	defer first.Close()
-	ref := chunk.Ref{Digest: chunk.Sum([]byte("chunk")), Size: 5}
+	ref := chunk.Ref{Digest: chunk.DigestOf([]byte("chunk")), Size: 5}
 	var in *incoming
 	n.withState(func(s *state) {
 		n.startTransfer(s, burst.Fetch{Chunk: ref, Via: burst.ViaTrade, Peer: peer.Name})
--- a/io/version/swarm/restart_test.go
+++ b/io/version/swarm/restart_test.go
@@ -53,7 +53,7 @@
 // chunk has started must not be taken for faulty messages of the new one.
 func TestMessagesOfStoppedTransferAreIgnored(t *testing.T) {
 	n := newCluster(t, newFakeOrigin(t), "r1").nodes[0]
-	ref := chunk.Ref{Digest: chunk.Sum([]byte("chunk")), Size: 8}
+	ref := chunk.Ref{Digest: chunk.DigestOf([]byte("chunk")), Size: 8}
 	peer := newConn(&link.Conn{Peer: link.Hello{VM: fleet.VM{Name: "peer", Region: "r2"}}})
 	id := transferID{Chunk: ref.Digest, Number: 2}
 	in := &incoming{
--- a/io/version/swarm/source.go
+++ b/io/version/swarm/source.go
@@ -90,7 +90,7 @@
 	if n, _ := resp.Body.Read(one[:]); n > 0 {
 		return nil, fault.Newf("draw chunk", peer, "chunk %s is longer than %d bytes", ref.Digest, ref.Size)
 	}
-	if got := chunk.Sum(b); got != ref.Digest {
+	if got := chunk.DigestOf(b); got != ref.Digest {
 		return nil, fault.At("verify chunk", peer, errors.Wrapf(errCorrupt, "digest %s, want %s", got, ref.Digest))
 	}
 	return b, nil
--- a/io/version/swarm/swarm_test.go
+++ b/io/version/swarm/swarm_test.go
@@ -96,12 +96,12 @@
 // digest of its manifest. Versions share the chunks of equal seeds.
 func (p *fakeOrigin) publish(t *testing.T, version string, size int, seeds ...uint64) chunk.Digest {
 	t.Helper()
-	m := chunk.Manifest{Model: "m", Version: version, Whole: chunk.Sum([]byte(version))}
+	m := chunk.Manifest{Model: "m", Version: version, ContentDigest: chunk.DigestOf([]byte(version))}
 	for _, seed := range seeds {
 		b := make([]byte, size)
 		src := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
 		src.Read(b)
-		d := chunk.Sum(b)
+		d := chunk.DigestOf(b)
 		p.chunks[d] = b
 		m.Size += int64(size)
 		m.Chunks = append(m.Chunks, chunk.Ref{Digest: d, Size: int64(size)})
@@ -110,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := chunk.Sum(b)
+	d := chunk.DigestOf(b)
 	p.manifests[d] = b
 	return d
 }
@@ -260,7 +260,7 @@
 				c.t.Errorf("%s: %v", n.Self.VM.Name, err)
 				continue
 			}
-			if diff := cmp.Diff(ref.Digest, chunk.Sum(b)); diff != "" {
+			if diff := cmp.Diff(ref.Digest, chunk.DigestOf(b)); diff != "" {
 				c.t.Errorf("%s chunk (-want +got):\n%s", n.Self.VM.Name, diff)
 			}
 		}
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		b, err := n.Staging.Get(ctx, ref.Digest)
-		if err != nil || chunk.Sum(b) != ref.Digest {
+		if err != nil || chunk.DigestOf(b) != ref.Digest {
 			continue
 		}
 		out = append(out, ref.Digest)
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -21,7 +21,7 @@
 	"hawthornferry/standin/plain"
 )
 
-var versions = []chunk.Digest{chunk.Sum([]byte("one")), chunk.Sum([]byte("two"))}
+var versions = []chunk.Digest{chunk.DigestOf([]byte("one")), chunk.DigestOf([]byte("two"))}
 
 // address is where a test server listens.
 func address(t *testing.T, h http.Handler) netip.AddrPort {
--- a/standin/demo/demo_test.go
+++ b/standin/demo/demo_test.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	digest := chunk.Sum([]byte("manifest"))
+	digest := chunk.DigestOf([]byte("manifest"))
 	v := &Version{Number: 2, Document: filepath.Join(t.TempDir(), "two.ini")}
 	v.Manifests = map[string]chunk.Digest{"permit-assistant": digest}
 	if err := f.render(v); err != nil {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -42,15 +42,15 @@
 		b := []byte(s)
 		v.chunks = append(v.chunks, b)
 		whole = append(whole, b...)
-		v.manifest.Chunks = append(v.manifest.Chunks, chunk.Ref{Digest: chunk.Sum(b), Size: int64(len(b))})
+		v.manifest.Chunks = append(v.manifest.Chunks, chunk.Ref{Digest: chunk.DigestOf(b), Size: int64(len(b))})
 	}
 	v.manifest.Size = int64(len(whole))
-	v.manifest.Whole = chunk.Sum(whole)
+	v.manifest.ContentDigest = chunk.DigestOf(whole)
 	b, err := v.manifest.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	v.digest = chunk.Sum(b)
+	v.digest = chunk.DigestOf(b)
 	return v
 }
 
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return errors.Wrap(err, "order")
 	}
-	if got := chunk.Sum(b); got != o.Manifest {
+	if got := chunk.DigestOf(b); got != o.Manifest {
 		return errors.Newf("order: body has digest %s, want %s", got, o.Manifest)
 	}
 	return nil
@@ -156,8 +156,8 @@
 	for _, b := range held {
 		_, _ = h.Write(b)
 	}
-	if got := chunk.Digest("sha256:" + hex.EncodeToString(h.Sum(nil))); got != m.Whole {
-		return errors.Newf("weights have digest %s, want %s", got, m.Whole)
+	if got := chunk.Digest("sha256:" + hex.EncodeToString(h.Sum(nil))); got != m.ContentDigest {
+		return errors.Newf("weights have digest %s, want %s", got, m.ContentDigest)
 	}
 	return nil
 }
--- a/standin/engine/pool.go
+++ b/standin/engine/pool.go
@@ -19,7 +19,7 @@
 
 // hold keeps b and returns the digest of what it holds.
 func (p *Pool) hold(b []byte) chunk.Digest {
-	d := chunk.Sum(b)
+	d := chunk.DigestOf(b)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.items == nil {
--- a/standin/expect/expect_test.go
+++ b/standin/expect/expect_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMatch(t *testing.T) {
-	one, two := chunk.Sum([]byte("one")), chunk.Sum([]byte("two"))
+	one, two := chunk.DigestOf([]byte("one")), chunk.DigestOf([]byte("two"))
 	whole := NewAnswer(one, "prompt").Text(8)
 	mixed := NewAnswer(one, "prompt").Text(4) + strings.TrimPrefix(NewAnswer(two, "prompt").Text(8), NewAnswer(two, "prompt").Text(4))
 	tests := []struct {
--- a/standin/weight/weight.go
+++ b/standin/weight/weight.go
@@ -122,9 +122,9 @@
 	for _, src := range layout {
 		b := src.bytes()
 		_, _ = whole.Write(b)
-		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.Sum(b), Size: src.Size})
+		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.DigestOf(b), Size: src.Size})
 	}
-	m.Whole = chunk.Digest("sha256:" + hex.EncodeToString(whole.Sum(nil)))
+	m.ContentDigest = chunk.Digest("sha256:" + hex.EncodeToString(whole.Sum(nil)))
 	return m
 }
 
@@ -139,7 +139,7 @@
 	if len(s.manifests) >= maxVersions {
 		return "", 0, errors.Newf("more than %d versions", maxVersions)
 	}
-	d := chunk.Sum(b)
+	d := chunk.DigestOf(b)
 	s.manifests[d] = b
 	s.layouts[d] = layout
 	for i, c := range m.Chunks {
--- a/standin/weight/weight_test.go
+++ b/standin/weight/weight_test.go
@@ -38,12 +38,12 @@
 	var whole []byte
 	for _, c := range m.Chunks {
 		b, _ := s.Chunk(c.Digest)
-		if diff := cmp.Diff(c, chunk.Ref{Digest: chunk.Sum(b), Size: int64(len(b))}); diff != "" {
+		if diff := cmp.Diff(c, chunk.Ref{Digest: chunk.DigestOf(b), Size: int64(len(b))}); diff != "" {
 			t.Errorf("chunk (-want +got):\n%s", diff)
 		}
 		whole = append(whole, b...)
 	}
-	if diff := cmp.Diff(m.Whole, chunk.Sum(whole)); diff != "" {
+	if diff := cmp.Diff(m.ContentDigest, chunk.DigestOf(whole)); diff != "" {
 		t.Errorf("whole (-want +got):\n%s", diff)
 	}
 }
@@ -110,7 +110,7 @@
 		}
 		b, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		got := []any{resp.StatusCode, err == nil, chunk.Sum(b) == m.Chunks[0].Digest, o.sent.Load()}
+		got := []any{resp.StatusCode, err == nil, chunk.DigestOf(b) == m.Chunks[0].Digest, o.sent.Load()}
 		if diff := cmp.Diff([]any{tc.status, tc.whole, tc.good, tc.bytes}, got); diff != "" {
 			t.Errorf("%s: status, whole, good, bytes (-want +got):\n%s", tc.name, diff)
 		}
@@ -145,7 +145,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m.Chunks[0].Digest, chunk.Sum(append(half, rest...))); diff != "" {
+	if diff := cmp.Diff(m.Chunks[0].Digest, chunk.DigestOf(append(half, rest...))); diff != "" {
 		t.Errorf("chunk (-want +got):\n%s", diff)
 	}
 }
