--- a/core/version/tree/tree.go
+++ b/core/version/tree/tree.go
@@ -15,9 +15,9 @@
 
 // Sizes of the tree.
 const (
-	// Roots is how many sides of a region read from the origin at once. With a single
+	// RootsPerRegion is how many sides of a region read from the origin at once. With a single
 	// one that is dead, the region would wait for the next in rank.
-	Roots = 2
+	RootsPerRegion = 2
 	// Fanout is how many sides read from the same side.
 	Fanout = 4
 	// maxDoublings bounds how often the number of origin readers is doubled, so that
@@ -25,30 +25,30 @@
 	maxDoublings = 16
 )
 
-// Tries counts the failed attempts of a side. Silent counts those in which the side
+// Attempts counts the failed attempts of a side. Silent counts those in which the side
 // above it in the tree did not answer. A side that answers that it lacks the manifest is
 // itself waiting for it, and more origin readers would not help.
-type Tries struct {
+type Attempts struct {
 	Failed int
 	Silent int
 }
 
 // Plan says whom a side asks in one attempt.
 type Plan struct {
-	// Root is set for a side that asks the origin before its peers, and Origin
+	// OriginFirst is set for a side that asks the origin before its peers, and Origin
 	// for one that asks it at all.
-	Root   bool
-	Origin bool
-	// Above is a side of the region: the one above this one in the tree or, after a
+	OriginFirst bool
+	AskOrigin   bool
+	// Parent is a side of the region: the one above this one in the tree or, after a
 	// failure, one of the roots. Other is a side of any region, since all sides near
 	// the top of a region's tree may be dead or cut off.
-	Above []fleet.VM
-	Other []fleet.VM
+	Parent   []fleet.VM
+	Fallback []fleet.VM
 }
 
-// At returns the plan of self for the manifest named key. others are the sides
+// NewPlan returns the plan of self for the manifest named key. others are the sides
 // that may hold it.
-func At(key string, self fleet.VM, others []fleet.VM, tries Tries) Plan {
+func NewPlan(key string, self fleet.VM, others []fleet.VM, tries Attempts) Plan {
 	region := []fleet.VM{self}
 	for _, vm := range others {
 		if vm.Region == self.Region && vm.State == fleet.StateLive {
@@ -57,16 +57,16 @@
 	}
 	region = rank.Order(key, region, name)
 	place := slices.IndexFunc(region, func(vm fleet.VM) bool { return vm.Name == self.Name })
-	p := Plan{Root: place < Roots, Origin: place < Roots<<min(tries.Silent, maxDoublings)}
+	p := Plan{OriginFirst: place < RootsPerRegion, AskOrigin: place < RootsPerRegion<<min(tries.Silent, maxDoublings)}
 	switch {
-	case p.Root:
+	case p.OriginFirst:
 	case tries.Failed == 0:
-		p.Above = region[(place-Roots)/Fanout:][:1]
+		p.Parent = region[(place-RootsPerRegion)/Fanout:][:1]
 	default:
-		p.Above = region[tries.Failed%Roots:][:1]
+		p.Parent = region[tries.Failed%RootsPerRegion:][:1]
 	}
-	if p.Root || tries.Failed > 0 {
-		p.Other = other(key, self, others, tries.Failed)
+	if p.OriginFirst || tries.Failed > 0 {
+		p.Fallback = other(key, self, others, tries.Failed)
 	}
 	return p
 }
--- a/core/version/tree/tree_test.go
+++ b/core/version/tree/tree_test.go
@@ -35,14 +35,14 @@
 		readers := 0
 		asked := map[string]int{}
 		for _, self := range all {
-			p := At("m/2", self, without(all, self.Name), Tries{})
-			if p.Origin {
+			p := NewPlan("m/2", self, without(all, self.Name), Attempts{})
+			if p.AskOrigin {
 				readers++
 				continue
 			}
-			asked[p.Above[0].Name]++
+			asked[p.Parent[0].Name]++
 		}
-		if most := min(n, regions*Roots); readers != most {
+		if most := min(n, regions*RootsPerRegion); readers != most {
 			t.Errorf("%d sides: %d read from the origin, want %d", n, readers, most)
 		}
 		for who, k := range asked {
@@ -59,7 +59,7 @@
 	const rounds = 6
 	all := newSides(120)
 	for _, dead := range []int{0, 2, 4, 10} {
-		w := &fleetState{t: t, dead: dead, have: map[string]bool{}, tries: map[string]Tries{}}
+		w := &fleetState{t: t, dead: dead, have: map[string]bool{}, tries: map[string]Attempts{}}
 		for range rounds {
 			w.round(all)
 		}
@@ -81,7 +81,7 @@
 	t     *testing.T
 	dead  int
 	have  map[string]bool
-	tries map[string]Tries
+	tries map[string]Attempts
 }
 
 func (w *fleetState) alive(vm fleet.VM) bool {
@@ -96,12 +96,12 @@
 func (w *fleetState) round(all []fleet.VM) {
 	plans := map[string]Plan{}
 	for _, self := range all {
-		plans[self.Name] = At("m/2", self, without(all, self.Name), w.tries[self.Name])
+		plans[self.Name] = NewPlan("m/2", self, without(all, self.Name), w.tries[self.Name])
 	}
 	for range depth {
 		for _, self := range all {
 			p := plans[self.Name]
-			if w.alive(self) && (p.Origin || w.anyHas(append(p.Above, p.Other...))) {
+			if w.alive(self) && (p.AskOrigin || w.anyHas(append(p.Parent, p.Fallback...))) {
 				w.have[self.Name] = true
 			}
 		}
@@ -109,7 +109,7 @@
 	for _, self := range all {
 		tries := w.tries[self.Name]
 		tries.Failed++
-		for _, vm := range plans[self.Name].Above {
+		for _, vm := range plans[self.Name].Parent {
 			if !w.alive(vm) {
 				tries.Silent++
 			}
--- a/io/version/shelf/manifest.go
+++ b/io/version/shelf/manifest.go
@@ -90,7 +90,7 @@
 
 // Run reads the manifests of the wanted versions until ctx ends.
 func (l *Library) Run(ctx context.Context) error {
-	tries := map[uint64]tree.Tries{}
+	tries := map[uint64]tree.Attempts{}
 	for {
 		model, versions, changed := l.wanted()
 		pause := recheckInterval
@@ -111,8 +111,8 @@
 // readMissing tries once to read the manifest of each wanted version that is not known
 // or is doubtful, all at the same time. It returns the highest number of failed attempts
 // of any version, 0 if none failed.
-func (l *Library) readMissing(ctx context.Context, model string, versions []uint64, tries map[uint64]tree.Tries) int {
-	after := make([]tree.Tries, len(versions))
+func (l *Library) readMissing(ctx context.Context, model string, versions []uint64, tries map[uint64]tree.Attempts) int {
+	after := make([]tree.Attempts, len(versions))
 	var wg sync.WaitGroup
 	for i, v := range versions {
 		if l.isKnown(model, v) {
@@ -138,17 +138,17 @@
 
 // tryRead tries once to read a manifest. It returns the failed attempts including this
 // one, or none if it succeeded.
-func (l *Library) tryRead(ctx context.Context, model string, version uint64, tries tree.Tries) tree.Tries {
-	plan := tree.At(versionKey(model, version), l.Self.VM, l.Peers(), tries)
+func (l *Library) tryRead(ctx context.Context, model string, version uint64, tries tree.Attempts) tree.Attempts {
+	plan := tree.NewPlan(versionKey(model, version), l.Self.VM, l.Peers(), tries)
 	if l.Shelf.Doubtful() {
-		plan.Root, plan.Origin = true, true
+		plan.OriginFirst, plan.AskOrigin = true, true
 	}
 	m, from, parentSilent, err := l.readAsPlanned(ctx, model, version, plan)
 	if err == nil {
 		err = l.addManifest(m, model, version, from)
 	}
 	if err == nil {
-		return tree.Tries{}
+		return tree.Attempts{}
 	}
 	l.logRead("manifestFailed", model, version, from, err.Error())
 	tries.Failed++
@@ -184,23 +184,23 @@
 // reports that the side above this one in the tree did not answer.
 func (l *Library) readAsPlanned(ctx context.Context, model string, version uint64, plan tree.Plan) (m chunk.Manifest, from string, parentSilent bool, err error) {
 	err = errPeerLacksManifest
-	if plan.Root {
+	if plan.OriginFirst {
 		if m, err = l.readOrigin(ctx, model, version); err == nil {
 			return m, sourceOrigin, false, nil
 		}
 	}
-	for _, vm := range plan.Above {
+	for _, vm := range plan.Parent {
 		if m, err = l.readPeer(ctx, vm.Address, model, version, maxPeerWait); err == nil {
 			return m, vm.Name, false, nil
 		}
 		parentSilent = !errors.Is(err, errPeerLacksManifest)
 	}
-	for _, vm := range plan.Other {
+	for _, vm := range plan.Fallback {
 		if m, otherErr := l.readPeer(ctx, vm.Address, model, version, 0); otherErr == nil {
 			return m, vm.Name, parentSilent, nil
 		}
 	}
-	if plan.Origin && !plan.Root {
+	if plan.AskOrigin && !plan.OriginFirst {
 		m, err = l.readOrigin(ctx, model, version)
 	}
 	return m, sourceOrigin, parentSilent, err
