--- a/core/process/naming/contact.go
+++ b/core/process/naming/contact.go
@@ -8,19 +8,19 @@
 	// served may have passed already. A peer that saw the announcement supplies
 	// the real time.
 	ageAtStart = time.Hour
-	// MostGap is the longest time that a watch may begin after the store's last
+	// MaxGap is the longest time that a watch may begin after the store's last
 	// answer, and end after its wait, for its changes still to count as
 	// received when they were made.
-	MostGap = 200 * time.Millisecond
-	// catchUpWait is the wait of a watch that begins more than MostGap after
+	MaxGap = 200 * time.Millisecond
+	// catchUpWait is the wait of a watch that begins more than MaxGap after
 	// the last answer. It fetches what was missed, so that the next watch
 	// receives changes as they are made.
 	catchUpWait = time.Millisecond
 )
 
-// Ran reports whether this process has run without being suspended since the
+// RanSince reports whether this process has run without being suspended since the
 // given time.
-type Ran func(since time.Duration) bool
+type RanSince func(since time.Duration) bool
 
 // Contact records when a process was last in contact with the store, directly
 // or through a peer. Times are on a clock that keeps counting while the machine
@@ -39,71 +39,71 @@
 	Failed   time.Duration
 }
 
-// Away reports whether the store has been unreachable since the state was last
+// StoreUnreachable reports whether the store has been unreachable since the state was last
 // confirmed, with this process running all the while.
-func (c Contact) Away(ran Ran) bool {
+func (c Contact) StoreUnreachable(ran RanSince) bool {
 	return c.Known && c.Failed > c.Confirmed && ran(c.Confirmed)
 }
 
-// Call is a finished watch or list request to the store: when it was sent and
+// StoreCall is a finished watch or list request to the store: when it was sent and
 // when the answer was read.
-type Call struct {
+type StoreCall struct {
 	Asked time.Duration
 	Got   time.Duration
 	// Wait is how long the store was asked to wait for a change; 0 for a list.
 	Wait time.Duration
 }
 
-// Moment is a time that may be unknown.
-type Moment struct {
+// OptionalTime is a time that may be unknown.
+type OptionalTime struct {
 	At    time.Duration
 	Known bool
 }
 
-// WaitOf returns how long a watch that begins at asked should wait, given the
+// WatchWait returns how long a watch that begins at asked should wait, given the
 // longest wait allowed.
-func (c Contact) WaitOf(asked, most time.Duration) time.Duration {
-	if asked-c.Answered > MostGap {
+func (c Contact) WatchWait(asked, most time.Duration) time.Duration {
+	if asked-c.Answered > MaxGap {
 		return catchUpWait
 	}
 	return most
 }
 
-// LiveAt returns when the changes in a watch's answer were made, if the watch
-// received them as they were made. That is so if it began within MostGap of the
-// store's last answer, ended within MostGap of its wait, and the process was
+// ChangesMadeAt returns when the changes in a watch's answer were made, if the watch
+// received them as they were made. That is so if it began within MaxGap of the
+// store's last answer, ended within MaxGap of its wait, and the process was
 // not suspended meanwhile.
-func (c Contact) LiveAt(w Call, ran Ran) Moment {
-	live := c.Known && w.Asked-c.Answered <= MostGap && w.Got-w.Asked <= w.Wait+MostGap
-	return Moment{At: w.Got, Known: live && ran(c.Answered)}
+func (c Contact) ChangesMadeAt(w StoreCall, ran RanSince) OptionalTime {
+	live := c.Known && w.Asked-c.Answered <= MaxGap && w.Got-w.Asked <= w.Wait+MaxGap
+	return OptionalTime{At: w.Got, Known: live && ran(c.Answered)}
 }
 
-// Answer records that the store answered a call. An answer that may have waited
+// RecordAnswer records that the store answered a call. An answer that may have waited
 // unread while the process was suspended counts only as of the time the call
 // was sent. Counted from when it was read, the next watch would look live,
 // return at once what was announced during the suspension, and date it as
 // announced just now.
-func (c *Contact) Answer(w Call, ran Ran) {
+func (c *Contact) RecordAnswer(w StoreCall, ran RanSince) {
 	c.Answered = w.Asked
 	if ran(w.Asked) {
 		c.Answered = w.Got
 	}
 }
 
-// Read returns the entry for a version that a process has read from the store.
+// EntryFor returns the entry for a version that a process has read from the store.
 // live is when the version was written, if it was received as it was written.
 // Otherwise the process was disconnected or suspended, and the earliest
 // possible time is used, which is the last confirmation (ageAtStart ago if
 // there is none): counted from the time of reading, the limit on older versions
 // would end later here than on other processes, by as long as this one was
 // disconnected.
-func (c Contact) Read(model string, version uint64, live Moment, now time.Duration) Entry {
-	e := Entry{Model: model, Version: version, Since: c.Confirmed, Read: true, Until: now}
+func (c Contact) EntryFor(model string, version uint64, live OptionalTime, now time.Duration) Entry {
+	e := Entry{Model: model, Version: version, Since: c.Confirmed, Read: true, ReadAt: now}
 	switch {
 	case !c.Known:
 		e.Since = now - ageAtStart
 	case live.Known:
-		e.Since, e.Heard = live.At, true
+		e.Since, e.Exact = live.At, true
 	}
 	return e
 }
@@ -115,12 +115,12 @@
 	c.Confirmed = max(c.Confirmed, since)
 }
 
-// Adopts reports whether state received from a peer, confirmed at since with
+// ShouldAdopt reports whether state received from a peer, confirmed at since with
 // revision at, replaces the current state. A newer revision does even if its
 // confirmation is older: the peer got the change from a watch that began before
 // another peer's latest one. Peers are asked in parallel, so another answer may
 // have arrived since the question was sent; a newer revision includes
 // everything that the other answer contained.
-func (c Contact) Adopts(since time.Duration, at uint64) bool {
+func (c Contact) ShouldAdopt(since time.Duration, at uint64) bool {
 	return at > c.Revision || at == c.Revision && (!c.Known || since > c.Confirmed)
 }
--- a/core/process/naming/naming.go
+++ b/core/process/naming/naming.go
@@ -19,27 +19,27 @@
 	// machine is suspended. When neither Heard nor Returned is set, it is the
 	// earliest time at which it can have been announced.
 	Since time.Duration
-	// Heard is set when this process, or the peer that reported the version,
+	// Exact is set when this process, or the peer that reported the version,
 	// was connected when the version was announced, so that Since is exact.
-	Heard bool
-	// Returned is set when no process that could have seen the announcement
+	Exact bool
+	// FromReturn is set when no process that could have seen the announcement
 	// reached the store; Since is then when the store became reachable again.
-	Returned bool
-	// Read is set when this process has read the version from the store itself.
-	// Until is when it did. Away reports whether the store was unreachable,
+	FromReturn bool
+	// EntryFor is set when this process has read the version from the store itself.
+	// ReadAt is when it did. Away reports whether the store was unreachable,
 	// although this process was running, from the last confirmation of its
 	// state until then.
-	Read  bool
-	Until time.Duration
-	Away  bool
+	Read             bool
+	ReadAt           time.Duration
+	StoreUnreachable bool
 }
 
 // certainty ranks entries by how reliable Since is: higher is better.
 func (e Entry) certainty() int {
 	switch {
-	case e.Heard:
+	case e.Exact:
 		return 2
-	case e.Returned:
+	case e.FromReturn:
 		return 1
 	default:
 		return 0
@@ -51,15 +51,15 @@
 // takes seconds.
 const maxVersionsPerModel = 8
 
-// Ledger holds what is known of each announcement. The zero value is ready to
+// Log holds what is known of each announcement. The zero value is ready to
 // use.
-type Ledger struct {
+type Log struct {
 	entries []Entry
 }
 
 // Add merges n into the ledger. It reports whether the ledger changed.
-func (l *Ledger) Add(n Entry) bool {
-	n.Returned = n.Returned && !n.Heard
+func (l *Log) Add(n Entry) bool {
+	n.FromReturn = n.FromReturn && !n.Exact
 	for i, old := range l.entries {
 		if old.Model == n.Model && old.Version == n.Version {
 			l.entries[i] = mergeEntries(old, n)
@@ -75,7 +75,7 @@
 }
 
 // dropOldest removes the oldest versions of a model beyond maxVersionsPerModel.
-func (l *Ledger) dropOldest(model string) {
+func (l *Log) dropOldest(model string) {
 	count := 0
 	for _, n := range l.entries {
 		if n.Model == model {
@@ -99,7 +99,7 @@
 	out := a
 	switch {
 	case b.certainty() > a.certainty():
-		out.Since, out.Heard, out.Returned = b.Since, b.Heard, b.Returned
+		out.Since, out.Exact, out.FromReturn = b.Since, b.Exact, b.FromReturn
 	case b.certainty() < a.certainty():
 	case a.certainty() == 0:
 		out.Since = max(a.Since, b.Since)
@@ -107,20 +107,20 @@
 		out.Since = min(a.Since, b.Since)
 	}
 	if b.Read && !a.Read {
-		out.Read, out.Until, out.Away = true, b.Until, b.Away
+		out.Read, out.ReadAt, out.StoreUnreachable = true, b.ReadAt, b.StoreUnreachable
 	}
 	return out
 }
 
 // All returns all entries, sorted by model and version.
-func (l *Ledger) All() []Entry { return slices.Clone(l.entries) }
+func (l *Log) All() []Entry { return slices.Clone(l.entries) }
 
 // Unresolved reports whether, for some model, no process is known to have seen
 // the newest version's announcement. Replaced versions don't count: a peer that
 // saw the newest one also reports the ones before it.
-func (l *Ledger) Unresolved() bool {
+func (l *Log) Unresolved() bool {
 	for i, n := range l.entries {
-		if !n.Heard && (i+1 == len(l.entries) || l.entries[i+1].Model != n.Model) {
+		if !n.Exact && (i+1 == len(l.entries) || l.entries[i+1].Model != n.Model) {
 			return true
 		}
 	}
--- a/core/process/naming/naming_test.go
+++ b/core/process/naming/naming_test.go
@@ -19,11 +19,11 @@
 			return Entry{
 				Model: "m", Version: rapid.Uint64Range(2, 4).Draw(t, "version"),
 				Since: time.Duration(rapid.IntRange(0, 20).Draw(t, "since")) * time.Second,
-				Heard: rapid.Bool().Draw(t, "heard"), Returned: rapid.Bool().Draw(t, "returned"),
+				Exact: rapid.Bool().Draw(t, "heard"), FromReturn: rapid.Bool().Draw(t, "returned"),
 				Read: rapid.Bool().Draw(t, "read"),
 			}
 		}), 1, 8).Draw(t, "statements")
-		var l, shuffled Ledger
+		var l, shuffled Log
 		for _, n := range statements {
 			l.Add(n)
 		}
@@ -38,13 +38,13 @@
 				if n.Version != got.Version {
 					continue
 				}
-				if n.Heard && (!got.Heard || got.Since > n.Since) {
+				if n.Exact && (!got.Exact || got.Since > n.Since) {
 					t.Fatalf("got %+v, want it no later than the exact %+v", got, n)
 				}
-				if !got.Heard && n.Returned && (!got.Returned || got.Since > n.Since) {
+				if !got.Exact && n.FromReturn && (!got.FromReturn || got.Since > n.Since) {
 					t.Fatalf("got %+v, want it no later than the store's return in %+v", got, n)
 				}
-				if !got.Heard && !got.Returned && got.Since < n.Since {
+				if !got.Exact && !got.FromReturn && got.Since < n.Since {
 					t.Fatalf("got %+v, want it no earlier than the lower bound %+v", got, n)
 				}
 			}
@@ -55,10 +55,10 @@
 // The oldest versions are dropped for each model separately, and only a model's
 // newest version can be unresolved.
 func TestOldVersionsAreDropped(t *testing.T) {
-	var l Ledger
-	l.Add(Entry{Model: "other", Version: 1, Heard: true})
+	var l Log
+	l.Add(Entry{Model: "other", Version: 1, Exact: true})
 	for v := range uint64(maxVersionsPerModel + 3) {
-		l.Add(Entry{Model: "m", Version: v + 1, Heard: v > 4})
+		l.Add(Entry{Model: "m", Version: v + 1, Exact: v > 4})
 	}
 	all := l.All()
 	if diff := cmp.Diff(maxVersionsPerModel+1, len(all)); diff != "" {
@@ -86,28 +86,28 @@
 	tests := []struct {
 		name  string
 		reply Reply
-		told  []Statement
+		told  []VersionReport
 		want  bool
 	}{
-		{"still unreachable", Reply{Away: true}, nil, true},
-		{"was unreachable", Reply{}, []Statement{{Away: true}}, true},
+		{"still unreachable", Reply{StoreUnreachable: true}, nil, true},
+		{"was unreachable", Reply{}, []VersionReport{{StoreUnreachable: true}}, true},
 		{"connected, without the version", Reply{}, nil, false},
-		{"connected, with the version", Reply{}, []Statement{{}}, false},
-		{"was unreachable, and knows that somebody saw it", Reply{}, []Statement{{Away: true, Heard: true}}, false},
+		{"connected, with the version", Reply{}, []VersionReport{{}}, false},
+		{"was unreachable, and knows that somebody saw it", Reply{}, []VersionReport{{StoreUnreachable: true, Exact: true}}, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			var l Ledger
-			l.Add(Entry{Model: "m", Version: 2, Since: last, Read: true, Until: back, Away: true})
+			var l Log
+			l.Add(Entry{Model: "m", Version: 2, Since: last, Read: true, ReadAt: back, StoreUnreachable: true})
 			for i := range tc.told {
 				tc.told[i].Model, tc.told[i].Version, tc.told[i].Age = "m", 2, time.Minute
 			}
 			// The answer is slow, so that its exact times are not used.
-			tc.reply.Asked, tc.reply.Got = back, back+2*MostRoundTrip
-			l.Take(tc.reply, tc.told, func(time.Duration) bool { return true })
-			want := Entry{Model: "m", Version: 2, Since: last, Read: true, Until: back, Away: true}
+			tc.reply.Asked, tc.reply.Got = back, back+2*MaxRoundTrip
+			l.Merge(tc.reply, tc.told, func(time.Duration) bool { return true })
+			want := Entry{Model: "m", Version: 2, Since: last, Read: true, ReadAt: back, StoreUnreachable: true}
 			if tc.want {
-				want.Since, want.Returned = back, true
+				want.Since, want.FromReturn = back, true
 			}
 			if diff := cmp.Diff([]Entry{want}, l.All()); diff != "" {
 				t.Errorf("entries (-want +got):\n%s", diff)
--- a/core/process/naming/settle_test.go
+++ b/core/process/naming/settle_test.go
@@ -24,7 +24,7 @@
 }
 
 // ranSince returns the process's own detection of pauses.
-func (m model) ranSince(p *process) Ran {
+func (m model) ranSince(p *process) RanSince {
 	return func(since time.Duration) bool { return m.disabled == pauseDetection || p.resumed <= since }
 }
 
@@ -57,9 +57,9 @@
 }
 
 func (m model) newWatch(s *modelState, p *process) *watch {
-	w := &watch{Call: Call{Asked: s.now}, after: p.Revision, list: !p.Known || p.historyLost}
+	w := &watch{StoreCall: StoreCall{Asked: s.now}, after: p.Revision, list: !p.Known || p.historyLost}
 	if !w.list {
-		w.Wait = m.effectiveContact(p, s.now).WaitOf(s.now, tick)
+		w.Wait = m.effectiveContact(p, s.now).WatchWait(s.now, tick)
 	}
 	p.historyLost = false
 	if p.pausesAfterCall {
@@ -82,14 +82,14 @@
 	if w.newest < p.Revision {
 		return
 	}
-	var live Moment
+	var live OptionalTime
 	if !w.list {
-		live = m.effectiveContact(p, w.Asked).LiveAt(w.Call, m.ranSince(p))
+		live = m.effectiveContact(p, w.Asked).ChangesMadeAt(w.StoreCall, m.ranSince(p))
 	}
 	if m.disabled == unreadAnswerGap {
 		p.Answered = w.Got
 	} else {
-		p.Answer(w.Call, m.ranSince(p))
+		p.RecordAnswer(w.StoreCall, m.ranSince(p))
 	}
 	if w.newest > p.Revision {
 		m.readVersion(s, p, w.newest, live)
@@ -102,8 +102,8 @@
 
 // readVersion records the version at a revision. Revision and version are the
 // same number here, and the store holds only that version then.
-func (m model) readVersion(s *modelState, p *process, version uint64, live Moment) {
-	e := p.Read("m", version, live, s.now)
+func (m model) readVersion(s *modelState, p *process, version uint64, live OptionalTime) {
+	e := p.EntryFor("m", version, live, s.now)
 	if m.disabled == lowerBoundWhenLate && p.Known && !live.Known {
 		e.Since = s.now
 	}
@@ -159,7 +159,7 @@
 // tick.
 func (m model) askPeers(s *modelState, i int) bool {
 	p := &s.processes[i]
-	if !p.runs() || p.partitioned || p.lastRound == s.now || !p.Questions(p.asked) {
+	if !p.runs() || p.partitioned || p.lastRound == s.now || !p.ShouldAsk(p.asked) {
 		return false
 	}
 	p.asked++
@@ -182,7 +182,7 @@
 			continue
 		}
 		q.answered, q.known, q.revision, q.age = true, p.Known, p.Revision, s.now-p.Confirmed
-		q.statements = p.Statements(s.now)
+		q.statements = p.VersionReports(s.now)
 		if m.disabled == replacedVersionsSent && len(q.statements) > 0 {
 			q.statements = q.statements[len(q.statements)-1:]
 		}
@@ -219,17 +219,17 @@
 }
 
 func (m model) applyReply(s *modelState, p *process, q question) {
-	r := Reply{Asked: q.asked, Got: s.now, Waited: q.longPoll}
+	r := Reply{Asked: q.asked, Got: s.now, LongPoll: q.longPoll}
 	statements := q.statements
 	switch m.disabled {
 	case promptReplyCheck:
 		r.Asked = r.Got
 	case earliestExact:
-		statements = slices.DeleteFunc(slices.Clone(statements), func(t Statement) bool {
-			return slices.ContainsFunc(p.entries, func(e Entry) bool { return e.Heard && e.Version == t.Version })
+		statements = slices.DeleteFunc(slices.Clone(statements), func(t VersionReport) bool {
+			return slices.ContainsFunc(p.entries, func(e Entry) bool { return e.Exact && e.Version == t.Version })
 		})
 	}
-	p.Take(r, statements, m.ranSince(p))
+	p.Merge(r, statements, m.ranSince(p))
 	switch m.disabled {
 	case confirmedWhenAsked:
 		r.Asked = r.Got
@@ -237,11 +237,11 @@
 		q.age = 0
 	}
 	since := r.Since(q.age)
-	if !p.Adopts(since, q.revision) {
+	if !p.ShouldAdopt(since, q.revision) {
 		return
 	}
 	if q.revision > p.Revision {
-		m.readVersion(s, p, q.revision, Moment{})
+		m.readVersion(s, p, q.revision, OptionalTime{})
 	}
 	p.Confirm(since, q.revision)
 }
--- a/core/process/naming/state_test.go
+++ b/core/process/naming/state_test.go
@@ -11,7 +11,7 @@
 // watch is a watch or list request to the store. done is set once the store has
 // answered, with newest being its newest version then.
 type watch struct {
-	Call
+	StoreCall
 	after  uint64
 	list   bool
 	done   bool
@@ -25,7 +25,7 @@
 	after      uint64
 	longPoll   bool
 	answered   bool
-	statements []Statement
+	statements []VersionReport
 	revision   uint64
 	age        time.Duration
 	known      bool
@@ -34,7 +34,7 @@
 // process is one process of the model: the code under test and what disturbs it.
 type process struct {
 	Contact
-	Ledger
+	Log
 	watch       *watch
 	paused      bool
 	partitioned bool
@@ -160,7 +160,7 @@
 		for _, t := range q.statements {
 			w.version(t.Version)
 			w.time(t.Age)
-			w.flag(t.Heard)
+			w.flag(t.Exact)
 		}
 	}
 	return string(w)
@@ -181,7 +181,7 @@
 	for _, e := range p.entries {
 		w.version(e.Version)
 		w.time(s.now - e.Since)
-		w.flag(e.Heard)
+		w.flag(e.Exact)
 	}
 	if c := p.watch; c != nil {
 		w.flag(c.list, c.done)
--- a/core/process/naming/statement.go
+++ b/core/process/naming/statement.go
@@ -8,36 +8,36 @@
 )
 
 const (
-	// MostRoundTrip is the longest round trip of a question to a peer for which
+	// MaxRoundTrip is the longest round trip of a question to a peer for which
 	// the answer's ages are still taken as exact. It bounds their error.
-	MostRoundTrip = 100 * time.Millisecond
-	// LeastQuestions is the minimum number of times that peers are asked about
+	MaxRoundTrip = 100 * time.Millisecond
+	// MinQuestions is the minimum number of times that peers are asked about
 	// each version. Even a peer that saw the announcement may have seen it
 	// slightly late, and the earliest of several answers is used.
-	LeastQuestions = 2
-	// MostQuestions limits how often peers are asked while none of them saw the
+	MinQuestions = 2
+	// MaxQuestions limits how often peers are asked while none of them saw the
 	// announcement. The peers asked first may have been disconnected too, and
 	// after a power loss of all machines no process knows.
-	MostQuestions = 6
+	MaxQuestions = 6
 )
 
-// Statement is what a process reports to its peers about one version. Age is
+// VersionReport is what a process reports to its peers about one version. Age is
 // how long ago it was announced. It is exact if Heard (some process saw the
 // announcement) or Returned (no process could reach the store then, and the age
 // counts from its return) is set, otherwise an upper bound. Away reports that
 // the store was unreachable for the sender until it read the version.
-type Statement struct {
+type VersionReport struct {
 	Model   string        `msgpack:"model"`
 	Version uint64        `msgpack:"version"`
 	Age     time.Duration `msgpack:"age"`
-	Heard   bool          `msgpack:"heard"`
-	// Returned qualifies Age in the same way as Heard.
-	Returned bool `msgpack:"returned"`
-	Away     bool `msgpack:"away"`
+	Exact   bool          `msgpack:"heard"`
+	// FromReturn qualifies Age in the same way as Heard.
+	FromReturn       bool `msgpack:"returned"`
+	StoreUnreachable bool `msgpack:"away"`
 }
 
 // Check returns an error for the first field that is out of range.
-func (s *Statement) Check() error {
+func (s *VersionReport) Check() error {
 	if s.Model == "" || s.Version == 0 {
 		return errors.Newf("factsTell: version %d of model %q: want a model and a version above 0", s.Version, s.Model)
 	}
@@ -47,11 +47,11 @@
 	return nil
 }
 
-// Statements returns the ledger's entries in the form sent to peers.
-func (l *Ledger) Statements(now time.Duration) []Statement {
-	var out []Statement
+// VersionReports returns the ledger's entries in the form sent to peers.
+func (l *Log) VersionReports(now time.Duration) []VersionReport {
+	var out []VersionReport
 	for _, n := range l.entries {
-		out = append(out, Statement{Model: n.Model, Version: n.Version, Age: max(0, now-n.Since), Heard: n.Heard, Returned: n.Returned, Away: n.Away})
+		out = append(out, VersionReport{Model: n.Model, Version: n.Version, Age: max(0, now-n.Since), Exact: n.Exact, FromReturn: n.FromReturn, StoreUnreachable: n.StoreUnreachable})
 	}
 	return out
 }
@@ -60,12 +60,12 @@
 // which the peer answers only once it has a change to report or the wait is
 // over.
 type Reply struct {
-	Asked  time.Duration
-	Got    time.Duration
-	Waited bool
-	// Away is set when the store has become unreachable for the peer and still
+	Asked    time.Duration
+	Got      time.Duration
+	LongPoll bool
+	// StoreUnreachable is set when the store has become unreachable for the peer and still
 	// is.
-	Away bool
+	StoreUnreachable bool
 }
 
 // Since returns the time at which a fact held that the peer had confirmed age
@@ -73,22 +73,22 @@
 // sent, so this is a lower bound.
 func (r Reply) Since(age time.Duration) time.Duration { return r.Asked - age }
 
-// Prompt reports whether the reply was read shortly after it was given, so that
+// ReadPromptly reports whether the reply was read shortly after it was given, so that
 // ages in it count from its arrival. The reply to a long poll is assumed to be
 // if this process was not suspended meanwhile.
-func (r Reply) Prompt(ran Ran) bool {
-	return r.Got-r.Asked <= MostRoundTrip || r.Waited && ran(r.Asked)
+func (r Reply) ReadPromptly(ran RanSince) bool {
+	return r.Got-r.Asked <= MaxRoundTrip || r.LongPoll && ran(r.Asked)
 }
 
-// Take merges the statements of a peer, whatever revision the peer holds: a
+// Merge merges the statements of a peer, whatever revision the peer holds: a
 // process that resumes may have read the store before its peers answer. It
 // reports whether the ledger changed.
-func (l *Ledger) Take(r Reply, told []Statement, ran Ran) bool {
-	prompt := r.Prompt(ran)
+func (l *Log) Merge(r Reply, told []VersionReport, ran RanSince) bool {
+	prompt := r.ReadPromptly(ran)
 	news := false
 	for _, t := range told {
-		e := Entry{Model: t.Model, Version: t.Version, Since: r.Since(t.Age), Heard: t.Heard && prompt, Returned: t.Returned && prompt}
-		if e.Heard || e.Returned {
+		e := Entry{Model: t.Model, Version: t.Version, Since: r.Since(t.Age), Exact: t.Exact && prompt, FromReturn: t.FromReturn && prompt}
+		if e.Exact || e.FromReturn {
 			// Counting from arrival errs towards later by the transit time,
 			// never towards earlier. With errors in both directions, peers that
 			// ask each other would move the time further and further.
@@ -106,24 +106,24 @@
 // it by a time at which no process could have told them of it. If some process
 // did see the announcement after all, its time takes precedence. It reports
 // whether the ledger changed.
-func (l *Ledger) countFromReturn(r Reply, told []Statement) bool {
+func (l *Log) countFromReturn(r Reply, told []VersionReport) bool {
 	news := false
 	for i, e := range l.entries {
-		if !e.Read || !e.Away || e.Heard || e.Returned {
+		if !e.Read || !e.StoreUnreachable || e.Exact || e.FromReturn {
 			continue
 		}
-		at := slices.IndexFunc(told, func(t Statement) bool { return t.Model == e.Model && t.Version == e.Version })
-		if at < 0 && r.Away || at >= 0 && told[at].Away && !told[at].Heard {
-			l.entries[i].Since, l.entries[i].Returned = e.Until, true
+		at := slices.IndexFunc(told, func(t VersionReport) bool { return t.Model == e.Model && t.Version == e.Version })
+		if at < 0 && r.StoreUnreachable || at >= 0 && told[at].StoreUnreachable && !told[at].Exact {
+			l.entries[i].Since, l.entries[i].FromReturn = e.ReadAt, true
 			news = true
 		}
 	}
 	return news
 }
 
-// Questions reports whether peers have to be asked again about the newest
+// ShouldAsk reports whether peers have to be asked again about the newest
 // version, after they were asked the given number of times.
-func (l *Ledger) Questions(asked int) bool {
-	enough := asked >= MostQuestions || asked >= LeastQuestions && !l.Unresolved()
+func (l *Log) ShouldAsk(asked int) bool {
+	enough := asked >= MaxQuestions || asked >= MinQuestions && !l.Unresolved()
 	return !enough && len(l.entries) > 0
 }
--- a/io/process/feed/log.go
+++ b/io/process/feed/log.go
@@ -41,14 +41,14 @@
 func (f *Feed) logAnnouncementTimes(before []naming.Entry) {
 	for _, e := range f.announcements.All() {
 		i := slices.IndexFunc(before, func(b naming.Entry) bool { return b.Model == e.Model && b.Version == e.Version })
-		if i >= 0 && before[i].Heard == e.Heard && before[i].Returned == e.Returned {
+		if i >= 0 && before[i].Exact == e.Exact && before[i].FromReturn == e.FromReturn {
 			continue
 		}
 		reason := "no process is known to have received it when it was announced"
 		switch {
-		case e.Heard:
+		case e.Exact:
 			reason = "received when it was announced"
-		case e.Returned:
+		case e.FromReturn:
 			reason = "the store was unreachable and came back"
 		}
 		f.Log.Decide(trail.Decision{
--- a/io/process/feed/query.go
+++ b/io/process/feed/query.go
@@ -41,8 +41,8 @@
 )
 
 // queryAnnouncements asks peers when the versions that this process has read
-// were announced: until that is known or naming.MostQuestions is reached, and
-// naming.LeastQuestions times in any case.
+// were announced: until that is known or naming.MaxQuestions is reached, and
+// naming.MinQuestions times in any case.
 func (f *Feed) queryAnnouncements(ctx context.Context) {
 	for {
 		changed := f.Changed()
@@ -82,7 +82,7 @@
 func (f *Feed) nextAnnouncementQuery() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.nextQuery - f.Awake(), f.announcements.Questions(f.queries)
+	return f.nextQuery - f.Awake(), f.announcements.ShouldAsk(f.queries)
 }
 
 // countQuery counts a query and schedules the next one.
@@ -245,11 +245,11 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := naming.Reply{Asked: asked, Got: f.Awake(), Waited: waited, Away: reply.Away}
+	r := naming.Reply{Asked: asked, Got: f.Awake(), LongPoll: waited, StoreUnreachable: reply.Away}
 	f.mergeAnnouncements(r, reply.Announced)
 	f.recordPeerReply(waited, reply.Age)
 	since := r.Since(reply.Age)
-	if !f.contact().Adopts(since, reply.At) {
+	if !f.contact().ShouldAdopt(since, reply.At) {
 		return
 	}
 	if reply.At > f.revision {
@@ -265,7 +265,7 @@
 // held.
 func (f *Feed) applyReply(reply *factsReply) {
 	if reply.Changes {
-		f.apply(reply.Items, naming.Moment{})
+		f.apply(reply.Items, naming.OptionalTime{})
 		return
 	}
 	present := make(map[string]bool, len(reply.Keys))
@@ -278,5 +278,5 @@
 			items = append(items, Item{Key: key, Revision: reply.At, Deleted: true})
 		}
 	}
-	f.apply(items, naming.Moment{})
+	f.apply(items, naming.OptionalTime{})
 }
--- a/io/process/feed/relay.go
+++ b/io/process/feed/relay.go
@@ -87,7 +87,7 @@
 	// Announced lists the announced versions, including replaced ones: the
 	// store holds only the newest, and the time limit that counts from an
 	// earlier announcement ends first.
-	Announced []naming.Statement `msgpack:"named"`
+	Announced []naming.VersionReport `msgpack:"named"`
 	// Away is set if the sender has been unable to reach the store since Age
 	// ago.
 	Away bool `msgpack:"away"`
@@ -186,7 +186,7 @@
 func (f *Feed) buildReply(req *factsRequest) []*factsReply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := &factsReply{Known: f.known, At: f.revision, Age: max(0, f.Awake()-f.confirmed), Announced: f.announcements.Statements(f.Awake()), Away: f.contact().Away(f.ranSince), StoreLost: f.storeLost}
+	t := &factsReply{Known: f.known, At: f.revision, Age: max(0, f.Awake()-f.confirmed), Announced: f.announcements.VersionReports(f.Awake()), Away: f.contact().StoreUnreachable(f.ranSince), StoreLost: f.storeLost}
 	if !f.known || f.revision <= req.After {
 		t.Last = true
 		return []*factsReply{t}
--- a/io/process/feed/removals_test.go
+++ b/io/process/feed/removals_test.go
@@ -62,7 +62,7 @@
 	} else {
 		for _, it := range s.log {
 			if it.Revision > f.revision {
-				f.apply([]Item{it}, naming.Moment{})
+				f.apply([]Item{it}, naming.OptionalTime{})
 			}
 		}
 	}
--- a/io/process/feed/store_outage_test.go
+++ b/io/process/feed/store_outage_test.go
@@ -93,7 +93,7 @@
 	s.set("version/m", "2", false)
 	eventually(t, "one entry has received version 2", func() bool { return newestVersion(connected.Feed) == 2 })
 	// Its report to the others takes up to this much longer.
-	announcedAt := time.Now().Add(naming.MostRoundTrip)
+	announcedAt := time.Now().Add(naming.MaxRoundTrip)
 	storeOutage(2*time.Second, cutA, cutB)
 	for _, w := range []*peerFeed{a, b} {
 		eventually(t, "it counts from the announcement", func() bool { return announcedBy(w.Feed, announcedAt) == 2 })
--- a/io/process/feed/versions.go
+++ b/io/process/feed/versions.go
@@ -36,19 +36,19 @@
 }
 
 // recordAnswerTime records when the store answered a call. f.mu must be held.
-func (f *Feed) recordAnswerTime(call naming.Call) {
+func (f *Feed) recordAnswerTime(call naming.StoreCall) {
 	c := f.contact()
-	c.Answer(call, f.ranSince)
+	c.RecordAnswer(call, f.ranSince)
 	f.answeredUntil = c.Answered
 }
 
 // addAnnouncement records a version that was just read from an item. live is
 // when the item was written, on the Awake clock, known only if it was received
 // as it was written. f.mu must be held.
-func (f *Feed) addAnnouncement(v *facts.Named, live naming.Moment) {
+func (f *Feed) addAnnouncement(v *facts.Named, live naming.OptionalTime) {
 	c := f.contact()
-	e := c.Read(v.Model, v.Version, live, f.Awake())
-	e.Away = c.Away(f.ranSince)
+	e := c.EntryFor(v.Model, v.Version, live, f.Awake())
+	e.StoreUnreachable = c.StoreUnreachable(f.ranSince)
 	f.announcements.Add(e)
 	f.queries = 0
 	f.scheduleQuery()
@@ -58,9 +58,9 @@
 
 // mergeAnnouncements merges what a peer reports about announcements. f.mu must
 // be held.
-func (f *Feed) mergeAnnouncements(r naming.Reply, statements []naming.Statement) {
+func (f *Feed) mergeAnnouncements(r naming.Reply, statements []naming.VersionReport) {
 	before := f.announcements.All()
-	if !f.announcements.Take(r, statements, f.ranSince) || !f.known {
+	if !f.announcements.Merge(r, statements, f.ranSince) || !f.known {
 		return
 	}
 	f.logAnnouncementTimes(before)
--- a/io/process/feed/watch.go
+++ b/io/process/feed/watch.go
@@ -22,7 +22,7 @@
 		return f.list(ctx)
 	}
 	asked := f.Awake()
-	wait = contact.WaitOf(asked, wait)
+	wait = contact.WatchWait(asked, wait)
 	callCtx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	c, err := f.Store.Watch(callCtx, contact.Revision, wait)
@@ -41,8 +41,8 @@
 	defer f.mu.Unlock()
 	// A peer may have sent a newer revision in the meantime.
 	if c.At >= f.revision {
-		call := naming.Call{Asked: asked, Got: got, Wait: wait}
-		live := f.contact().LiveAt(call, f.ranSince)
+		call := naming.StoreCall{Asked: asked, Got: got, Wait: wait}
+		live := f.contact().ChangesMadeAt(call, f.ranSince)
 		f.recordStoreAnswer(f.Wait)
 		f.recordAnswerTime(call)
 		f.apply(c.Items, live)
@@ -81,7 +81,7 @@
 	if first < f.revision {
 		return nil
 	}
-	f.recordAnswerTime(naming.Call{Asked: asked, Got: f.Awake()})
+	f.recordAnswerTime(naming.StoreCall{Asked: asked, Got: f.Awake()})
 	f.replaceAll(items, first)
 	f.confirm(asked, first)
 	return nil
