--- a/core/process/facts/facts.go
+++ b/core/process/facts/facts.go
@@ -24,23 +24,23 @@
 	Zone    string
 	Slots   int
 	Leaving bool
-	// Born is when this run of the target started, by its own clock; zero if it
+	// StartedAt is when this run of the target started, by its own clock; zero if it
 	// does not report that.
-	Born time.Time
-	// Warming is for how much longer the target is expected to be slow after
+	StartedAt time.Time
+	// WarmupLeft is for how much longer the target is expected to be slow after
 	// its start.
-	Warming time.Duration
+	WarmupLeft time.Duration
 	// Serving is the version of each model that the target last reported; 0
 	// means none.
 	Serving map[string]uint64
-	// Whole is false while an engine lacks some of the layers of its weights.
-	Whole bool
+	// WeightsComplete is false while an engine lacks some of the layers of its weights.
+	WeightsComplete bool
 }
 
 // Named is a version of a model that the operator announced. Since is when that
 // was or, if this process does not know, the earliest time at which it can have
 // been.
-type Named struct {
+type ModelVersion struct {
 	Model   string
 	Version uint64
 	Since   time.Time
@@ -52,9 +52,9 @@
 // Origin is the server from which model weights are downloaded. Rate is the
 // bandwidth of its link in bytes per second.
 type Origin struct {
-	Address netip.AddrPort
-	Zone    string
-	Rate    int64
+	Address  netip.AddrPort
+	Zone     string
+	LinkRate int64
 }
 
 // Facts is one consistent, immutable snapshot. Table is nil until a
@@ -64,24 +64,24 @@
 	Revision uint64
 	Table    *table.Table
 	Targets  []Target
-	Versions []Named
+	Versions []ModelVersion
 	Origin   Origin
 }
 
 // Latest returns the newest announced version of a model.
-func (f *Facts) Latest(model string) (Named, bool) {
-	return f.newest(model, func(Named) bool { return true })
+func (f *Facts) Latest(model string) (ModelVersion, bool) {
+	return f.newest(model, func(ModelVersion) bool { return true })
 }
 
 // Due returns the newest version of a model that was announced before the given
 // time. Each version has its own time limit: announcing another one soon
 // afterwards does not postpone the limit of the first.
-func (f *Facts) Due(model string, before time.Time) (Named, bool) {
-	return f.newest(model, func(v Named) bool { return v.Since.Before(before) })
+func (f *Facts) Due(model string, before time.Time) (ModelVersion, bool) {
+	return f.newest(model, func(v ModelVersion) bool { return v.Since.Before(before) })
 }
 
-func (f *Facts) newest(model string, ok func(Named) bool) (Named, bool) {
-	var best Named
+func (f *Facts) newest(model string, ok func(ModelVersion) bool) (ModelVersion, bool) {
+	var best ModelVersion
 	for _, v := range f.Versions {
 		if v.Model == model && v.Version > best.Version && ok(v) {
 			best = v
@@ -94,7 +94,7 @@
 // replaced by a newer one, or false if it is the newest.
 func (f *Facts) ReplacedSince(model string, serving uint64) (time.Time, bool) {
 	var first time.Time
-	for _, v := range f.Named(model) {
+	for _, v := range f.VersionsOf(model) {
 		if v.Version > serving && (first.IsZero() || v.Since.Before(first)) {
 			first = v.Since
 		}
@@ -103,13 +103,13 @@
 }
 
 // Named returns the announced versions of a model, newest first.
-func (f *Facts) Named(model string) []Named {
-	var out []Named
+func (f *Facts) VersionsOf(model string) []ModelVersion {
+	var out []ModelVersion
 	for _, v := range f.Versions {
 		if v.Model == model {
 			out = append(out, v)
 		}
 	}
-	slices.SortFunc(out, func(a, b Named) int { return cmp.Compare(b.Version, a.Version) })
+	slices.SortFunc(out, func(a, b ModelVersion) int { return cmp.Compare(b.Version, a.Version) })
 	return out
 }
--- a/core/process/facts/present.go
+++ b/core/process/facts/present.go
@@ -12,20 +12,20 @@
 	address netip.AddrPort
 }
 
-// Present removes the targets whose address has been taken over by a later
+// DropReplaced removes the targets whose address has been taken over by a later
 // start of the same service. It modifies the given slice. A target that lost
 // power stays in the list for some heartbeats next to its successor. Requests
 // sent to the old one are rejected, and while a whole service restarts such
 // requests would use up the retry budget.
-func Present(all []Target) []Target {
+func DropReplaced(all []Target) []Target {
 	latest := map[endpoint]time.Time{}
 	for _, t := range all {
 		e := endpoint{t.Service, t.Address}
-		if t.Born.After(latest[e]) {
-			latest[e] = t.Born
+		if t.StartedAt.After(latest[e]) {
+			latest[e] = t.StartedAt
 		}
 	}
 	return slices.DeleteFunc(all, func(t Target) bool {
-		return !t.Born.IsZero() && t.Born.Before(latest[endpoint{t.Service, t.Address}])
+		return !t.StartedAt.IsZero() && t.StartedAt.Before(latest[endpoint{t.Service, t.Address}])
 	})
 }
--- a/core/process/facts/present_test.go
+++ b/core/process/facts/present_test.go
@@ -16,12 +16,12 @@
 func TestPresentKeepsTheLatestStart(t *testing.T) {
 	at := func(s int64) time.Time { return time.Unix(s, 0) }
 	a, b := netip.MustParseAddrPort("10.0.0.1:80"), netip.MustParseAddrPort("10.0.0.2:80")
-	got := Present([]Target{
-		{ID: "old", Service: "s", Address: a, Born: at(1)},
-		{ID: "new", Service: "s", Address: a, Born: at(2)},
-		{ID: "alone", Service: "s", Address: b, Born: at(1)},
+	got := DropReplaced([]Target{
+		{ID: "old", Service: "s", Address: a, StartedAt: at(1)},
+		{ID: "new", Service: "s", Address: a, StartedAt: at(2)},
+		{ID: "alone", Service: "s", Address: b, StartedAt: at(1)},
 		{ID: "untold", Service: "s", Address: a},
-		{ID: "other", Service: "o", Address: a, Born: at(1)},
+		{ID: "other", Service: "o", Address: a, StartedAt: at(1)},
 	})
 	var ids []string
 	for _, t := range got {
--- a/core/process/naming/age_explore_test.go
+++ b/core/process/naming/age_explore_test.go
@@ -79,9 +79,9 @@
 	var age facts.Age
 	if m.disabled == ageReadFirst {
 		f = b.Current()
-		age.Most, age.Known = b.Age()
+		age.Max, age.Known = b.Age()
 	} else {
-		f, age = facts.Take(b)
+		f, age = facts.Snapshot(b)
 	}
 	if age.OlderThan(maxKeyAge) || f.Revision == 0 {
 		return nil
--- a/core/process/naming/explore_test.go
+++ b/core/process/naming/explore_test.go
@@ -214,7 +214,7 @@
 		if e.Version == version && e.Since > named {
 			return errors.Newf("dates the announcement of version %d %s too late", version, e.Since-named)
 		}
-		f.Versions = append(f.Versions, facts.Named{Model: e.Model, Version: e.Version, Since: time.Time{}.Add(e.Since)})
+		f.Versions = append(f.Versions, facts.ModelVersion{Model: e.Model, Version: e.Version, Since: time.Time{}.Add(e.Since)})
 	}
 	if due, _ := f.Due("m", time.Time{}.Add(named+1)); due.Version < version {
 		return errors.Newf("requires version %d, want %d or newer after its time limit", due.Version, version)
--- a/core/request/place/place_test.go
+++ b/core/request/place/place_test.go
@@ -326,7 +326,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			f := testFacts(usualEngine, 16, "a")
-			f.Targets[0].Born = tc.listed
+			f.Targets[0].StartedAt = tc.listed
 			p := testPlacer(f)
 			p.Report(start, "a", LoadReport{Alive: true, ServedVersion: 1, StartedAt: present})
 			if diff := cmp.Diff(tc.want, decisions(p.Offer(start, testWork("1")))); diff != "" {
--- a/core/request/place/target.go
+++ b/core/request/place/target.go
@@ -96,8 +96,8 @@
 }
 
 func (t *target) applyReport(now time.Time, r LoadReport) {
-	if !t.Born.IsZero() && !r.StartedAt.IsZero() && !r.StartedAt.Equal(t.Born) {
-		if r.StartedAt.Before(t.Born) {
+	if !t.StartedAt.IsZero() && !r.StartedAt.IsZero() && !r.StartedAt.Equal(t.StartedAt) {
+		if r.StartedAt.Before(t.StartedAt) {
 			return
 		}
 		// Another engine runs at this address. The one in the list has ended, though
--- a/io/process/alert/listchecker.go
+++ b/io/process/alert/listchecker.go
@@ -40,7 +40,7 @@
 			return nil
 		case <-l.Clock.After(checkInterval):
 		}
-		f, age := facts.Take(l.Source)
+		f, age := facts.Snapshot(l.Source)
 		switch {
 		case age.OlderThan(maxListAge):
 			freshSince = l.Clock.Now()
@@ -53,7 +53,7 @@
 func listedStarts(f *facts.Facts) map[poison.Incarnation]bool {
 	out := make(map[poison.Incarnation]bool, len(f.Targets))
 	for _, t := range f.Targets {
-		out[poison.NewIncarnation(t.ID, t.Born)] = true
+		out[poison.NewIncarnation(t.ID, t.StartedAt)] = true
 	}
 	return out
 }
--- a/io/process/alert/listchecker_test.go
+++ b/io/process/alert/listchecker_test.go
@@ -29,7 +29,7 @@
 	born := time.Unix(1000, 0)
 	clock := clockwork.NewFakeClock()
 	registry := &Registry{Clock: clock, Log: trail.Discard{}, Metrics: tally.NoopScope}
-	source := &fakeSource{facts: &facts.Facts{Targets: []facts.Target{{ID: "a", Born: born}, {ID: "b", Born: born}}}}
+	source := &fakeSource{facts: &facts.Facts{Targets: []facts.Target{{ID: "a", StartedAt: born}, {ID: "b", StartedAt: born}}}}
 	source.age.Store(int64(time.Minute))
 	for _, id := range []string{"a", "b", "c"} {
 		registry.Struck(crashKey, poison.NewIncarnation(id, born), 0)
--- a/io/process/feed/announcement_test.go
+++ b/io/process/feed/announcement_test.go
@@ -356,7 +356,7 @@
 	f.Peers = func() []Peer { return []Peer{peer} }
 	runFeed(t, f)
 	eventually(t, "all targets are received", func() bool { return len(f.Current().Targets) == 3 })
-	if diff := cmp.Diff(3, len(f.Current().Named("m"))); diff != "" {
+	if diff := cmp.Diff(3, len(f.Current().VersionsOf("m"))); diff != "" {
 		t.Errorf("versions known (-want +got):\n%s", diff)
 	}
 }
--- a/io/process/feed/fakes_test.go
+++ b/io/process/feed/fakes_test.go
@@ -35,7 +35,7 @@
 		return Fact{Target: &facts.Target{ID: id, Service: "svc"}}, nil
 	}
 	if model, ok := strings.CutPrefix(it.Key, "version/"); ok {
-		return Fact{Version: &facts.Named{Model: model, Version: n}}, nil
+		return Fact{Version: &facts.ModelVersion{Model: model, Version: n}}, nil
 	}
 	return Fact{Config: &Config{Table: &table.Table{Version: n}}}, nil
 }
--- a/io/process/feed/log.go
+++ b/io/process/feed/log.go
@@ -61,7 +61,7 @@
 // logVersion logs a version that this process has read. AgeMS is how long ago
 // it last knew that there was no such version: the version was announced since
 // then, or just now if live is set.
-func (f *Feed) logVersion(v *facts.Named, revision uint64, live bool) {
+func (f *Feed) logVersion(v *facts.ModelVersion, revision uint64, live bool) {
 	d := trail.Decision{
 		Area: trail.AreaConfig, Action: "versionNamed", Subject: v.Model, Choice: versionText(v.Version), Revision: revision,
 	}
--- a/io/process/feed/publish.go
+++ b/io/process/feed/publish.go
@@ -48,7 +48,7 @@
 			now.Targets = append(now.Targets, *fact.Target)
 		}
 	}
-	now.Targets = facts.Present(now.Targets)
+	now.Targets = facts.DropReplaced(now.Targets)
 	f.current.Store(now)
 	f.Self.Revision.Store(f.revision)
 	if old.Revision != now.Revision || old.Table != now.Table || len(old.Targets) != len(now.Targets) {
--- a/io/process/feed/store.go
+++ b/io/process/feed/store.go
@@ -47,7 +47,7 @@
 type Fact struct {
 	Config  *Config
 	Target  *facts.Target
-	Version *facts.Named
+	Version *facts.ModelVersion
 }
 
 // Config is the operator's configuration and the origin that it names.
--- a/io/process/feed/versions.go
+++ b/io/process/feed/versions.go
@@ -45,7 +45,7 @@
 // addAnnouncement records a version that was just read from an item. live is
 // when the item was written, on the Awake clock, known only if it was received
 // as it was written. f.mu must be held.
-func (f *Feed) addAnnouncement(v *facts.Named, live naming.OptionalTime) {
+func (f *Feed) addAnnouncement(v *facts.ModelVersion, live naming.OptionalTime) {
 	c := f.contact()
 	e := c.EntryFor(v.Model, v.Version, live, f.Awake())
 	e.StoreUnreachable = c.StoreUnreachable(f.ranSince)
@@ -69,11 +69,11 @@
 
 // versions returns the announced versions with times on the feed's Clock. f.mu
 // must be held.
-func (f *Feed) versions() []facts.Named {
+func (f *Feed) versions() []facts.ModelVersion {
 	now, awake := f.Clock.Now(), f.Awake()
-	var out []facts.Named
+	var out []facts.ModelVersion
 	for _, n := range f.announcements.All() {
-		out = append(out, facts.Named{Model: n.Model, Version: n.Version, Since: now.Add(n.Since - awake), Read: n.Read})
+		out = append(out, facts.ModelVersion{Model: n.Model, Version: n.Version, Since: now.Add(n.Since - awake), Read: n.Read})
 	}
 	return out
 }
--- a/io/process/hosted/rollout.go
+++ b/io/process/hosted/rollout.go
@@ -92,7 +92,7 @@
 	}
 	// Skips replaced versions that only peers know of: such a version was replaced
 	// before this process started, or would have to be fetched from scratch.
-	announced := slices.DeleteFunc(f.Named(s.Engine.Model), func(v facts.Named) bool { return !v.Read })
+	announced := slices.DeleteFunc(f.VersionsOf(s.Engine.Model), func(v facts.ModelVersion) bool { return !v.Read })
 	if len(announced) == 0 {
 		return s.Engine.Model, []uint64{firstVersion}, true
 	}
--- a/io/process/hosted/state.go
+++ b/io/process/hosted/state.go
@@ -75,8 +75,8 @@
 }
 
 // newestVersions returns the newest announced version of each model.
-func newestVersions(f *facts.Facts) []facts.Named {
-	return slices.DeleteFunc(slices.Clone(f.Versions), func(v facts.Named) bool {
+func newestVersions(f *facts.Facts) []facts.ModelVersion {
+	return slices.DeleteFunc(slices.Clone(f.Versions), func(v facts.ModelVersion) bool {
 		newest, _ := f.Latest(v.Model)
 		return newest.Version != v.Version
 	})
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -140,7 +140,7 @@
 // need not be updated later: the limits on it apply up to when the caller sent the
 // request, which was before.
 func (s *Server) snapshotFacts(q *request) {
-	q.facts, q.factsAge = facts.Take(s.Source)
+	q.facts, q.factsAge = facts.Snapshot(s.Source)
 }
 
 // matchRoute finds the route of the request and picks its service.
@@ -269,7 +269,7 @@
 		return nil
 	}
 	var out []place.VersionLimit
-	for _, v := range s.Source.Current().Named(e.Model) {
+	for _, v := range s.Source.Current().VersionsOf(e.Model) {
 		out = append(out, place.VersionLimit{Version: v.Version, Until: v.Since.Add(s.Rules.Version - beginMargin)})
 	}
 	return out
@@ -290,7 +290,7 @@
 
 // logMinVersion logs a new minimum version once, with how long ago it was announced as
 // far as this process knows.
-func (s *Server) logMinVersion(v facts.Named) {
+func (s *Server) logMinVersion(v facts.ModelVersion) {
 	if last, loaded := s.loggedVersions.Swap(v.Model, v.Version); loaded && last == v.Version {
 		return
 	}
--- a/io/request/direct/suspects.go
+++ b/io/request/direct/suspects.go
@@ -58,7 +58,7 @@
 // reportOutcome tells Suspects what the end of an attempt says about the request and
 // its target.
 func (s *Server) reportOutcome(q *request, t facts.Target, o resend.Outcome, err error) {
-	at := poison.NewIncarnation(t.ID, t.Born)
+	at := poison.NewIncarnation(t.ID, t.StartedAt)
 	switch {
 	case o == resend.Broken && (lostConnection(err) || lostConnection(q.progress.responseErr)):
 		s.Suspects.Struck(q.fingerprint(), at, q.progress.responseDuration(s.Clock.Now()))
--- a/io/request/direct/watchdog_test.go
+++ b/io/request/direct/watchdog_test.go
@@ -25,7 +25,7 @@
 
 // announce adds an announced version of model m.
 func (s *testSource) announce(version uint64, since time.Time) {
-	next := &facts.Facts{Versions: append([]facts.Named{{Model: "m", Version: version, Since: since}}, s.facts.Versions...)}
+	next := &facts.Facts{Versions: append([]facts.ModelVersion{{Model: "m", Version: version, Since: since}}, s.facts.Versions...)}
 	s.facts = next
 }
 
