--- a/core/process/gossip/action.go
+++ b/core/process/gossip/action.go
@@ -25,18 +25,18 @@
 	State State
 }
 
-// Ignore reports a state that was read from the platform but does not supersede
+// Ignored reports a state that was read from the platform but does not supersede
 // the held one.
-type Ignore struct {
+type Ignored struct {
 	Topic Topic
 	Mark  Mark
 	Held  Mark
 }
 
-// Refuse reports an invalid state or delta. Peer is the sender of a delta that
+// Refused reports an invalid state or delta. Peer is the sender of a delta that
 // could not be applied. It is 0 for a state that Accept rejected, even if it
 // came from a peer.
-type Refuse struct {
+type Refused struct {
 	Topic Topic
 	Peer  PeerID
 	Mark  Mark
@@ -55,6 +55,6 @@
 func (SendPull) action()  {}
 func (SendDelta) action() {}
 func (Adopt) action()     {}
-func (Ignore) action()    {}
-func (Refuse) action()    {}
+func (Ignored) action()   {}
+func (Refused) action()   {}
 func (Conflict) action()  {}
--- a/core/process/gossip/bench_test.go
+++ b/core/process/gossip/bench_test.go
@@ -78,7 +78,7 @@
 		b.Fatal(err)
 	}
 	d := diff(TopicVMs, held, next)
-	var decoder VMs
+	var decoder VMDecoder
 	for b.Loop() {
 		s, err := apply(held, d)
 		if err != nil {
@@ -88,7 +88,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		Neighbours("side-00000", "zone-00", got)
+		RankPeers("side-00000", "zone-00", got)
 	}
 }
 
@@ -118,7 +118,7 @@
 	for b.Loop() {
 		before := heap()
 		var o Observer
-		var decoder VMs
+		var decoder VMDecoder
 		n := &Node{Zone: "zone-00", Accept: func(Topic, State) error { return nil }}
 		n.Start(epoch)
 		vms := benchList()
--- a/core/process/gossip/elect.go
+++ b/core/process/gossip/elect.go
@@ -8,13 +8,13 @@
 	"hawthornferry/core/process/rank"
 )
 
-// Readers is how many processes of each zone read from the platform.
-const Readers = 3
+// ReadersPerZone is how many processes of each zone read from the platform.
+const ReadersPerZone = 3
 
-// Turn is how long the same processes stay readers. Rotating them keeps each
+// ReaderTurn is how long the same processes stay readers. Rotating them keeps each
 // process's average cost of reading whole documents and lists low, however
 // large they are.
-const Turn = 30 * time.Second
+const ReaderTurn = 30 * time.Second
 
 // turnOverlap is how long a reader continues after its turn. Processes see the
 // turn change by their own clocks. Without the overlap a zone would have no
@@ -49,7 +49,7 @@
 		return true
 	}
 	selfRank := readerRank(self, members, n.Zone, now)
-	if selfRank < Readers || readerRank(self, members, n.Zone, now.Add(-turnOverlap)) < Readers {
+	if selfRank < ReadersPerZone || readerRank(self, members, n.Zone, now.Add(-turnOverlap)) < ReadersPerZone {
 		return true
 	}
 	wait := failoverDelay + time.Duration(selfRank)*failoverStep
@@ -68,13 +68,13 @@
 	}
 	selfRank := rank.Position(turnKey(zone, now), self, members)
 	if selfRank < 0 {
-		return max(len(members), Readers)
+		return max(len(members), ReadersPerZone)
 	}
 	return selfRank
 }
 
 func turnKey(zone string, now time.Time) string {
-	return fmt.Sprintf("reader/%s/%d", zone, now.UnixNano()/int64(Turn))
+	return fmt.Sprintf("reader/%s/%d", zone, now.UnixNano()/int64(ReaderTurn))
 }
 
 // ReaderAge returns how long ago a reader of the zone was last known to be
@@ -83,29 +83,29 @@
 	return max(0, now.Sub(n.lastReaderAlive))
 }
 
-// Reading records that this process is itself a reader at now.
-func (n *Node) Reading(now time.Time) { n.lastReaderAlive = now }
+// MarkReader records that this process is itself a reader at now.
+func (n *Node) MarkReader(now time.Time) { n.lastReaderAlive = now }
 
 // The number of peers that a process connects to, in its own zone and in others.
 // As each process also accepts about as many connections, the fleet is a random
 // graph of about twice that degree. In it news spreads in a handful of steps,
 // and a zone without any reader still gets updates from other zones.
 const (
-	ZoneLinks  = 3
-	OtherLinks = 1
+	PeersInZone       = 3
+	PeersInOtherZones = 1
 )
 
 // Candidates are the processes to connect to, in order of preference. A process
-// connects to the first ZoneLinks and OtherLinks of them that it can reach.
+// connects to the first PeersInZone and PeersInOtherZones of them that it can reach.
 type Candidates struct {
 	Zone  []fleet.VM
 	Other []fleet.VM
 }
 
-// Neighbours ranks the live processes in vms as peers for the process called
+// RankPeers ranks the live processes in vms as peers for the process called
 // self. The order differs between processes, and when a process is added or
 // removed only the connections to it change.
-func Neighbours(self, zone string, vms []fleet.VM) Candidates {
+func RankPeers(self, zone string, vms []fleet.VM) Candidates {
 	var inZone, other []fleet.VM
 	for _, v := range vms {
 		switch {
--- a/core/process/gossip/elect_test.go
+++ b/core/process/gossip/elect_test.go
@@ -38,21 +38,21 @@
 }
 
 func TestReadersDoNotGrowWithTheZone(t *testing.T) {
-	mid := epoch.Truncate(Turn).Add(Turn / 2)
+	mid := epoch.Truncate(ReaderTurn).Add(ReaderTurn / 2)
 	for _, size := range []int{1, 3, 10, 50, 280} {
 		got := readersAt(sideNames(size), mid)
-		if diff := cmp.Diff(min(size, Readers), len(got)); diff != "" {
+		if diff := cmp.Diff(min(size, ReadersPerZone), len(got)); diff != "" {
 			t.Errorf("number of readers among %d processes (-want +got):\n%s", size, diff)
 		}
 	}
 }
 
-// Readers continue for a while after their turn, so that processes whose clocks
+// ReadersPerZone continue for a while after their turn, so that processes whose clocks
 // differ by less than the overlap never leave a zone without readers, when some
 // new readers start late and some old ones stop early.
 func TestTurnsOverlap(t *testing.T) {
 	members := sideNames(40)
-	turn := epoch.Truncate(Turn).Add(Turn)
+	turn := epoch.Truncate(ReaderTurn).Add(ReaderTurn)
 	before := readersAt(members, turn.Add(-time.Second))
 	after := readersAt(members, turn.Add(time.Second))
 	held := map[string]bool{}
@@ -71,19 +71,19 @@
 // that ranks first among them takes over, and the rest only if it does not.
 func TestNextInRankTakesOverReading(t *testing.T) {
 	members := sideNames(12)
-	turn := epoch.Truncate(Turn).Add(turnOverlap + time.Second)
+	turn := epoch.Truncate(ReaderTurn).Add(turnOverlap + time.Second)
 	n := nodeWithPeer(turn)
 	readers := map[string]bool{}
 	for _, m := range readersAt(members, turn) {
 		readers[m] = true
 	}
 	firstAt := func(self string) time.Duration {
-		for d := time.Duration(0); d < Turn-turnOverlap-2*time.Second; d += time.Second {
+		for d := time.Duration(0); d < ReaderTurn-turnOverlap-2*time.Second; d += time.Second {
 			if n.IsReader(self, members, turn.Add(d)) {
 				return d
 			}
 		}
-		return Turn
+		return ReaderTurn
 	}
 	var steps []time.Duration
 	for _, m := range members {
@@ -91,11 +91,11 @@
 			steps = append(steps, firstAt(m))
 		}
 	}
-	earliest := Turn
+	earliest := ReaderTurn
 	for _, d := range steps {
 		earliest = min(earliest, d)
 	}
-	if earliest <= failoverDelay || earliest >= Turn {
+	if earliest <= failoverDelay || earliest >= ReaderTurn {
 		t.Errorf("the first process takes over after %v, want after %v and within a turn", earliest, failoverDelay)
 	}
 	together := 0
@@ -114,7 +114,7 @@
 // platform would be hit by every process of the fleet when it comes back.
 func TestLiveReaderKeepsOthersFromReading(t *testing.T) {
 	members := sideNames(12)
-	now := epoch.Truncate(Turn).Add(turnOverlap + time.Second)
+	now := epoch.Truncate(ReaderTurn).Add(turnOverlap + time.Second)
 	n := nodeWithPeer(now)
 	readers := map[string]bool{}
 	for _, m := range readersAt(members, now) {
@@ -199,7 +199,7 @@
 		if changed {
 			held = next
 		}
-		known, err := new(VMs).Decode(held)
+		known, err := new(VMDecoder).Decode(held)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/core/process/gossip/explore_test.go
+++ b/core/process/gossip/explore_test.go
@@ -61,7 +61,7 @@
 }
 
 func markName(m Mark) string {
-	return strconv.FormatUint(m.Version, 10) + "." + m.Sum.String()
+	return strconv.FormatUint(m.Version, 10) + "." + m.Digest.String()
 }
 
 // clusterBounds limits how often each event occurs in an exploration.
@@ -279,7 +279,7 @@
 	s.highest[i] = 0
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(o namedMessage) bool { return o.from == i || o.to == i })
 	for j, other := range s.nodes {
-		s.perform(j, other.Gone(PeerID(i+1), epoch))
+		s.perform(j, other.Disconnected(PeerID(i+1), epoch))
 	}
 	m.connect(s, i, false)
 }
@@ -287,8 +287,8 @@
 func (m clusterModel) startPartition(s *clusterState) {
 	s.partition = partitionedNow
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(o namedMessage) bool { return s.partitioned(o.from, o.to) })
-	s.perform(0, s.nodes[0].Gone(2, epoch))
-	s.perform(1, s.nodes[1].Gone(1, epoch))
+	s.perform(0, s.nodes[0].Disconnected(2, epoch))
+	s.perform(1, s.nodes[1].Disconnected(1, epoch))
 }
 
 func (m clusterModel) healPartition(s *clusterState) {
--- a/core/process/gossip/mark.go
+++ b/core/process/gossip/mark.go
@@ -36,18 +36,18 @@
 // the lifetime of a fleet don't collide by chance.
 const digestSize = 16
 
-// Sum is the digest of an item or of a whole state.
-type Sum [digestSize]byte
+// Digest is the digest of an item or of a whole state.
+type Digest [digestSize]byte
 
 // String returns the first 8 hex digits of the digest, for logs.
-func (s Sum) String() string { return hex.EncodeToString(s[:4]) }
+func (s Digest) String() string { return hex.EncodeToString(s[:4]) }
 
-func digestOf(parts ...[]byte) Sum {
+func digestOf(parts ...[]byte) Digest {
 	h := sha256.New()
 	for _, p := range parts {
 		_, _ = h.Write(p)
 	}
-	return Sum(h.Sum(nil)[:digestSize])
+	return Digest(h.Sum(nil)[:digestSize])
 }
 
 // Mark identifies one state of a topic by version and digest. For the document,
@@ -56,7 +56,7 @@
 // than the version that it held.
 type Mark struct {
 	Version uint64 `msgpack:"v"`
-	Sum     Sum    `msgpack:"s"`
+	Digest  Digest `msgpack:"s"`
 }
 
 // supersedes reports whether a state marked m replaces one marked other. A
@@ -67,14 +67,14 @@
 	if m.Version != other.Version || t == TopicDocument {
 		return m.Version > other.Version
 	}
-	return bytes.Compare(m.Sum[:], other.Sum[:]) > 0
+	return bytes.Compare(m.Digest[:], other.Digest[:]) > 0
 }
 
 // conflicts reports whether two different documents carry the same revision:
 // the configuration service has assigned a number twice, for instance after it
 // was restored from a backup.
 func (m Mark) conflicts(t Topic, other Mark) bool {
-	return t == TopicDocument && m.Version == other.Version && m.Sum != other.Sum
+	return t == TopicDocument && m.Version == other.Version && m.Digest != other.Digest
 }
 
 func compareItems(a, b Item) int { return cmp.Compare(a.Name, b.Name) }
--- a/core/process/gossip/node.go
+++ b/core/process/gossip/node.go
@@ -81,9 +81,9 @@
 	return []Action{n.sendMarks(id, now)}
 }
 
-// Gone removes a disconnected peer. A pull that it has not answered is sent to
+// Disconnected removes a disconnected peer. A pull that it has not answered is sent to
 // another peer.
-func (n *Node) Gone(id PeerID, now time.Time) []Action {
+func (n *Node) Disconnected(id PeerID, now time.Time) []Action {
 	delete(n.peers, id)
 	if len(n.peers) == 0 {
 		n.noPeersSince = now
@@ -167,7 +167,7 @@
 // peer cannot keep this process busy.
 func (n *Node) refuseDelta(id PeerID, d Delta, err error, now time.Time) []Action {
 	t := d.Topic
-	out := []Action{Refuse{Topic: t, Peer: id, Mark: d.To, Err: err}}
+	out := []Action{Refused{Topic: t, Peer: id, Mark: d.To, Err: err}}
 	if n.pulls[t] != nil || d.From.Version == 0 {
 		return out
 	}
@@ -185,7 +185,7 @@
 		r.conflict = s.Mark.Version
 		return []Action{Conflict{Topic: t, Mark: s.Mark}}
 	case !s.Mark.supersedes(t, r.held.Mark):
-		return []Action{Ignore{Topic: t, Mark: s.Mark, Held: r.held.Mark}}
+		return []Action{Ignored{Topic: t, Mark: s.Mark, Held: r.held.Mark}}
 	}
 	return n.offer(t, s, now)
 }
@@ -198,7 +198,7 @@
 		if s.Mark.supersedes(t, r.refused) {
 			r.refused = s.Mark
 		}
-		return []Action{Refuse{Topic: t, Mark: s.Mark, Err: err}}
+		return []Action{Refused{Topic: t, Mark: s.Mark, Err: err}}
 	}
 	r.adopt(s)
 	out := []Action{Adopt{Topic: t, State: s}}
--- a/core/process/gossip/node_test.go
+++ b/core/process/gossip/node_test.go
@@ -19,7 +19,7 @@
 	highest  []uint64
 	inFlight []message
 	cut      map[[2]int]bool
-	content  map[uint64]Sum
+	content  map[uint64]Digest
 	latest   uint64
 	now      time.Time
 }
@@ -35,7 +35,7 @@
 var testAddr = netip.MustParseAddrPort("127.0.0.1:1")
 
 func newTestCluster(n int) *testCluster {
-	w := &testCluster{cut: map[[2]int]bool{}, content: map[uint64]Sum{}, now: epoch}
+	w := &testCluster{cut: map[[2]int]bool{}, content: map[uint64]Digest{}, now: epoch}
 	for i := range n {
 		w.nodes = append(w.nodes, nil)
 		w.highest = append(w.highest, 0)
@@ -55,7 +55,7 @@
 			continue
 		}
 		w.perform(i, n.Connected(PeerID(j+1), "z", w.now))
-		w.perform(j, other.Gone(PeerID(i+1), w.now))
+		w.perform(j, other.Disconnected(PeerID(i+1), w.now))
 		w.perform(j, other.Connected(PeerID(i+1), "z", w.now))
 	}
 }
@@ -98,7 +98,7 @@
 // an old one.
 func (w *testCluster) read(i int, revision uint64) {
 	s := documentState(revision)
-	w.content[revision] = s.Mark.Sum
+	w.content[revision] = s.Mark.Digest
 	w.perform(i, w.nodes[i].Read(TopicDocument, s, w.now))
 }
 
@@ -127,7 +127,7 @@
 			t.Fatalf("node %d went back from revision %d to %d", i, w.highest[i], held.Version)
 		}
 		w.highest[i] = held.Version
-		if held.Version > 0 && held.Sum != w.content[held.Version] {
+		if held.Version > 0 && held.Digest != w.content[held.Version] {
 			t.Fatalf("node %d holds revision %d with other content", i, held.Version)
 		}
 	}
--- a/core/process/gossip/start_test.go
+++ b/core/process/gossip/start_test.go
@@ -29,7 +29,7 @@
 		want    bool
 	}{
 		{"zone not in the list", nil, true},
-		{"zone read by others", sideNames(Readers), false},
+		{"zone read by others", sideNames(ReadersPerZone), false},
 	}
 	for _, tc := range tests {
 		n := nodeWithPeer(epoch)
--- a/core/process/gossip/state.go
+++ b/core/process/gossip/state.go
@@ -22,7 +22,7 @@
 	Name string `msgpack:"n"`
 	Body []byte `msgpack:"b"`
 
-	digest Sum
+	digest Digest
 }
 
 // NewItem returns an item with its digest computed.
@@ -32,8 +32,8 @@
 	return Item{Name: name, Body: body, digest: digestOf(size[:], []byte(name), body)}
 }
 
-// Sum returns the digest of the item's name and body.
-func (i Item) Sum() Sum { return i.digest }
+// Digest returns the digest of the item's name and body.
+func (i Item) Digest() Digest { return i.digest }
 
 // State is an immutable state of a topic. Items are sorted by name, and names
 // are unique.
@@ -52,10 +52,10 @@
 	if err := checkItems(sorted); err != nil {
 		return State{}, err
 	}
-	return State{Mark: Mark{Version: version, Sum: digestItems(sorted)}, Items: sorted}, nil
+	return State{Mark: Mark{Version: version, Digest: digestItems(sorted)}, Items: sorted}, nil
 }
 
-func digestItems(items []Item) Sum {
+func digestItems(items []Item) Digest {
 	all := make([]byte, 0, len(items)*digestSize)
 	for _, it := range items {
 		all = append(all, it.digest[:]...)
@@ -149,7 +149,7 @@
 	base := State{}
 	if d.From.Version != 0 {
 		if d.From != s.Mark {
-			return State{}, errors.Newf("delta applies to version %d (%v), but version %d (%v) is held", d.From.Version, d.From.Sum, s.Mark.Version, s.Mark.Sum)
+			return State{}, errors.Newf("delta applies to version %d (%v), but version %d (%v) is held", d.From.Version, d.From.Digest, s.Mark.Version, s.Mark.Digest)
 		}
 		base = s
 	}
@@ -159,7 +159,7 @@
 		return State{}, err
 	}
 	if next.Mark != d.To {
-		return State{}, errors.Newf("delta to version %d results in digest %v, want %v", d.To.Version, next.Mark.Sum, d.To.Sum)
+		return State{}, errors.Newf("delta to version %d results in digest %v, want %v", d.To.Version, next.Mark.Digest, d.To.Digest)
 	}
 	return next, nil
 }
--- a/core/process/gossip/state_test.go
+++ b/core/process/gossip/state_test.go
@@ -50,8 +50,8 @@
 		{name: "body", alter: func(d *Delta) { d.Put[0].Body = []byte("altered") }},
 		{name: "missing", alter: func(d *Delta) { d.Put = d.Put[1:] }},
 		{name: "kept", alter: func(d *Delta) { d.Drop = nil }},
-		{name: "from", alter: func(d *Delta) { d.From.Sum[0]++ }},
-		{name: "version", alter: func(d *Delta) { d.To.Sum[0]++ }},
+		{name: "from", alter: func(d *Delta) { d.From.Digest[0]++ }},
+		{name: "version", alter: func(d *Delta) { d.To.Digest[0]++ }},
 	}
 	for _, tc := range tests {
 		d := diff(TopicDocument, a, b)
--- a/core/process/gossip/vms.go
+++ b/core/process/gossip/vms.go
@@ -16,12 +16,12 @@
 // must be used from a single goroutine.
 type Observer struct {
 	// smallAnswers counts consecutive answers that lack more than half of the
-	// VMs held.
+	// VMDecoder held.
 	smallAnswers int
 	// liveAnswers counts, for each VM held as leaving, the consecutive answers
 	// that say it is live.
 	liveAnswers map[string]int
-	decoder     VMs
+	decoder     VMDecoder
 }
 
 // Observe returns the state that follows held when the platform answers with
@@ -56,7 +56,7 @@
 	if err != nil {
 		return State{}, false, err
 	}
-	return next, next.Mark.Sum != held.Mark.Sum, nil
+	return next, next.Mark.Digest != held.Mark.Digest, nil
 }
 
 func (o *Observer) keepLeaving(known, vms []fleet.VM) []fleet.VM {
@@ -97,20 +97,20 @@
 	return items, nil
 }
 
-// VMs decodes states of the VM list. It caches what it decoded, so that a
+// VMDecoder decodes states of the VM list. It caches what it decoded, so that a
 // change of one VM in a list of thousands costs decoding one. It must be used
 // from a single goroutine.
-type VMs struct {
+type VMDecoder struct {
 	cache map[string]cachedVM
 }
 
 type cachedVM struct {
-	digest Sum
+	digest Digest
 	vm     fleet.VM
 }
 
 // Decode returns the validated VMs of a state, sorted by name.
-func (d *VMs) Decode(s State) ([]fleet.VM, error) {
+func (d *VMDecoder) Decode(s State) ([]fleet.VM, error) {
 	known := make(map[string]cachedVM, len(s.Items))
 	vms := make([]fleet.VM, 0, len(s.Items))
 	for _, it := range s.Items {
--- a/io/process/watch/actions.go
+++ b/io/process/watch/actions.go
@@ -25,9 +25,9 @@
 		w.send(a.Peer, &deltaMsg{a.Delta})
 	case gossip.Adopt:
 		w.adopt(a)
-	case gossip.Ignore:
+	case gossip.Ignored:
 		w.ignore(a)
-	case gossip.Refuse:
+	case gossip.Refused:
 		w.refuse(a)
 	case gossip.Conflict:
 		w.conflict(a)
@@ -75,7 +75,7 @@
 	vms := w.acceptedVMs
 	w.logVMChanges(w.Current().VMs, vms, s.Mark.Version)
 	w.zoneVMs = liveVMsInZone(vms, w.Self.VM.Zone)
-	w.dialer.candidates = gossip.Neighbours(w.Self.VM.Name, w.Self.VM.Zone, vms)
+	w.dialer.candidates = gossip.RankPeers(w.Self.VM.Name, w.Self.VM.Zone, vms)
 	w.vmList.held.Store(s.Mark.Version)
 	w.update(func(v *view.View) { v.VMs = vms })
 	now := w.Clock.Now()
@@ -109,7 +109,7 @@
 	w.Log.Decide(trail.Decision{Area: trail.AreaMember, Action: state, Subject: name, Revision: version})
 }
 
-func (w *Watcher) ignore(a gossip.Ignore) {
+func (w *Watcher) ignore(a gossip.Ignored) {
 	w.Metrics.Counter("config_ignored").Inc(1)
 	w.Log.Decide(trail.Decision{
 		Area: trail.AreaConfig, Action: "ignore", Subject: string(a.Topic),
@@ -117,7 +117,7 @@
 	})
 }
 
-func (w *Watcher) refuse(a gossip.Refuse) {
+func (w *Watcher) refuse(a gossip.Refused) {
 	w.Metrics.Counter("config_refused").Inc(1)
 	if a.Topic == gossip.TopicDocument && a.Mark.Version > 0 {
 		w.documents.refused.Store(max(a.Mark.Version, w.documents.refused.Load()))
--- a/io/process/watch/dial.go
+++ b/io/process/watch/dial.go
@@ -27,7 +27,7 @@
 	maxSeeds = 2
 	// expectedPeers is how many connections a process has on average: those
 	// that it opens and about as many that others open to it.
-	expectedPeers = 2 * (gossip.ZoneLinks + gossip.OtherLinks)
+	expectedPeers = 2 * (gossip.PeersInZone + gossip.PeersInOtherZones)
 	// minTemporaryLife is how long a temporary or unwanted connection is kept
 	// at least: time to transfer a whole document and VM list.
 	minTemporaryLife = 3 * exchangeInterval
@@ -53,8 +53,8 @@
 func (w *Watcher) connect(now time.Time) {
 	d := &w.dialer
 	wanted := map[string]bool{}
-	w.connectCandidates(d.candidates.Zone, gossip.ZoneLinks, wanted, now)
-	w.connectCandidates(d.candidates.Other, gossip.OtherLinks, wanted, now)
+	w.connectCandidates(d.candidates.Zone, gossip.PeersInZone, wanted, now)
+	w.connectCandidates(d.candidates.Other, gossip.PeersInOtherZones, wanted, now)
 	if len(w.peerNames()) == 0 {
 		w.connectSeeds(now)
 		return
@@ -122,7 +122,7 @@
 // there are enough others. All processes of a fleet may have the same few
 // seeds, which could not serve them all.
 func (w *Watcher) closeTemporary(now time.Time) {
-	if len(w.peerNames()) < gossip.ZoneLinks {
+	if len(w.peerNames()) < gossip.PeersInZone {
 		return
 	}
 	for _, p := range w.conns {
--- a/io/process/watch/peer.go
+++ b/io/process/watch/peer.go
@@ -121,7 +121,7 @@
 	if p.dialed.IsValid() {
 		w.scheduleRedial(p.dialed, now.Sub(p.connectedAt), now)
 	}
-	out := w.node.Gone(p.id, now)
+	out := w.node.Disconnected(p.id, now)
 	w.connect(now)
 	return out
 }
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -31,7 +31,7 @@
 	// vmReadPause is the mean pause between two reads of the VM list by one
 	// reader. A zone has three readers, so its list is about a second old on
 	// average.
-	vmReadPause = gossip.Readers * time.Second
+	vmReadPause = gossip.ReadersPerZone * time.Second
 	// vmListBytesPerSecond limits the bandwidth that a reader uses for the VM
 	// list. A list that is too long for it is read less often.
 	vmListBytesPerSecond = 512 << 10
@@ -149,7 +149,7 @@
 	w.post(ctx, func(now time.Time) []gossip.Action {
 		defer close(done)
 		if err != nil {
-			return []gossip.Action{gossip.Refuse{Topic: gossip.TopicDocument, Mark: gossip.Mark{Version: revision}, Err: err}}
+			return []gossip.Action{gossip.Refused{Topic: gossip.TopicDocument, Mark: gossip.Mark{Version: revision}, Err: err}}
 		}
 		w.setService(revision)
 		w.performActions(w.node.Read(gossip.TopicDocument, s, now))
@@ -206,7 +206,7 @@
 		defer close(done)
 		next, changed, err := observer.Observe(w.node.Held(gossip.TopicVMs), vms)
 		if err != nil {
-			return []gossip.Action{gossip.Refuse{Topic: gossip.TopicVMs, Err: err}}
+			return []gossip.Action{gossip.Refused{Topic: gossip.TopicVMs, Err: err}}
 		}
 		if changed {
 			return w.node.Read(gossip.TopicVMs, next, now)
--- a/io/process/watch/watch.go
+++ b/io/process/watch/watch.go
@@ -64,7 +64,7 @@
 	// validated. The node adopts them right afterwards.
 	accepted    *envdoc.Document
 	acceptedVMs []fleet.VM
-	decoder     gossip.VMs
+	decoder     gossip.VMDecoder
 	// Bytes of connections that have ended.
 	closedReceived uint64
 	closedSent     uint64
@@ -158,7 +158,7 @@
 func (w *Watcher) electReader(now time.Time) {
 	reads := w.node.IsReader(w.Self.VM.Name, w.zoneVMs, now)
 	if reads {
-		w.node.Reading(now)
+		w.node.MarkReader(now)
 	}
 	w.documents.setReading(reads)
 	w.vmList.setReading(reads)
