--- a/bench/burst/world.go
+++ b/bench/burst/world.go
@@ -172,8 +172,8 @@
 // logged writes decisions with the rest of the log.
 type logged struct{ to logrus.FieldLogger }
 
-// Decide writes one decision.
-func (l logged) Decide(d trail.Decision) {
+// Record writes one decision.
+func (l logged) Record(d trail.Decision) {
 	l.to.WithFields(logrus.Fields{
 		"action":  d.Action,
 		"subject": d.Subject,
--- a/core/process/trail/state.go
+++ b/core/process/trail/state.go
@@ -1,10 +1,10 @@
 package trail
 
-// Candidates counts the targets of a service at the time a request was refused:
+// CandidateCounts counts the targets of a service at the time a request was refused:
 // how many there are, how many could take the request, and why the others could
 // not. A target that cannot is counted once, under the first reason that
 // applies.
-type Candidates struct {
+type CandidateCounts struct {
 	Targets int `json:"targets"`
 	// Usable is the number of targets that could take the request.
 	Usable int `json:"usable"`
@@ -19,13 +19,13 @@
 	Leaving int `json:"leaving,omitempty"`
 	// Paused counts targets that get no requests for a while because they failed
 	// recently, Tried those that already failed this request.
-	Paused int `json:"paused,omitempty"`
-	Tried  int `json:"tried,omitempty"`
+	Paused            int `json:"paused,omitempty"`
+	FailedThisRequest int `json:"tried,omitempty"`
 	// Silent counts targets whose engine does not respond, Loading those whose
 	// engine is loading weights, and Unheard those whose side no longer reports.
-	Silent  int `json:"silent,omitempty"`
-	Loading int `json:"loading,omitempty"`
-	Unheard int `json:"unheard,omitempty"`
+	Silent       int `json:"silent,omitempty"`
+	Loading      int `json:"loading,omitempty"`
+	NotReporting int `json:"unheard,omitempty"`
 	// OldVersion counts targets that serve no version, or one that new requests
 	// may no longer start on.
 	OldVersion int `json:"oldVersion,omitempty"`
@@ -35,17 +35,17 @@
 // that an excerpt of a log is enough to explain a request.
 type State struct {
 	// Configuration is the version of the routing table in use.
-	Configuration uint64         `json:"configuration,omitempty"`
-	Targets       []TargetCount  `json:"targets,omitempty"`
-	Named         []NamedVersion `json:"named,omitempty"`
-	Serving       []ServedCount  `json:"serving,omitempty"`
-	Ends          []EndCount     `json:"ends,omitempty"`
+	Configuration  uint64            `json:"configuration,omitempty"`
+	Targets        []TargetCount     `json:"targets,omitempty"`
+	NewestVersions []NewestVersion   `json:"named,omitempty"`
+	Serving        []ServedCount     `json:"serving,omitempty"`
+	AttemptEnds    []AttemptEndCount `json:"ends,omitempty"`
 }
 
-// EndCount counts, for one cause and since the process started, the attempts that
+// AttemptEndCount counts, for one cause and since the process started, the attempts that
 // the process itself ended (Abandoned) and the responses that it cut off
 // (BrokenOff).
-type EndCount struct {
+type AttemptEndCount struct {
 	Cause     string `json:"cause"`
 	Abandoned int    `json:"abandoned,omitempty"`
 	BrokenOff int    `json:"brokenOff,omitempty"`
@@ -59,9 +59,9 @@
 	Leaving int    `json:"leaving,omitempty"`
 }
 
-// NamedVersion is the newest version announced for a model. AgeMS is the process's
+// NewestVersion is the newest version announced for a model. AgeMS is the process's
 // estimate of how long ago it was announced.
-type NamedVersion struct {
+type NewestVersion struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
 	AgeMS   int64  `json:"ageMs"`
--- a/core/process/trail/trail.go
+++ b/core/process/trail/trail.go
@@ -21,7 +21,7 @@
 )
 
 // Left is a candidate that was not chosen, and the reason.
-type Left struct {
+type Exclusion struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
 }
@@ -52,8 +52,8 @@
 	Cause string `json:"cause,omitempty"`
 	// Revision is that of the configuration in force, or of the state that a
 	// configuration or membership record is about.
-	Revision uint64 `json:"revision,omitempty"`
-	Left     []Left `json:"left,omitempty"`
+	Revision uint64      `json:"revision,omitempty"`
+	Excluded []Exclusion `json:"left,omitempty"`
 	// Fingerprint identifies a request by what it has in common with its repeats,
 	// in hexadecimal digits. It is computed only when needed: after an attempt has
 	// broken off, or while any request is suspected of crashing targets.
@@ -64,25 +64,25 @@
 	// version that the target serves.
 	Load    int    `json:"load,omitempty"`
 	Version uint64 `json:"version,omitempty"`
-	// Demanded is the lowest version that may answer the request.
-	Demanded uint64 `json:"demanded,omitempty"`
+	// MinVersion is the lowest version that may answer the request.
+	MinVersion uint64 `json:"demanded,omitempty"`
 	// Attempts is how often the request was sent. It is omitted for 1.
 	Attempts int `json:"attempts,omitempty"`
 	// LastEvent is the last event of the stream that the caller had received when
 	// an attempt ended. The next attempt resumes after it.
 	LastEvent string `json:"lastEvent,omitempty"`
-	// AskedMS is set for a request that its caller repeats: the estimated time
+	// SinceFirstRequestMS is set for a request that its caller repeats: the estimated time
 	// between the first request and the arrival of this one.
-	AskedMS int64 `json:"askedMs,omitempty"`
+	SinceFirstRequestMS int64 `json:"askedMs,omitempty"`
 	// WaitedMS is how long the request waited for a free place at a target.
 	WaitedMS int64 `json:"waitedMs,omitempty"`
 	// ObjectiveMS is the time that the route allows until the first event. It is
 	// set for requests that were refused or answered late.
 	ObjectiveMS int64 `json:"objectiveMs,omitempty"`
-	// ExpectedMS is the predicted and FirstMS the measured time until the first
+	// ExpectedMS is the predicted and FirstEventMS the measured time until the first
 	// event.
-	ExpectedMS int64 `json:"expectedMs,omitempty"`
-	FirstMS    int64 `json:"firstMs,omitempty"`
+	ExpectedMS   int64 `json:"expectedMs,omitempty"`
+	FirstEventMS int64 `json:"firstMs,omitempty"`
 	// TookMS is the duration of what the record is about, such as an attempt or a
 	// whole request.
 	TookMS int64 `json:"tookMs,omitempty"`
@@ -90,9 +90,9 @@
 	// confirmed. For the record of a version or a load order it is the age of that
 	// version or order.
 	AgeMS int64 `json:"ageMs,omitempty"`
-	// Candidates is set when a request was refused because no target could take
+	// CandidateCounts is set when a request was refused because no target could take
 	// it.
-	Candidates *Candidates `json:"candidates,omitempty"`
+	Candidates *CandidateCounts `json:"candidates,omitempty"`
 	// State is set for the periodic snapshots of what a process knows.
 	State *State `json:"state,omitempty"`
 }
@@ -100,11 +100,11 @@
 // Log records decisions. Implementations set Time, Process and Boot, must be
 // safe for concurrent use and must not block on a slow reader.
 type Log interface {
-	Decide(d Decision)
+	Record(d Decision)
 }
 
 // Discard is a Log that drops every decision.
 type Discard struct{}
 
-// Decide does nothing.
-func (Discard) Decide(Decision) {}
+// Record does nothing.
+func (Discard) Record(Decision) {}
--- a/core/request/place/candidates.go
+++ b/core/request/place/candidates.go
@@ -54,9 +54,9 @@
 // candidates counts the targets of the service by what kept each from getting a refused
 // request. Without the counts, the log says only that a service was full, and not
 // whether its targets were busy, had failed or were about to leave.
-func (s *service) candidates(now time.Time, w *Request) trail.Candidates {
+func (s *service) candidates(now time.Time, w *Request) trail.CandidateCounts {
 	searchedTargets := s.searchedTargets(now, w)
-	c := trail.Candidates{Targets: len(searchedTargets), Waiting: len(s.waiting)}
+	c := trail.CandidateCounts{Targets: len(searchedTargets), Waiting: len(s.waiting)}
 	for _, t := range searchedTargets {
 		switch exclusionOf(now, s, t, w) {
 		case notExcluded:
@@ -69,13 +69,13 @@
 		case excludedPaused:
 			c.Paused++
 		case excludedTried:
-			c.Tried++
+			c.FailedThisRequest++
 		case excludedSilent:
 			c.Silent++
 		case excludedLoading:
 			c.Loading++
 		case excludedUnheard:
-			c.Unheard++
+			c.NotReporting++
 		case excludedOldVersion:
 			c.OldVersion++
 		}
--- a/core/request/place/candidates_test.go
+++ b/core/request/place/candidates_test.go
@@ -33,7 +33,7 @@
 	if diff := cmp.Diff([]string{"late refused full"}, decisions(got)); diff != "" {
 		t.Fatalf("decision (-want +got):\n%s", diff)
 	}
-	want := trail.Candidates{Targets: 3, Usable: 1, Requests: 3, Waiting: 1, Leaving: 1, Paused: 1}
+	want := trail.CandidateCounts{Targets: 3, Usable: 1, Requests: 3, Waiting: 1, Leaving: 1, Paused: 1}
 	if diff := cmp.Diff(want, got[0].Candidates); diff != "" {
 		t.Errorf("candidates of the refusal (-want +got):\n%s", diff)
 	}
@@ -53,7 +53,7 @@
 	if diff := cmp.Diff([]string{"1 refused noTarget"}, decisions(got)); diff != "" {
 		t.Fatalf("decision (-want +got):\n%s", diff)
 	}
-	want := trail.Candidates{Targets: 3, Silent: 1, Loading: 1, OldVersion: 1}
+	want := trail.CandidateCounts{Targets: 3, Silent: 1, Loading: 1, OldVersion: 1}
 	if diff := cmp.Diff(want, got[0].Candidates); diff != "" {
 		t.Errorf("candidates of the refusal (-want +got):\n%s", diff)
 	}
@@ -73,7 +73,7 @@
 	if diff := cmp.Diff([]string{"1 refused noRoomForLate"}, decisions(got)); diff != "" {
 		t.Fatalf("decision (-want +got):\n%s", diff)
 	}
-	want := trail.Candidates{Targets: 1, Usable: 1, FreePlaces: slots / 2, Requests: slots / 2}
+	want := trail.CandidateCounts{Targets: 1, Usable: 1, FreePlaces: slots / 2, Requests: slots / 2}
 	if diff := cmp.Diff(want, got[0].Candidates); diff != "" {
 		t.Errorf("candidates of the refusal (-want +got):\n%s", diff)
 	}
--- a/core/request/place/place.go
+++ b/core/request/place/place.go
@@ -109,7 +109,7 @@
 	// Load is the number of requests at the target, this one included.
 	Load int
 	// Candidates counts the targets that were considered for a refused request.
-	Candidates trail.Candidates
+	Candidates trail.CandidateCounts
 }
 
 // Result says how a request ended at its target.
--- a/core/request/route/choose.go
+++ b/core/request/route/choose.go
@@ -95,7 +95,7 @@
 // reason for each.
 type NoTargetError struct {
 	Service  string
-	Excluded []trail.Left
+	Excluded []trail.Exclusion
 }
 
 // Error names the service and the number of excluded candidates.
@@ -108,7 +108,7 @@
 // If all candidates are excluded, the error is a *NoTargetError.
 func (c *Chooser) Choose(now time.Time, r Request, candidates []Candidate) (Choice, error) {
 	c.init()
-	ex := exclusions{list: make([]trail.Left, 0, len(candidates))}
+	ex := exclusions{list: make([]trail.Exclusion, 0, len(candidates))}
 	eligible := c.eligible(now, r, candidates, &ex)
 	if len(eligible) == 0 {
 		return Choice{}, &NoTargetError{Service: r.Service, Excluded: ex.list}
@@ -187,11 +187,11 @@
 
 // exclusions collects the candidates that were excluded, with the reason for each.
 type exclusions struct {
-	list []trail.Left
+	list []trail.Exclusion
 }
 
 func (ex *exclusions) add(name, reason string) {
-	ex.list = append(ex.list, trail.Left{Name: name, Reason: reason})
+	ex.list = append(ex.list, trail.Exclusion{Name: name, Reason: reason})
 }
 
 // eligible returns the candidates that may run r, with their estimated loads, and
--- a/core/request/route/choose_test.go
+++ b/core/request/route/choose_test.go
@@ -53,7 +53,7 @@
 		candidates []Candidate
 		want       string
 		reason     Reason
-		left       []trail.Left
+		left       []trail.Exclusion
 	}{
 		{
 			name: "standing",
@@ -64,7 +64,7 @@
 				newCandidate("t4", "a1"),
 			},
 			want: "t4", reason: ReasonOnlyCandidate,
-			left: []trail.Left{{Name: "t1", Reason: "silent"}, {Name: "t2", Reason: "leaving"}, {Name: "t3", Reason: "unserved"}},
+			left: []trail.Exclusion{{Name: "t1", Reason: "silent"}, {Name: "t2", Reason: "leaving"}, {Name: "t3", Reason: "unserved"}},
 		},
 		{
 			name:    "version and avoided",
@@ -75,13 +75,13 @@
 				with(newCandidate("t3", "a1"), func(c *Candidate) { c.ServedVersion = v2 }),
 			},
 			want: "t3", reason: ReasonOnlyCandidate,
-			left: []trail.Left{{Name: "t1", Reason: "otherVersion"}, {Name: "t2", Reason: "failedThisCall"}},
+			left: []trail.Exclusion{{Name: "t1", Reason: "otherVersion"}, {Name: "t2", Reason: "failedThisCall"}},
 		},
 		{
 			name:       "own zone preferred",
 			candidates: []Candidate{newCandidate("t1", "b1"), newCandidate("t2", "a1")},
 			want:       "t2", reason: ReasonOnlyCandidate,
-			left: []trail.Left{{Name: "t1", Reason: "otherZone"}},
+			left: []trail.Exclusion{{Name: "t1", Reason: "otherZone"}},
 		},
 		{
 			name: "spill to the region and not beyond",
@@ -91,7 +91,7 @@
 				with(newCandidate("t3", "a1"), func(c *Candidate) { c.InFlight = 8 }),
 			},
 			want: "t2", reason: ReasonLessLoaded,
-			left: []trail.Left{{Name: "t1", Reason: "otherZone"}, {Name: "t3", Reason: "moreLoaded"}},
+			left: []trail.Exclusion{{Name: "t1", Reason: "otherZone"}, {Name: "t3", Reason: "moreLoaded"}},
 		},
 		{
 			name: "lower load of two targets",
@@ -100,7 +100,7 @@
 				newCandidate("t2", "a1"),
 			},
 			want: "t2", reason: ReasonLessLoaded,
-			left: []trail.Left{{Name: "t1", Reason: "moreLoaded"}},
+			left: []trail.Exclusion{{Name: "t1", Reason: "moreLoaded"}},
 		},
 	}
 	for _, tt := range tests {
@@ -132,7 +132,7 @@
 	if !errors.As(err, &none) {
 		t.Fatalf("error is %v, want a NoTarget", err)
 	}
-	want := []trail.Left{{Name: "t1", Reason: "leaving"}}
+	want := []trail.Exclusion{{Name: "t1", Reason: "leaving"}}
 	if diff := cmp.Diff(want, none.Excluded); diff != "" {
 		t.Errorf("excluded (-want +got):\n%s", diff)
 	}
--- a/core/request/route/types.go
+++ b/core/request/route/types.go
@@ -80,5 +80,5 @@
 type Choice struct {
 	VM       fleet.VM
 	Reason   Reason
-	Excluded []trail.Left
+	Excluded []trail.Exclusion
 }
--- a/io/process/alert/exchange.go
+++ b/io/process/alert/exchange.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		d.Reason = err.Error()
 	}
-	c.Log.Decide(d)
+	c.Log.Record(d)
 }
 
 func (c *HubClient) connect(ctx context.Context, hub netip.AddrPort, connected func()) error {
--- a/io/process/alert/registry.go
+++ b/io/process/alert/registry.go
@@ -139,7 +139,7 @@
 		return
 	}
 	r.count("requests_total", string(state))
-	r.Log.Decide(r.decision(now, peer, k, state))
+	r.Log.Record(r.decision(now, peer, k, state))
 }
 
 // actions maps the state of a request to the action of its log record.
--- a/io/process/awake/awake.go
+++ b/io/process/awake/awake.go
@@ -92,5 +92,5 @@
 		return
 	}
 	d.Metrics.Counter("standstills_total").Inc(1)
-	d.Log.Decide(trail.Decision{Area: trail.AreaMember, Action: "stoodStill", TookMS: gap.Milliseconds()})
+	d.Log.Record(trail.Decision{Area: trail.AreaMember, Action: "stoodStill", TookMS: gap.Milliseconds()})
 }
--- a/io/process/awake/awake_test.go
+++ b/io/process/awake/awake_test.go
@@ -14,8 +14,8 @@
 // decisions records the decisions that are logged.
 type decisions []trail.Decision
 
-// Decide records d.
-func (l *decisions) Decide(d trail.Decision) { *l = append(*l, d) }
+// Record records d.
+func (l *decisions) Record(d trail.Decision) { *l = append(*l, d) }
 
 // A process is frozen for four seconds and resumes in the middle of an answer, before the
 // detector's next check. It must know of the stall at once, since it would otherwise take old
--- a/io/process/feed/apply.go
+++ b/io/process/feed/apply.go
@@ -92,7 +92,7 @@
 	fact, err := f.Reader.Read(it)
 	old, had := f.decoded[it.Key]
 	if err != nil {
-		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "rejectItem", Subject: it.Key, Reason: err.Error(), Revision: it.Revision})
+		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "rejectItem", Subject: it.Key, Reason: err.Error(), Revision: it.Revision})
 		f.Metrics.Counter("items_rejected_total").Inc(1)
 		if had && old.Target != nil {
 			delete(f.decoded, it.Key)
@@ -108,7 +108,7 @@
 		f.logVersion(v, it.Revision, live.Known)
 	}
 	if c := fact.Config; c != nil {
-		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "apply", Subject: "routes", Choice: versionText(c.Table.Version), Revision: it.Revision})
+		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "apply", Subject: "routes", Choice: versionText(c.Table.Version), Revision: it.Revision})
 	}
 	if fact.Target != nil && (!had || old.Target == nil || old.Target.Leaving != fact.Target.Leaving) {
 		action := "gained"
--- a/io/process/feed/feed.go
+++ b/io/process/feed/feed.go
@@ -271,7 +271,7 @@
 			return false
 		}
 		starting = starting || errors.Is(err, errUpstreamEmpty) || errors.Is(err, syscall.ECONNREFUSED)
-		f.Log.Decide(trail.Decision{
+		f.Log.Record(trail.Decision{
 			Area: trail.AreaConfig, Action: "tellerLost", Choice: p.Address.String(), Reason: err.Error(),
 			Revision: f.Self.Revision.Load(),
 		})
--- a/io/process/feed/log.go
+++ b/io/process/feed/log.go
@@ -22,7 +22,7 @@
 	if !up {
 		d.Action, d.Reason = "storeLost", err.Error()
 	}
-	f.Log.Decide(d)
+	f.Log.Record(d)
 }
 
 func (f *Feed) logTarget(action string, fact Fact, revision uint64) {
@@ -30,7 +30,7 @@
 	if t == nil {
 		return
 	}
-	f.Log.Decide(trail.Decision{
+	f.Log.Record(trail.Decision{
 		Area: trail.AreaMember, Action: action, Service: t.Service, Subject: t.ID,
 		Choice: t.Address.String(), Revision: revision,
 	})
@@ -51,7 +51,7 @@
 		case e.FromReturn:
 			reason = "the store was unreachable and came back"
 		}
-		f.Log.Decide(trail.Decision{
+		f.Log.Record(trail.Decision{
 			Area: trail.AreaConfig, Action: "versionDated", Subject: e.Model, Choice: versionText(e.Version),
 			Reason: reason, AgeMS: (f.Awake() - e.Since).Milliseconds(),
 		})
@@ -76,5 +76,5 @@
 	if f.known {
 		d.AgeMS = (f.Awake() - f.confirmed).Milliseconds()
 	}
-	f.Log.Decide(d)
+	f.Log.Record(d)
 }
--- a/io/process/feed/query.go
+++ b/io/process/feed/query.go
@@ -256,7 +256,7 @@
 		f.applyReply(reply)
 	}
 	if age := f.Awake() - f.confirmed; !f.known || age > f.Wait+watchSlack {
-		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + reply.Age.String(), Revision: reply.At})
+		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + reply.Age.String(), Revision: reply.At})
 	}
 	f.confirm(since, reply.At)
 }
--- a/io/process/feed/watch.go
+++ b/io/process/feed/watch.go
@@ -31,7 +31,7 @@
 		f.mu.Lock()
 		f.recordStoreAnswer(f.Wait)
 		f.mu.Unlock()
-		f.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "listAnew", Reason: err.Error(), Revision: contact.Revision})
+		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "listAnew", Reason: err.Error(), Revision: contact.Revision})
 		return f.list(ctx)
 	}
 	if err != nil {
--- a/io/process/hosted/process.go
+++ b/io/process/hosted/process.go
@@ -99,7 +99,7 @@
 	// served returns the model version that each engine is believed to serve.
 	served func() []place.TargetVersion
 	// ends counts the attempts and answers that this process ended itself.
-	ends func() []trail.EndCount
+	ends func() []trail.AttemptEndCount
 }
 
 func newProcess(s Settings, platform Platform, out io.Writer) (*process, error) {
@@ -107,7 +107,7 @@
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(int64(float64(s.Memory) * memoryLimitShare))
 	}
-	p := &process{settings: s, latest: s, readSettings: platform.Settings, clock: clockwork.NewRealClock(), ready: func() error { return nil }, served: func() []place.TargetVersion { return nil }, ends: func() []trail.EndCount { return nil }}
+	p := &process{settings: s, latest: s, readSettings: platform.Settings, clock: clockwork.NewRealClock(), ready: func() error { return nil }, served: func() []place.TargetVersion { return nil }, ends: func() []trail.AttemptEndCount { return nil }}
 	p.started = p.clock.Now()
 	p.self = &link.Self{VM: s.VM, Boot: uuid.NewString()}
 	p.metrics, p.metricsHandler, p.metricsCloser = admin.NewMetrics()
--- a/io/process/hosted/state.go
+++ b/io/process/hosted/state.go
@@ -19,7 +19,7 @@
 // logState logs a record of the process's state every stateInterval, until ctx ends.
 func (p *process) logState(ctx context.Context) error {
 	for {
-		p.log.Decide(p.stateDecision())
+		p.log.Record(p.stateDecision())
 		select {
 		case <-ctx.Done():
 			return nil
@@ -30,12 +30,12 @@
 
 func (p *process) stateDecision() trail.Decision {
 	known := p.feed.Current()
-	s := &trail.State{Targets: targetCounts(known), Serving: servedCounts(p.served()), Ends: p.ends()}
+	s := &trail.State{Targets: targetCounts(known), Serving: servedCounts(p.served()), AttemptEnds: p.ends()}
 	if known.Table != nil {
 		s.Configuration = known.Table.Version
 	}
 	for _, v := range newestVersions(known) {
-		s.Named = append(s.Named, trail.NamedVersion{Model: v.Model, Version: v.Version, AgeMS: p.clock.Since(v.Since).Milliseconds()})
+		s.NewestVersions = append(s.NewestVersions, trail.NewestVersion{Model: v.Model, Version: v.Version, AgeMS: p.clock.Since(v.Since).Milliseconds()})
 	}
 	d := trail.Decision{
 		Area: trail.AreaConfig, Action: "state", Subject: "state", Boot: p.self.Boot, Revision: known.Revision, State: s,
--- a/io/process/pulse/listen.go
+++ b/io/process/pulse/listen.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		d.Reason = err.Error()
 	}
-	l.Log.Decide(d)
+	l.Log.Record(d)
 }
 
 // receive dials a side and passes on its reports. It returns why the connection ended.
--- a/io/process/pulse/listen_test.go
+++ b/io/process/pulse/listen_test.go
@@ -22,7 +22,7 @@
 	all []string
 }
 
-func (r *logRecorder) Decide(d trail.Decision) {
+func (r *logRecorder) Record(d trail.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, d.Action)
--- a/io/process/pulse/pulse.go
+++ b/io/process/pulse/pulse.go
@@ -205,7 +205,7 @@
 	if err != nil {
 		d.Reason = err.Error()
 	}
-	p.Log.Decide(d)
+	p.Log.Record(d)
 }
 
 func (p *Publisher) current() (Load, bool, <-chan struct{}) {
--- a/io/process/trace/budget_test.go
+++ b/io/process/trace/budget_test.go
@@ -30,16 +30,16 @@
 	}
 	for i := range requests {
 		id := strconv.Itoa(i)
-		l.Decide(trail.Decision{Action: "placed", Request: id})
+		l.Record(trail.Decision{Action: "placed", Request: id})
 		outcome := "relayed"
 		if i%100 == 99 {
-			l.Decide(trail.Decision{Action: "attempt", Request: id, Outcome: "broken"})
+			l.Record(trail.Decision{Action: "attempt", Request: id, Outcome: "broken"})
 			outcome = "ownAnswer"
 		}
-		l.Decide(trail.Decision{Action: "answer", Request: id, Outcome: outcome})
+		l.Record(trail.Decision{Action: "answer", Request: id, Outcome: outcome})
 	}
 	clock.Advance(time.Second)
-	l.Decide(trail.Decision{Action: "placed", Request: "next"})
+	l.Record(trail.Decision{Action: "placed", Request: "next"})
 
 	stories := map[string][]string{}
 	lines, missing := 0, 0
@@ -84,10 +84,10 @@
 		Routine: func(d trail.Decision) bool { return d.Outcome == "relayed" },
 	}
 	for i := range requests {
-		l.Decide(trail.Decision{Action: "answer", Request: "well" + strconv.Itoa(i), Outcome: "relayed"})
+		l.Record(trail.Decision{Action: "answer", Request: "well" + strconv.Itoa(i), Outcome: "relayed"})
 	}
 	for i := range requests {
-		l.Decide(trail.Decision{Action: "answer", Request: "badly" + strconv.Itoa(i), Outcome: "ownAnswer"})
+		l.Record(trail.Decision{Action: "answer", Request: "badly" + strconv.Itoa(i), Outcome: "ownAnswer"})
 	}
 	got := map[string]int{
 		"well":  bytes.Count(out.Bytes(), []byte("relayed")),
--- a/io/process/trace/log.go
+++ b/io/process/trace/log.go
@@ -38,10 +38,10 @@
 // decisionField is the logrus field that holds the trail.Decision of a line.
 const decisionField = "decision"
 
-// Decide writes one decision, whatever the least level of the logger: a log
+// Record writes one decision, whatever the least level of the logger: a log
 // without some of its decisions would tell the replay command of outcomes
 // that never were. The output must take concurrent writes, as a Sink does.
-func (l *Log) Decide(d trail.Decision) {
+func (l *Log) Record(d trail.Decision) {
 	d.Time = l.Clock.Now().Truncate(timeUnit)
 	d.Process = l.Process
 	d.Boot = cmp.Or(l.Boot, d.Boot)
--- a/io/process/trace/trace_test.go
+++ b/io/process/trace/trace_test.go
@@ -28,7 +28,7 @@
 	clock := clockwork.NewFakeClockAt(time.Date(2026, 12, 3, 0, 0, 0, 0, time.UTC))
 	log := &Log{Process: "a", Boot: "b", Clock: clock, Logger: logger}
 	for _, action := range []string{"one", "two", "three", "four"} {
-		log.Decide(trail.Decision{Area: trail.AreaConfig, Action: action})
+		log.Record(trail.Decision{Area: trail.AreaConfig, Action: action})
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -71,9 +71,9 @@
 		Routine: func(d trail.Decision) bool { return d.Action == "well" },
 	}
 	for range 20 {
-		log.Decide(trail.Decision{Area: trail.AreaCall, Action: "well"})
+		log.Record(trail.Decision{Area: trail.AreaCall, Action: "well"})
 	}
-	log.Decide(trail.Decision{Area: trail.AreaCall, Action: "failed"})
+	log.Record(trail.Decision{Area: trail.AreaCall, Action: "failed"})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := sink.Run(ctx); err != nil {
--- a/io/process/watch/actions.go
+++ b/io/process/watch/actions.go
@@ -68,7 +68,7 @@
 	w.Self.Revision.Store(d.Revision)
 	w.update(func(v *view.View) { v.Document = d })
 	w.Metrics.Counter("config_adopted").Inc(1)
-	w.Log.Decide(trail.Decision{Area: trail.AreaConfig, Action: "inForce", Subject: d.Name, Revision: d.Revision})
+	w.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "inForce", Subject: d.Name, Revision: d.Revision})
 }
 
 func (w *Watcher) adoptVMs(s gossip.State) {
@@ -106,12 +106,12 @@
 }
 
 func (w *Watcher) logVM(state, name string, version uint64) {
-	w.Log.Decide(trail.Decision{Area: trail.AreaMember, Action: state, Subject: name, Revision: version})
+	w.Log.Record(trail.Decision{Area: trail.AreaMember, Action: state, Subject: name, Revision: version})
 }
 
 func (w *Watcher) ignore(a gossip.Ignored) {
 	w.Metrics.Counter("config_ignored").Inc(1)
-	w.Log.Decide(trail.Decision{
+	w.Log.Record(trail.Decision{
 		Area: trail.AreaConfig, Action: "ignore", Subject: string(a.Topic),
 		Revision: a.Mark.Version, Reason: "not above the version in force",
 	})
@@ -123,7 +123,7 @@
 		w.documents.refused.Store(max(a.Mark.Version, w.documents.refused.Load()))
 		w.setFault(a.Mark.Version, a.Err.Error())
 	}
-	w.Log.Decide(trail.Decision{
+	w.Log.Record(trail.Decision{
 		Area: trail.AreaConfig, Action: "refuse", Subject: string(a.Topic),
 		Choice: w.peerName(a.Peer), Revision: a.Mark.Version, Reason: a.Err.Error(),
 	})
@@ -131,7 +131,7 @@
 
 func (w *Watcher) conflict(a gossip.Conflict) {
 	w.Metrics.Counter("config_conflicts").Inc(1)
-	w.Log.Decide(trail.Decision{
+	w.Log.Record(trail.Decision{
 		Area: trail.AreaConfig, Action: "conflict", Subject: string(a.Topic),
 		Choice: w.peerName(a.Peer), Revision: a.Mark.Version,
 		Reason: "other content has the same revision; promote again",
--- a/io/process/watch/fleet_test.go
+++ b/io/process/watch/fleet_test.go
@@ -31,7 +31,7 @@
 	all []trail.Decision
 }
 
-func (r *decisionRecorder) Decide(d trail.Decision) {
+func (r *decisionRecorder) Record(d trail.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.all = append(r.all, d)
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -133,7 +133,7 @@
 	}
 	if d.Reason != w.documents.lastLogged {
 		w.documents.lastLogged = d.Reason
-		w.Log.Decide(d)
+		w.Log.Record(d)
 	}
 }
 
--- a/io/request/direct/endcounts.go
+++ b/io/request/direct/endcounts.go
@@ -47,7 +47,7 @@
 // entry aborted and the responses that it cut off in the middle.
 type endCounts struct {
 	mu     sync.Mutex
-	counts []trail.EndCount
+	counts []trail.AttemptEndCount
 }
 
 func (e *endCounts) countAborted(c endCause) { e.count(c, 1, 0) }
@@ -57,16 +57,16 @@
 func (e *endCounts) count(c endCause, aborted, brokenOff int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	i := slices.IndexFunc(e.counts, func(n trail.EndCount) bool { return n.Cause == string(c) })
+	i := slices.IndexFunc(e.counts, func(n trail.AttemptEndCount) bool { return n.Cause == string(c) })
 	if i < 0 {
 		i = len(e.counts)
-		e.counts = append(e.counts, trail.EndCount{Cause: string(c)})
+		e.counts = append(e.counts, trail.AttemptEndCount{Cause: string(c)})
 	}
 	e.counts[i].Abandoned += aborted
 	e.counts[i].BrokenOff += brokenOff
 }
 
-func (e *endCounts) all() []trail.EndCount {
+func (e *endCounts) all() []trail.AttemptEndCount {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.counts)
@@ -74,4 +74,4 @@
 
 // Ends returns, by cause, how many attempts the entry has aborted and how many
 // responses it has cut off in the middle since the start of the process.
-func (s *Server) Ends() []trail.EndCount { return s.endCounts.all() }
+func (s *Server) Ends() []trail.AttemptEndCount { return s.endCounts.all() }
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -294,7 +294,7 @@
 	if last, loaded := s.loggedVersions.Swap(v.Model, v.Version); loaded && last == v.Version {
 		return
 	}
-	s.Log.Decide(trail.Decision{
+	s.Log.Record(trail.Decision{
 		Area: trail.AreaRouting, Action: "versionDemanded", Subject: v.Model, Version: v.Version,
 		AgeMS: s.Clock.Since(v.Since).Milliseconds(),
 	})
--- a/io/request/direct/progress.go
+++ b/io/request/direct/progress.go
@@ -83,14 +83,14 @@
 	d := trail.Decision{
 		Area: trail.AreaCall, Action: action, Request: q.call.ID, Customer: q.customer,
 		Service: q.service.Name, Subject: q.route.Name, Choice: v.Target.ID, Revision: q.revision(),
-		Load: v.Load, Version: v.ServedVersion, Demanded: q.progress.minVersion,
+		Load: v.Load, Version: v.ServedVersion, MinVersion: q.progress.minVersion,
 		WaitedMS: v.Waited.Milliseconds(), ExpectedMS: v.ExpectedFirstAnswer.Milliseconds(),
 	}
 	if q.hasKey {
 		d.Fingerprint = q.key.String()
 	}
 	if q.firstAskedAt.Before(q.arrivedAt) && !q.firstAskedAt.IsZero() {
-		d.AskedMS = q.arrivedAt.Sub(q.firstAskedAt).Milliseconds()
+		d.SinceFirstRequestMS = q.arrivedAt.Sub(q.firstAskedAt).Milliseconds()
 	}
 	if v.Decision == place.Refused {
 		d.Candidates, d.ObjectiveMS = &v.Candidates, q.route.Objective.Milliseconds()
@@ -156,7 +156,7 @@
 	if err != nil {
 		d.Reason = err.Error()
 	}
-	s.Log.Decide(d)
+	s.Log.Record(d)
 }
 
 // recordFailedHandover records an attempt at a target that was to take a response over
@@ -183,7 +183,7 @@
 	if age, known := s.Source.Age(); known {
 		d.AgeMS = age.Milliseconds()
 	}
-	d.FirstMS = q.progress.timeToFirstEvent.Milliseconds()
+	d.FirstEventMS = q.progress.timeToFirstEvent.Milliseconds()
 	if q.progress.attempts > 1 {
 		d.Attempts = q.progress.attempts
 	}
@@ -191,5 +191,5 @@
 		s.metrics.countLate(q.route.Name)
 		d.Reason, d.ObjectiveMS = reasonLate, q.route.Objective.Milliseconds()
 	}
-	s.Log.Decide(d)
+	s.Log.Record(d)
 }
--- a/io/request/front/choose.go
+++ b/io/request/front/choose.go
@@ -24,12 +24,12 @@
 	d := trail.Decision{
 		Area: trail.AreaRouting, Action: "choose", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Choice: choice.VM.Name, Reason: string(choice.Reason),
-		Left: choice.Excluded, Revision: f.Self.Revision.Load(),
+		Excluded: choice.Excluded, Revision: f.Self.Revision.Load(),
 	}
 	if err != nil {
-		d.Reason, d.Left = err.Error(), leftOf(err)
+		d.Reason, d.Excluded = err.Error(), leftOf(err)
 	}
-	f.Log.Decide(d)
+	f.Log.Record(d)
 	if err == nil && m == nil {
 		err = errNoTarget
 	}
@@ -37,7 +37,7 @@
 }
 
 // leftOf returns the rejected candidates and the reasons from a *route.NoTargetError error.
-func leftOf(err error) []trail.Left {
+func leftOf(err error) []trail.Exclusion {
 	var none *route.NoTargetError
 	if errors.As(err, &none) {
 		return none.Excluded
--- a/io/request/front/fleet_test.go
+++ b/io/request/front/fleet_test.go
@@ -239,7 +239,7 @@
 // decisions receives the call decisions that a side logs.
 type decisions chan trail.Decision
 
-func (d decisions) Decide(x trail.Decision) {
+func (d decisions) Record(x trail.Decision) {
 	if x.Area == trail.AreaCall {
 		d <- x
 	}
--- a/io/request/front/once.go
+++ b/io/request/front/once.go
@@ -72,7 +72,7 @@
 		return
 	}
 	defer f.pool.release(m)
-	f.Log.Decide(trail.Decision{
+	f.Log.Record(trail.Decision{
 		Area: trail.AreaRouting, Action: "choose", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Choice: side, Reason: string(rq.binding), Revision: f.Self.Revision.Load(),
 	})
--- a/io/request/front/onceattempt.go
+++ b/io/request/front/onceattempt.go
@@ -203,7 +203,7 @@
 }
 
 func (t *onceAttempt) logDecision(action string) {
-	t.front.Log.Decide(trail.Decision{
+	t.front.Log.Record(trail.Decision{
 		Area: trail.AreaCall, Action: action, Request: t.request.routing.ID, Service: t.request.routing.Service,
 		Subject: string(t.request.ticket.CallID), Choice: t.member.client.VM.Name,
 		Revision: t.front.Self.Revision.Load(),
--- a/io/request/front/repeat.go
+++ b/io/request/front/repeat.go
@@ -62,7 +62,7 @@
 	if tokens > 0 {
 		rq.header.Set(headerResumeFrom, strconv.Itoa(tokens))
 	}
-	f.Log.Decide(trail.Decision{
+	f.Log.Record(trail.Decision{
 		Area: trail.AreaCall, Action: "retry", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Subject: m.client.VM.Name, Reason: err.Error(),
 		Revision: f.Self.Revision.Load(),
--- a/io/request/front/request.go
+++ b/io/request/front/request.go
@@ -204,7 +204,7 @@
 	if rq.ticket != nil {
 		d.Subject, d.Choice = string(rq.ticket.CallID), rq.ticket.Side
 	}
-	f.Log.Decide(d)
+	f.Log.Record(d)
 }
 
 // writeFailure records a request that ends without the target's answer, and sends the
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -221,7 +221,7 @@
 }
 
 func (f *Front) logAdmission(rq *request, v admit.Verdict) {
-	f.Log.Decide(trail.Decision{
+	f.Log.Record(trail.Decision{
 		Area: trail.AreaAdmission, Action: string(v.Decision), Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Reason: string(v.Reason), Revision: f.Self.Revision.Load(),
 	})
--- a/io/request/front/streamlog.go
+++ b/io/request/front/streamlog.go
@@ -20,5 +20,5 @@
 	if r.started() {
 		d.Outcome = "resumed"
 	}
-	f.Log.Decide(d)
+	f.Log.Record(d)
 }
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -90,7 +90,7 @@
 	g.ledger.Settle(g.now(), r.id, r.state)
 	g.storeLocked(r)
 	g.mu.Unlock()
-	g.Log.Decide(trail.Decision{
+	g.Log.Record(trail.Decision{
 		Area: trail.AreaCall, Action: "settle", Request: s.Start.Request, Service: g.Service,
 		Subject: string(r.id), Outcome: string(outcomeOf(r.state)), Reason: string(r.reason),
 		Revision: g.Self.Revision.Load(),
@@ -227,7 +227,7 @@
 	state := g.ledger.Query(g.now(), calls.QueryRequest{Ticket: q.Ticket, MarkNever: q.Mark, MembersDiffer: q.Members != g.members})
 	r := g.executions[q.Ticket.CallID]
 	g.mu.Unlock()
-	g.Log.Decide(trail.Decision{
+	g.Log.Record(trail.Decision{
 		Area: trail.AreaCall, Action: "query", Service: g.Service, Subject: string(q.Ticket.CallID),
 		Choice: string(state), Revision: g.Self.Revision.Load(),
 	})
@@ -241,7 +241,7 @@
 func (g *Gate) logDecision(m *sessn.Start, a calls.Action) {
 	g.countCall(string(a.Kind))
 	g.addMeasures(a)
-	g.Log.Decide(trail.Decision{
+	g.Log.Record(trail.Decision{
 		Area: trail.AreaCall, Action: string(a.Kind), Request: m.Request, Service: g.Service,
 		Subject: string(m.Ticket.CallID), Outcome: string(a.Outcome), Reason: string(a.Reason),
 		Revision: g.Self.Revision.Load(),
--- a/io/version/order/controller.go
+++ b/io/version/order/controller.go
@@ -210,7 +210,7 @@
 	o.mu.Lock()
 	o.machine.LoadFailed(o.Clock.Now(), f)
 	o.mu.Unlock()
-	o.Log.Decide(trail.Decision{
+	o.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   "loadFailed",
 		Service:  f.Want.Service.Name,
@@ -247,7 +247,7 @@
 
 // logFact writes one such record to the decision log.
 func (o *Orderer) logFact(action string, d chunk.Digest, f roll.Facts) {
-	o.Log.Decide(trail.Decision{
+	o.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   action,
 		Service:  f.Want.Service.Name,
@@ -267,7 +267,7 @@
 	if same {
 		return
 	}
-	o.Log.Decide(trail.Decision{
+	o.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   string(a.Kind),
 		Service:  f.Want.Service.Name,
--- a/io/version/shelf/load.go
+++ b/io/version/shelf/load.go
@@ -134,7 +134,7 @@
 	if age <= corruptionGrace {
 		return
 	}
-	s.Log.Decide(trail.Decision{
+	s.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: "orderedLate", Subject: string(e.Digest), Version: e.Version,
 		AgeMS: age.Milliseconds(),
 	})
@@ -201,7 +201,7 @@
 	if !ok {
 		return 0, fault.Newf("order load", "engine", "chunk %d is corrupt or missing at the engine and not in memory", num)
 	}
-	s.Log.Decide(trail.Decision{
+	s.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: "stageAgain", Subject: string(ref.Digest), Choice: strconv.Itoa(num),
 		Reason: "corrupt or missing at the engine",
 	})
--- a/io/version/shelf/manifest.go
+++ b/io/version/shelf/manifest.go
@@ -237,7 +237,7 @@
 // logRead writes the outcome of an attempt to the decision log. from is where the
 // manifest was read; after a failure it is always the origin.
 func (l *Library) logRead(action, model string, version uint64, from, reason string) {
-	l.Log.Decide(trail.Decision{
+	l.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: action, Subject: versionKey(model, version),
 		Choice: from, Reason: reason, Revision: l.Self.Revision.Load(),
 	})
--- a/io/version/shelf/staging.go
+++ b/io/version/shelf/staging.go
@@ -52,7 +52,7 @@
 			return nil
 		}
 		if err := s.stageChunk(ctx, p, b); err != nil {
-			s.Log.Decide(trail.Decision{
+			s.Log.Record(trail.Decision{
 				Area: trail.AreaTransfer, Action: "stageLater", Subject: string(d),
 				Choice: strconv.Itoa(p.num), Reason: err.Error(),
 			})
--- a/io/version/swarm/actions.go
+++ b/io/version/swarm/actions.go
@@ -87,7 +87,7 @@
 
 // logDecision writes one entry to the decision log.
 func (n *Node) logDecision(action string, d chunk.Digest, choice, outcome, reason string) {
-	n.Log.Decide(trail.Decision{
+	n.Log.Record(trail.Decision{
 		Area:     trail.AreaTransfer,
 		Action:   action,
 		Subject:  string(d),
--- a/io/version/swarm/report.go
+++ b/io/version/swarm/report.go
@@ -86,7 +86,7 @@
 
 // logError writes an error to the log and the decision log.
 func (n *Node) logError(step, peer string, err error) {
-	n.Log.Decide(trail.Decision{Area: trail.AreaTransfer, Action: step, Choice: peer, Outcome: "error", Reason: err.Error()})
+	n.Log.Record(trail.Decision{Area: trail.AreaTransfer, Action: step, Choice: peer, Outcome: "error", Reason: err.Error()})
 	n.logger().WithFields(logrus.Fields{"step": step, "peer": peer}).Error(err.Error())
 }
 
