--- a/core/process/audit/audit.go
+++ b/core/process/audit/audit.go
@@ -13,16 +13,16 @@
 	"hawthornferry/core/process/trail"
 )
 
-// DefaultLeavingGrace is the default of Settings.Leaving.
+// DefaultLeavingGrace is the default of Settings.LeavingGrace.
 const DefaultLeavingGrace = 5 * time.Second
 
 // Settings are the limits used by the checks.
 type Settings struct {
-	// Leaving is how long a target may still get new work after the first process
+	// LeavingGrace is how long a target may still get new work after the first process
 	// recorded that it is leaving. It must exceed the difference between the
 	// processes' clocks, since their records are compared by time. 0 means
 	// DefaultLeavingGrace.
-	Leaving time.Duration
+	LeavingGrace time.Duration
 }
 
 // Guarantee is a property that every set of decision logs must have. Its value is
@@ -55,20 +55,20 @@
 // Result is the result of checking one guarantee. Checked is the number of cases
 // found in the records; if it is 0, the check says nothing.
 type Result struct {
-	Outcome Guarantee
-	Checked int
-	Misses  []Violation
+	Guarantee  Guarantee
+	Cases      int
+	Violations []Violation
 }
 
 // addViolation adds d with a formatted detail.
 func (r *Result) addViolation(d trail.Decision, format string, args ...any) {
-	r.Misses = append(r.Misses, Violation{Record: d, Detail: fmt.Sprintf(format, args...)})
+	r.Violations = append(r.Violations, Violation{Record: d, Detail: fmt.Sprintf(format, args...)})
 }
 
 // Check checks the records against every guarantee. Records of one process must
 // be in the order in which they were written.
 func Check(set Settings, records []trail.Decision) []Result {
-	set.Leaving = cmp.Or(set.Leaving, DefaultLeavingGrace)
+	set.LeavingGrace = cmp.Or(set.LeavingGrace, DefaultLeavingGrace)
 	sorted := slices.Clone(records)
 	slices.SortStableFunc(sorted, func(a, b trail.Decision) int { return a.Time.Compare(b.Time) })
 	return []Result{
@@ -83,11 +83,11 @@
 	}
 }
 
-// Missed returns the number of violations in results.
-func Missed(results []Result) int {
+// CountViolations returns the number of violations in results.
+func CountViolations(results []Result) int {
 	n := 0
 	for _, r := range results {
-		n += len(r.Misses)
+		n += len(r.Violations)
 	}
 	return n
 }
--- a/core/process/audit/audit_test.go
+++ b/core/process/audit/audit_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if log.Broken > 0 {
-		t.Fatalf("%d broken lines in %s", log.Broken, name)
+	if log.Malformed > 0 {
+		t.Fatalf("%d broken lines in %s", log.Malformed, name)
 	}
 	return log.Decisions
 }
@@ -34,7 +34,7 @@
 // resumed on the same version, a leaving target is chosen within the allowed
 // time, and a restarted entry begins at an older revision. The second log is an
 // excerpt of what the processes of a demonstration wrote while a side was killed.
-func TestCheckNamesTheMissedOutcome(t *testing.T) {
+func TestCheckReportsTheViolatedGuarantee(t *testing.T) {
 	tests := []struct {
 		log      string
 		violated []Guarantee
@@ -55,8 +55,8 @@
 		t.Run(tt.log, func(t *testing.T) {
 			var violated []Guarantee
 			for _, r := range Check(Settings{}, readLog(t, tt.log)) {
-				if len(r.Misses) > 0 {
-					violated = append(violated, r.Outcome)
+				if len(r.Violations) > 0 {
+					violated = append(violated, r.Guarantee)
 				}
 			}
 			if diff := cmp.Diff(tt.violated, violated); diff != "" {
@@ -70,8 +70,8 @@
 // pass in the test above whatever it does.
 func TestGoodLogCoversEveryGuarantee(t *testing.T) {
 	for _, r := range Check(Settings{}, readLog(t, "good")) {
-		if r.Checked == 0 {
-			t.Errorf("no case of %q in the good log", r.Outcome)
+		if r.Cases == 0 {
+			t.Errorf("no case of %q in the good log", r.Guarantee)
 		}
 	}
 }
@@ -99,7 +99,7 @@
 			if diff := cmp.Diff(tt.want, len(got.Decisions)); diff != "" {
 				t.Errorf("records (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(tt.broken, got.Broken); diff != "" {
+			if diff := cmp.Diff(tt.broken, got.Malformed); diff != "" {
 				t.Errorf("broken lines (-want +got):\n%s", diff)
 			}
 		})
--- a/core/process/audit/calls.go
+++ b/core/process/audit/calls.go
@@ -60,7 +60,7 @@
 // start at a target at most once. A side records a run before it sends the call to
 // its target.
 func checkAtMostOnce(records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeAtMostOnce}
+	r := Result{Guarantee: GuaranteeAtMostOnce}
 	index := indexRuns(records)
 	first := map[string]trail.Decision{}
 	for _, d := range records {
@@ -69,7 +69,7 @@
 		}
 		if _, ok := first[d.Subject]; !ok {
 			first[d.Subject] = d
-			r.Checked++
+			r.Cases++
 		}
 	}
 	for _, d := range records {
@@ -94,13 +94,13 @@
 // checkNotRun checks that if a caller was told that its request did not run, there
 // is no run of that request or its call, neither before nor after the answer.
 func checkNotRun(records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeNotRun}
+	r := Result{Guarantee: GuaranteeNotRun}
 	index := indexRuns(records)
 	for _, d := range records {
 		if !isCall(d, actionAnswer) || d.Outcome != outcomeNotRun {
 			continue
 		}
-		r.Checked++
+		r.Cases++
 		all := index.byRequest[d.Request]
 		if d.Subject != "" && d.Reason != reasonOtherRequest {
 			all = append(all[:len(all):len(all)], index.byCall[d.Subject]...)
@@ -117,13 +117,13 @@
 // stream; its subject is the version, and its outcome is "resumed" if a part was
 // sent before.
 func checkStreams(records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeStreamVersion}
+	r := Result{Guarantee: GuaranteeStreamVersion}
 	versions := map[string]string{}
 	for _, d := range records {
 		if !isCall(d, actionStream) {
 			continue
 		}
-		r.Checked++
+		r.Cases++
 		if previous := versions[d.Request]; d.Outcome == "resumed" && previous != d.Subject {
 			r.addViolation(d, "request %s began on version %s and went on with %s", d.Request, previous, d.Subject)
 		}
--- a/core/process/audit/explain.go
+++ b/core/process/audit/explain.go
@@ -10,8 +10,8 @@
 // Line is one record of an explanation. Belief is set for a record of what a
 // process knew when it decided, as opposed to a decision on the request itself.
 type Line struct {
-	Decision trail.Decision
-	Belief   bool
+	Decision   trail.Decision
+	Background bool
 }
 
 // Explain returns the records that explain the outcome of a request, sorted by
@@ -54,11 +54,11 @@
 		case d.Time.Before(start):
 			latest[d.Process+stateKey(d)] = d
 		case !d.Time.After(last.Time):
-			out = append(out, Line{Decision: d, Belief: true})
+			out = append(out, Line{Decision: d, Background: true})
 		}
 	}
 	for _, d := range latest {
-		out = append(out, Line{Decision: d, Belief: true})
+		out = append(out, Line{Decision: d, Background: true})
 	}
 	slices.SortStableFunc(out, func(a, b Line) int { return a.Decision.Time.Compare(b.Decision.Time) })
 	return out
--- a/core/process/audit/linear.go
+++ b/core/process/audit/linear.go
@@ -76,10 +76,10 @@
 // entries, are linearizable: there is an order of the attempts that explains the
 // outcomes and in which each attempt takes effect between its start and its answer.
 func checkHistory(records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeConsistentOutcomes}
+	r := Result{Guarantee: GuaranteeConsistentOutcomes}
 	ops, answers := callOperations(records)
 	for _, part := range partitionByCall(ops) {
-		r.Checked++
+		r.Cases++
 		if porcupine.CheckOperationsTimeout(callModel(), part, historyTimeout) == porcupine.Ok {
 			continue
 		}
--- a/core/process/audit/versions.go
+++ b/core/process/audit/versions.go
@@ -19,13 +19,13 @@
 // checkRevisions checks that every revision that a process puts in force is higher
 // than the one before it in the same run of the process.
 func checkRevisions(records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeRevisionOrder}
+	r := Result{Guarantee: GuaranteeRevisionOrder}
 	inForce := map[boot]uint64{}
 	for _, d := range records {
 		if d.Area != trail.AreaConfig || d.Action != actionInForce {
 			continue
 		}
-		r.Checked++
+		r.Cases++
 		if previous := inForce[bootOf(d)]; d.Revision <= previous {
 			r.addViolation(d, "revision %d was put in force after %d", d.Revision, previous)
 		}
@@ -34,18 +34,18 @@
 	return r
 }
 
-// checkLeaving checks that no entry chooses a target later than set.Leaving after
+// checkLeaving checks that no entry chooses a target later than set.LeavingGrace after
 // any process first recorded that it is leaving, unless a process has since
 // recorded it as live again.
 func checkLeaving(set Settings, records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeLeaving}
+	r := Result{Guarantee: GuaranteeLeaving}
 	notices := map[string]trail.Decision{}
 	for _, d := range records {
 		switch {
 		case d.Area == trail.AreaMember && d.Action == actionLeaving:
 			if _, ok := notices[d.Subject]; !ok {
 				notices[d.Subject] = d
-				r.Checked++
+				r.Cases++
 			}
 		case d.Area == trail.AreaMember && d.Action == actionLive:
 			// A process that lags behind can record a VM as live after another
@@ -56,7 +56,7 @@
 			}
 		case d.Area == trail.AreaRouting && d.Action == actionChoose:
 			notice, ok := notices[d.Choice]
-			if late := d.Time.Sub(notice.Time); ok && late > set.Leaving {
+			if late := d.Time.Sub(notice.Time); ok && late > set.LeavingGrace {
 				r.addViolation(d, "%s got request %s %v after it was seen to leave", d.Choice, d.Request, late)
 			}
 		}
@@ -72,7 +72,7 @@
 		boot     boot
 		manifest string
 	}
-	r := Result{Outcome: GuaranteeVerifiedLoad}
+	r := Result{Guarantee: GuaranteeVerifiedLoad}
 	verified := map[key]bool{}
 	for i, d := range records {
 		k := key{bootOf(d), d.Subject}
@@ -80,7 +80,7 @@
 		case d.Action == actionVerified && d.Area == trail.AreaPlacement:
 			verified[k] = true
 		case d.Action == actionOrder && d.Area == trail.AreaPlacement:
-			r.Checked++
+			r.Cases++
 			if !verified[k] && !orderWithdrawn(records[i+1:], d) {
 				r.addViolation(d, "a load of %s was ordered before it was verified whole", d.Subject)
 			}
@@ -102,7 +102,7 @@
 // serves a version that was ordered. Records from before a side's first order are
 // ignored: what the target served then was ordered in an earlier run of the side.
 func checkServedVersions(records []trail.Decision) Result {
-	r := Result{Outcome: GuaranteeServedVersion}
+	r := Result{Guarantee: GuaranteeServedVersion}
 	ordered := map[boot]map[string]bool{}
 	for _, d := range records {
 		if d.Area != trail.AreaPlacement {
@@ -119,7 +119,7 @@
 			if ordered[b] == nil || d.Subject == "" {
 				continue
 			}
-			r.Checked++
+			r.Cases++
 			if !ordered[b][d.Subject] {
 				r.addViolation(d, "the target serves %s, which was not ordered", d.Subject)
 			}
--- a/io/process/cmds/explain.go
+++ b/io/process/cmds/explain.go
@@ -48,7 +48,7 @@
 	w := tabwriter.NewWriter(out.stdout, 0, 0, 2, ' ', 0)
 	for _, l := range lines {
 		mark := ""
-		if l.Belief {
+		if l.Background {
 			mark = "believed"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", l.Decision.Time.Format(time.RFC3339Nano), l.Decision.Process, mark, describe(l.Decision))
--- a/io/process/cmds/replay.go
+++ b/io/process/cmds/replay.go
@@ -47,14 +47,14 @@
 			return err
 		}
 		records = append(records, log.Decisions...)
-		broken += log.Broken
+		broken += log.Malformed
 	}
-	results := audit.Check(audit.Settings{Leaving: r.Leaving}, records)
+	results := audit.Check(audit.Settings{LeavingGrace: r.Leaving}, records)
 	fmt.Fprintf(out.stdout, "%d decisions from %d logs, %d broken lines\n", len(records), len(names), broken)
 	if err := printResults(out.stdout, results); err != nil {
 		return err
 	}
-	if n := audit.Missed(results); n > 0 {
+	if n := audit.CountViolations(results); n > 0 {
 		return errors.Newf("%d records break a stated outcome", n)
 	}
 	return nil
@@ -85,15 +85,15 @@
 	return names, nil
 }
 
-func readLog(name string) (audit.Log, error) {
+func readLog(name string) (audit.ParsedLog, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return audit.Log{}, errors.Mark(fault.At("open log", name, err), errInput)
+		return audit.ParsedLog{}, errors.Mark(fault.At("open log", name, err), errInput)
 	}
 	defer f.Close()
 	log, err := audit.Read(name, f)
 	if err != nil {
-		return audit.Log{}, errors.Mark(err, errInput)
+		return audit.ParsedLog{}, errors.Mark(err, errInput)
 	}
 	return log, nil
 }
@@ -103,14 +103,14 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "outcome\tcases\tmissed\tverdict")
 	for _, r := range results {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%s\n", r.Outcome, r.Checked, len(r.Misses), verdict(r))
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%s\n", r.Guarantee, r.Cases, len(r.Violations), verdict(r))
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
 	for _, r := range results {
-		for _, m := range r.Misses[:min(len(r.Misses), maxMisses)] {
-			fmt.Fprintf(w, "missed: %s: %v\n", r.Outcome, m)
+		for _, m := range r.Violations[:min(len(r.Violations), maxMisses)] {
+			fmt.Fprintf(w, "missed: %s: %v\n", r.Guarantee, m)
 		}
 	}
 	return nil
@@ -118,9 +118,9 @@
 
 func verdict(r audit.Result) string {
 	switch {
-	case len(r.Misses) > 0:
+	case len(r.Violations) > 0:
 		return "missed"
-	case r.Checked == 0:
+	case r.Cases == 0:
 		return "no case"
 	}
 	return "met"
