--- a/bench/burst/setup.go
+++ b/bench/burst/setup.go
@@ -32,14 +32,14 @@
 // mode is a way of distribution.
 type mode struct {
 	name   string
-	weigh  envdoc.Weigh
+	weigh  envdoc.Goal
 	direct bool
 }
 
 var (
-	modeBaseline = mode{name: "baseline", weigh: envdoc.WeighOrigin, direct: true}
-	modeOrigin   = mode{name: "originBytes", weigh: envdoc.WeighOrigin}
-	modeTime     = mode{name: "time", weigh: envdoc.WeighTime}
+	modeBaseline = mode{name: "baseline", weigh: envdoc.GoalOriginBytes, direct: true}
+	modeOrigin   = mode{name: "originBytes", weigh: envdoc.GoalOriginBytes}
+	modeTime     = mode{name: "time", weigh: envdoc.GoalTime}
 )
 
 // trial is one run.
--- a/bench/burst/world.go
+++ b/bench/burst/world.go
@@ -243,7 +243,7 @@
 func (w *world) view() view.View {
 	v := view.View{Document: &envdoc.Document{
 		Revision: 1,
-		Weigh:    w.trial.mode.weigh,
+		Goal:     w.trial.mode.weigh,
 		Models:   []envdoc.Model{{Name: "model", Version: "1", Manifest: w.pinned}},
 		Services: []envdoc.Service{{Name: "service", Kind: envdoc.KindEngine, Model: "model"}},
 	}}
--- a/core/process/envdoc/change.go
+++ b/core/process/envdoc/change.go
@@ -11,9 +11,9 @@
 
 // The kinds of difference.
 const (
-	ChangeAdded   Change = "added"
-	ChangeRemoved Change = "removed"
-	ChangeAltered Change = "altered"
+	ChangeAdded    Change = "added"
+	ChangeRemoved  Change = "removed"
+	ChangeModified Change = "altered"
 )
 
 // SectionChange is a section that differs between two documents. From and To are
@@ -36,7 +36,7 @@
 		case !ok:
 			out = append(out, SectionChange{Section: name, Change: ChangeRemoved, From: before})
 		case after != before:
-			out = append(out, SectionChange{Section: name, Change: ChangeAltered, From: before, To: after})
+			out = append(out, SectionChange{Section: name, Change: ChangeModified, From: before, To: after})
 		}
 	}
 	for name, after := range b {
@@ -52,11 +52,11 @@
 func (d *Document) sectionSummaries() map[string]string {
 	out := map[string]string{}
 	if d.Name != "" {
-		out[sectionEnvironment] = fmt.Sprintf("name %s, stage %s, weigh %s", d.Name, d.Stage, d.Weigh)
-		out[sectionOrigin] = fmt.Sprintf("region %s, copies %d", d.Origin.Region, d.Origin.Copies)
+		out[sectionEnvironment] = fmt.Sprintf("name %s, stage %s, weigh %s", d.Name, d.Stage, d.Goal)
+		out[sectionOrigin] = fmt.Sprintf("region %s, copies %d", d.Origin.Region, d.Origin.MaxCopies)
 	}
 	for _, r := range d.Regions {
-		out[sectionRegion+"."+r.Name] = fmt.Sprintf("link %d bytes/s", r.Link)
+		out[sectionRegion+"."+r.Name] = fmt.Sprintf("link %d bytes/s", r.LinkRate)
 	}
 	for _, z := range d.Zones {
 		out[sectionZone+"."+z.Name] = "region " + z.Region
--- a/core/process/envdoc/doc.go
+++ b/core/process/envdoc/doc.go
@@ -19,7 +19,7 @@
 	Revision  uint64
 	Name      string
 	Stage     Stage
-	Weigh     Weigh
+	Goal      Goal
 	Origin    Origin
 	Regions   []Region
 	Zones     []Zone
@@ -37,30 +37,30 @@
 	StageProduction Stage = "production"
 )
 
-// Weigh is what a rollout optimizes for.
-type Weigh string
+// Goal is what a rollout optimizes for.
+type Goal string
 
-// The values of Weigh. WeighOrigin downloads as few bytes from the origin as
-// possible. WeighTime minimizes the time until all replicas serve the new version,
-// and may download up to Origin.Copies copies from the origin to that end.
+// The values of Weigh. GoalOriginBytes downloads as few bytes from the origin as
+// possible. GoalTime minimizes the time until all replicas serve the new version,
+// and may download up to Origin.MaxCopies copies from the origin to that end.
 const (
-	WeighOrigin Weigh = "originBytes"
-	WeighTime   Weigh = "time"
+	GoalOriginBytes Goal = "originBytes"
+	GoalTime        Goal = "time"
 )
 
 // Origin is the server from which model weights are downloaded. Region is empty if
 // the origin is outside all of the document's regions. Copies is how many complete
 // copies of a new version may be downloaded from it during one rollout.
 type Origin struct {
-	Region string
-	Copies int
+	Region    string
+	MaxCopies int
 }
 
 // Region is a set of zones that share one link to other regions. Link is the rate
 // of that link in bytes per second in each direction.
 type Region struct {
-	Name string
-	Link int64
+	Name     string
+	LinkRate int64
 }
 
 // Zone is an availability zone.
@@ -76,13 +76,13 @@
 	Manifest chunk.Digest
 }
 
-// Kind is the kind of a service.
-type Kind string
+// ServiceKind is the kind of a service.
+type ServiceKind string
 
 // The kinds of service: an engine service serves a model, a plain service has none.
 const (
-	KindEngine Kind = "engine"
-	KindPlain  Kind = "plain"
+	KindEngine ServiceKind = "engine"
+	KindPlain  ServiceKind = "plain"
 )
 
 // Fencing says whether a service's targets reject a load order that carries an
@@ -102,7 +102,7 @@
 // safe methods.
 type Service struct {
 	Name       string
-	Kind       Kind
+	Kind       ServiceKind
 	Model      string
 	Fencing    Fencing
 	Floor      int
--- a/core/process/envdoc/parse.go
+++ b/core/process/envdoc/parse.go
@@ -48,8 +48,8 @@
 	return parseFile(inidoc.Parse(name, text), revision)
 }
 
-// Assemble is Parse for a document whose sections were received separately.
-func Assemble(name string, revision uint64, contents []inidoc.Content) (*Document, error) {
+// FromSections is Parse for a document whose sections were received separately.
+func FromSections(name string, revision uint64, contents []inidoc.Content) (*Document, error) {
 	return parseFile(inidoc.Assemble(name, contents), revision)
 }
 
@@ -83,8 +83,8 @@
 	}
 	p.doc.Name = inidoc.Required(s, "name", inidoc.Identifier)
 	p.doc.Stage = inidoc.Required(s, "stage", inidoc.OneOf(StageTrial, StageProduction))
-	p.doc.Weigh = inidoc.Optional(s, "weigh", WeighOrigin, inidoc.OneOf(WeighOrigin, WeighTime))
-	p.doc.Origin.Copies = defaultCopies
+	p.doc.Goal = inidoc.Optional(s, "weigh", GoalOriginBytes, inidoc.OneOf(GoalOriginBytes, GoalTime))
+	p.doc.Origin.MaxCopies = defaultCopies
 }
 
 func (p *parser) parseSection(s *inidoc.Section) {
@@ -128,12 +128,12 @@
 
 func (p *parser) parseOrigin(s *inidoc.Section) {
 	p.doc.Origin.Region = inidoc.Optional(s, "region", "", inidoc.Identifier)
-	p.doc.Origin.Copies = inidoc.Optional(s, "copies", defaultCopies, inidoc.IntBetween(1, maxCopies))
+	p.doc.Origin.MaxCopies = inidoc.Optional(s, "copies", defaultCopies, inidoc.IntBetween(1, maxCopies))
 }
 
 func (p *parser) parseRegion(s *inidoc.Section, name string) {
 	link := inidoc.Required(s, "link", inidoc.Bounded(inidoc.Rate, minLinkRate, maxLinkRate))
-	p.doc.Regions = append(p.doc.Regions, Region{Name: name, Link: link})
+	p.doc.Regions = append(p.doc.Regions, Region{Name: name, LinkRate: link})
 }
 
 func (p *parser) parseZone(s *inidoc.Section, name string) {
--- a/core/process/envdoc/parse_test.go
+++ b/core/process/envdoc/parse_test.go
@@ -41,10 +41,10 @@
 		t.Errorf("booking (-want +got):\n%s", diff)
 	}
 	region, _ := d.RegionByName("north-west")
-	if diff := cmp.Diff(int64(25e6/8), region.Link); diff != "" {
+	if diff := cmp.Diff(int64(25e6/8), region.LinkRate); diff != "" {
 		t.Errorf("link of north-west (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(Origin{Region: "swan-coast", Copies: 4}, d.Origin); diff != "" {
+	if diff := cmp.Diff(Origin{Region: "swan-coast", MaxCopies: 4}, d.Origin); diff != "" {
 		t.Errorf("origin (-want +got):\n%s", diff)
 	}
 }
@@ -116,7 +116,7 @@
 			return
 		}
 		contents := inidoc.Parse("fuzz.ini", []byte(text)).Contents()
-		again, err := Assemble("fuzz.ini", 1, contents)
+		again, err := FromSections("fuzz.ini", 1, contents)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/core/process/envdoc/plan.go
+++ b/core/process/envdoc/plan.go
@@ -19,35 +19,35 @@
 // empty if the service is new or had no model. Bytes is nil if the manifest of the
 // new version is not known.
 type VersionChange struct {
-	Service  string       `json:"service"`
-	Model    string       `json:"model"`
-	From     string       `json:"from,omitempty"`
-	To       string       `json:"to"`
-	Manifest chunk.Digest `json:"manifest"`
-	Replicas int          `json:"replicas"`
-	Bytes    *Bytes       `json:"bytes,omitempty"`
+	Service  string         `json:"service"`
+	Model    string         `json:"model"`
+	From     string         `json:"from,omitempty"`
+	To       string         `json:"to"`
+	Manifest chunk.Digest   `json:"manifest"`
+	Replicas int            `json:"replicas"`
+	Transfer *TransferBytes `json:"bytes,omitempty"`
 }
 
 // Bytes is the amount of data that the rollout of a new version transfers. Whole
 // is the size of the version, and New the size of its chunks that the previous
 // version does not have; if the manifest of the previous version is not known, all
-// chunks count. Origin and OriginMost are the minimum and the maximum downloaded
+// chunks count. Origin and OriginMax are the minimum and the maximum downloaded
 // from the origin. Regions has the minimum that crosses the link of each region
 // with replicas, except the origin's region.
-type Bytes struct {
-	Whole      int64        `json:"whole"`
-	New        int64        `json:"new"`
-	Origin     int64        `json:"origin"`
-	OriginMost int64        `json:"originMost"`
-	Regions    []RegionLoad `json:"regions"`
+type TransferBytes struct {
+	Total     int64        `json:"whole"`
+	New       int64        `json:"new"`
+	Origin    int64        `json:"origin"`
+	OriginMax int64        `json:"originMost"`
+	Regions   []RegionLoad `json:"regions"`
 }
 
 // RegionLoad is the number of bytes that cross a region's link, and the minimum
 // time that this takes at the link's rate, in milliseconds.
 type RegionLoad struct {
-	Region  string `json:"region"`
-	Bytes   int64  `json:"bytes"`
-	LeastMs int64  `json:"leastMs"`
+	Region string `json:"region"`
+	Bytes  int64  `json:"bytes"`
+	MinMS  int64  `json:"leastMs"`
 }
 
 // ReplicaChange is a change of the desired number of replicas of a service in a
@@ -136,17 +136,17 @@
 		c.Replicas += r.Replicas
 	}
 	if manifest, ok := manifests[m.Manifest]; ok {
-		c.Bytes = transferBytes(next, s, manifest, manifests[before.Manifest])
+		c.Transfer = transferBytes(next, s, manifest, manifests[before.Manifest])
 	}
 	return c, true
 }
 
-func transferBytes(d *Document, s Service, m, before chunk.Manifest) *Bytes {
+func transferBytes(d *Document, s Service, m, before chunk.Manifest) *TransferBytes {
 	known := map[chunk.Digest]bool{}
 	for _, c := range before.Chunks {
 		known[c.Digest] = true
 	}
-	b := &Bytes{Whole: m.Size}
+	b := &TransferBytes{Total: m.Size}
 	for _, c := range m.Chunks {
 		if !known[c.Digest] {
 			known[c.Digest] = true
@@ -154,9 +154,9 @@
 		}
 	}
 	b.Origin = b.New
-	b.OriginMost = b.New
-	if d.Weigh == WeighTime {
-		b.OriginMost = b.New * int64(d.Origin.Copies)
+	b.OriginMax = b.New
+	if d.Goal == GoalTime {
+		b.OriginMax = b.New * int64(d.Origin.MaxCopies)
 	}
 	b.Regions = regionLoads(d, s, b.New)
 	return b
@@ -168,7 +168,7 @@
 		if r.Name == d.Origin.Region || !d.hasReplicasIn(s, r.Name) {
 			continue
 		}
-		out = append(out, RegionLoad{Region: r.Name, Bytes: bytes, LeastMs: bytes * 1000 / max(1, r.Link)})
+		out = append(out, RegionLoad{Region: r.Name, Bytes: bytes, MinMS: bytes * 1000 / max(1, r.LinkRate)})
 	}
 	return out
 }
--- a/core/process/envdoc/plan_test.go
+++ b/core/process/envdoc/plan_test.go
@@ -47,11 +47,11 @@
 		Versions: []VersionChange{{
 			Service: "helper", Model: "permit-assistant", From: "2026-12-01", To: "2026-12-02",
 			Manifest: newDigest, Replicas: 7,
-			Bytes: &Bytes{
-				Whole: 16500, New: 6250, Origin: 6250, OriginMost: 25000,
+			Transfer: &TransferBytes{
+				Total: 16500, New: 6250, Origin: 6250, OriginMax: 25000,
 				Regions: []RegionLoad{
-					{Region: "eastern-gold", Bytes: 6250, LeastMs: 2},
-					{Region: "north-west", Bytes: 6250, LeastMs: 2},
+					{Region: "eastern-gold", Bytes: 6250, MinMS: 2},
+					{Region: "north-west", Bytes: 6250, MinMS: 2},
 				},
 			},
 		}},
@@ -65,9 +65,9 @@
 			{Number: 2, Service: "helper", Zone: "hannan-hall", Loading: 1, Serving: 1},
 		},
 		Sections: []SectionChange{
-			{Section: "environment", Change: ChangeAltered},
-			{Section: "model.permit-assistant", Change: ChangeAltered},
-			{Section: "service.helper", Change: ChangeAltered},
+			{Section: "environment", Change: ChangeModified},
+			{Section: "model.permit-assistant", Change: ChangeModified},
+			{Section: "service.helper", Change: ChangeModified},
 		},
 	}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreFields(SectionChange{}, "From", "To")); diff != "" {
--- a/core/process/gossip/document.go
+++ b/core/process/gossip/document.go
@@ -33,5 +33,5 @@
 		}
 		contents = append(contents, c)
 	}
-	return envdoc.Assemble(name, s.Mark.Version, contents)
+	return envdoc.FromSections(name, s.Mark.Version, contents)
 }
--- a/core/request/table/table.go
+++ b/core/request/table/table.go
@@ -175,7 +175,7 @@
 }
 
 // Kind returns the kind of the service as environment documents name it.
-func (s Service) Kind() envdoc.Kind {
+func (s Service) Kind() envdoc.ServiceKind {
 	if s.Engine != nil {
 		return envdoc.KindEngine
 	}
--- a/core/version/burst/burst.go
+++ b/core/version/burst/burst.go
@@ -79,7 +79,7 @@
 type Config struct {
 	Self          Member
 	OriginRegion  string
-	Goal          envdoc.Weigh
+	Goal          envdoc.Goal
 	Degree        int
 	UploadSlots   int
 	DownloadSlots int
@@ -269,7 +269,7 @@
 }
 
 // SetGoal sets whether the document prefers few origin bytes or short time.
-func (s *State) SetGoal(w envdoc.Weigh) { s.cfg.Goal = w }
+func (s *State) SetGoal(w envdoc.Goal) { s.cfg.Goal = w }
 
 // SetImportSlots changes how many chunks are transferred at a time between two regions.
 func (s *State) SetImportSlots(n int) { s.cfg.ImportSlots = n }
--- a/core/version/burst/burst_test.go
+++ b/core/version/burst/burst_test.go
@@ -44,7 +44,7 @@
 	for _, regions := range [][]string{regionNames(1), regionNames(2, 1, 1), regionNames(6), regionNames(9, 8, 7)} {
 		n := newNetwork(t, regions...)
 		for _, s := range n.sides {
-			s.state.SetGoal(envdoc.WeighTime)
+			s.state.SetGoal(envdoc.GoalTime)
 		}
 		v := testVersion("1", 0, 24).withMembers(n.members())
 		n.update(v)
--- a/core/version/burst/extra.go
+++ b/core/version/burst/extra.go
@@ -16,7 +16,7 @@
 // origin then serves as an additional peer. Each of these sides keeps to its part of
 // the extra copies, so that the sides together stay within maxExtraCopies.
 func (s *State) fetchExtraCopy(now time.Time, v *version) {
-	if s.cfg.Goal != envdoc.WeighTime || !s.fetchesExtraCopies(v) || s.countVia(ViaOrigin) > 0 {
+	if s.cfg.Goal != envdoc.GoalTime || !s.fetchesExtraCopies(v) || s.countVia(ViaOrigin) > 0 {
 		return
 	}
 	i := s.rarestForExtraCopy(now, v)
--- a/io/process/cmds/plan.go
+++ b/io/process/cmds/plan.go
@@ -146,7 +146,7 @@
 }
 
 func values(s envdoc.SectionChange) string {
-	if s.Change == envdoc.ChangeAltered {
+	if s.Change == envdoc.ChangeModified {
 		return s.From + " -> " + s.To
 	}
 	return s.From + s.To
@@ -162,25 +162,25 @@
 		if from == "" {
 			from = "none"
 		}
-		fmt.Fprintf(w, "\t%s\t%s\t%s\t%s\t%d\t%s\n", v.Service, v.Model, from, v.To, v.Replicas, bytesColumns(v.Bytes))
+		fmt.Fprintf(w, "\t%s\t%s\t%s\t%s\t%d\t%s\n", v.Service, v.Model, from, v.To, v.Replicas, bytesColumns(v.Transfer))
 	}
 	for _, v := range versions {
-		if v.Bytes == nil {
+		if v.Transfer == nil {
 			continue
 		}
-		for _, r := range v.Bytes.Regions {
-			least := time.Duration(r.LeastMs) * time.Millisecond
+		for _, r := range v.Transfer.Regions {
+			least := time.Duration(r.MinMS) * time.Millisecond
 			fmt.Fprintf(w, "\t%s\tover the link of %s at least %d bytes, %v\n", v.Service, r.Region, r.Bytes, least)
 		}
 	}
 }
 
-func bytesColumns(b *envdoc.Bytes) string {
+func bytesColumns(b *envdoc.TransferBytes) string {
 	if b == nil {
 		return "unknown\tunknown\tunknown"
 	}
-	if b.Origin == b.OriginMost {
-		return fmt.Sprintf("%d\t%d\t%d", b.Whole, b.New, b.Origin)
+	if b.Origin == b.OriginMax {
+		return fmt.Sprintf("%d\t%d\t%d", b.Total, b.New, b.Origin)
 	}
-	return fmt.Sprintf("%d\t%d\t%d to %d", b.Whole, b.New, b.Origin, b.OriginMost)
+	return fmt.Sprintf("%d\t%d\t%d to %d", b.Total, b.New, b.Origin, b.OriginMax)
 }
--- a/io/process/conf/conf.go
+++ b/io/process/conf/conf.go
@@ -57,9 +57,9 @@
 
 // Target describes the target next to a side.
 type Target struct {
-	Address netip.AddrPort `key:"address" need:"true" role:"side" help:"where the target answers"`
-	Service string         `key:"service" unit:"name" need:"true" role:"side" help:"service whose replica the target is"`
-	Kind    envdoc.Kind    `key:"kind" need:"true" oneof:"engine,plain" role:"side" help:"whether the target is a model engine or a plain service"`
+	Address netip.AddrPort     `key:"address" need:"true" role:"side" help:"where the target answers"`
+	Service string             `key:"service" unit:"name" need:"true" role:"side" help:"service whose replica the target is"`
+	Kind    envdoc.ServiceKind `key:"kind" need:"true" oneof:"engine,plain" role:"side" help:"whether the target is a model engine or a plain service"`
 }
 
 // Links holds the bandwidth of the VM's link and of its region's link.
--- a/io/process/hosted/rollout.go
+++ b/io/process/hosted/rollout.go
@@ -114,7 +114,7 @@
 	d := &envdoc.Document{
 		Revision: f.Revision,
 		Stage:    envdoc.StageProduction,
-		Weigh:    envdoc.WeighOrigin,
+		Goal:     envdoc.GoalOriginBytes,
 		Origin:   envdoc.Origin{Region: s.Regions[f.Origin.Zone]},
 		Models: []envdoc.Model{{
 			Name: e.Model, Version: strconv.FormatUint(e.Version, 10), Manifest: e.Digest,
--- a/io/request/front/request.go
+++ b/io/request/front/request.go
@@ -20,7 +20,7 @@
 // request is a caller's request, with what is needed to run it at a target.
 type request struct {
 	routing route.Request
-	kind    envdoc.Kind
+	kind    envdoc.ServiceKind
 	method  string
 	path    string
 	header  http.Header
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -73,7 +73,7 @@
 
 // lookupService returns the named service of the given kind from the current document.
 // If there is none, it sends the error response and returns false.
-func (f *Front) lookupService(w http.ResponseWriter, name string, kind envdoc.Kind) (envdoc.Service, bool) {
+func (f *Front) lookupService(w http.ResponseWriter, name string, kind envdoc.ServiceKind) (envdoc.Service, bool) {
 	d := f.Source.Current().Document
 	if d == nil {
 		f.reject(w, http.StatusServiceUnavailable, "no document is in force yet", retryAfter)
@@ -89,7 +89,7 @@
 
 // newRequestByName is newRequestFor for the named service. If there is no such service
 // of the given kind, it sends the error response and returns false.
-func (f *Front) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.Kind) (*request, bool) {
+func (f *Front) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.ServiceKind) (*request, bool) {
 	s, ok := f.lookupService(w, name, kind)
 	if !ok {
 		return nil, false
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -251,7 +251,7 @@
 	return ""
 }
 
-func (g *Gate) serviceKind() envdoc.Kind {
+func (g *Gate) serviceKind() envdoc.ServiceKind {
 	d := g.Source.Current().Document
 	if d == nil {
 		return ""
--- a/io/version/swarm/swarm_test.go
+++ b/io/version/swarm/swarm_test.go
@@ -212,7 +212,7 @@
 func (c *cluster) view(d chunk.Digest) view.View {
 	return view.View{
 		Document: &envdoc.Document{
-			Weigh:  envdoc.WeighOrigin,
+			Goal:   envdoc.GoalOriginBytes,
 			Models: []envdoc.Model{{Name: "m", Version: "1", Manifest: d}},
 			Services: []envdoc.Service{{Name: "svc", Kind: envdoc.KindEngine, Model: "m", Replicas: []envdoc.Placement{
 				{Zone: "r1-a", Replicas: 9},
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -170,10 +170,10 @@
 		})
 	}
 	if s.view.Document != nil {
-		s.distribution.SetGoal(s.view.Document.Weigh)
+		s.distribution.SetGoal(s.view.Document.Goal)
 		s.distribution.SetOriginRegion(n.originRegion(s.view.Document))
-		if r, ok := s.view.Document.RegionByName(n.Self.VM.Region); ok && r.Link > 0 {
-			n.pacer.SetRegionRate(r.Link)
+		if r, ok := s.view.Document.RegionByName(n.Self.VM.Region); ok && r.LinkRate > 0 {
+			n.pacer.SetRegionRate(r.LinkRate)
 		}
 	}
 	if n.Burst.ImportSlots == 0 {
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -44,14 +44,14 @@
 // relay's that leads to it. Callers is an entry's address for them; Target, Kind, Fencing and
 // Model are a side's.
 type Node struct {
-	VM      fleet.VM       `json:"vm"`
-	Listed  netip.AddrPort `json:"listed"`
-	Admin   netip.AddrPort `json:"admin"`
-	Callers netip.AddrPort `json:"callers"`
-	Target  netip.AddrPort `json:"target"`
-	Kind    envdoc.Kind    `json:"kind,omitempty"`
-	Fencing envdoc.Fencing `json:"fencing,omitempty"`
-	Model   string         `json:"model,omitempty"`
+	VM      fleet.VM           `json:"vm"`
+	Listed  netip.AddrPort     `json:"listed"`
+	Admin   netip.AddrPort     `json:"admin"`
+	Callers netip.AddrPort     `json:"callers"`
+	Target  netip.AddrPort     `json:"target"`
+	Kind    envdoc.ServiceKind `json:"kind,omitempty"`
+	Fencing envdoc.Fencing     `json:"fencing,omitempty"`
+	Model   string             `json:"model,omitempty"`
 }
 
 // fleetFile is where the plan is kept in the demonstration's directory.
--- a/standin/demo/plan.go
+++ b/standin/demo/plan.go
@@ -114,8 +114,8 @@
 func (p planner) links() Links {
 	var thin int64
 	for _, r := range p.doc.Regions {
-		if thin == 0 || r.Link < thin {
-			thin = r.Link
+		if thin == 0 || r.LinkRate < thin {
+			thin = r.LinkRate
 		}
 	}
 	return Links{Origin: originCopies * thin, Machine: machineCopies * thin, Region: thin}
