--- a/core/process/envdoc/parse.go
+++ b/core/process/envdoc/parse.go
@@ -43,14 +43,14 @@
 const replicasPrefix = "replicas."
 
 // Parse parses the INI text of a document and checks it. name is the text's name
-// in errors. The error is an inidoc.Flaws that lists every fault.
+// in errors. The error is an inidoc.Problems that lists every fault.
 func Parse(name string, revision uint64, text []byte) (*Document, error) {
 	return parseFile(inidoc.Parse(name, text), revision)
 }
 
 // FromSections is Parse for a document whose sections were received separately.
-func FromSections(name string, revision uint64, contents []inidoc.Content) (*Document, error) {
-	return parseFile(inidoc.Assemble(name, contents), revision)
+func FromSections(name string, revision uint64, contents []inidoc.RawSection) (*Document, error) {
+	return parseFile(inidoc.FromSections(name, contents), revision)
 }
 
 func parseFile(f *inidoc.File, revision uint64) (*Document, error) {
@@ -62,9 +62,9 @@
 	p.doc.sort()
 	p.checkReferences()
 	for _, s := range p.file.Sections {
-		s.Close()
+		s.RejectUnknownKeys()
 	}
-	if err := p.file.Flaws.Err(); err != nil {
+	if err := p.file.Problems.Err(); err != nil {
 		return nil, err
 	}
 	return p.doc, nil
@@ -181,7 +181,7 @@
 
 // parsePatterns parses a comma-separated list of "METHOD /path" items.
 func parsePatterns(text string) ([]string, error) {
-	items := inidoc.List(text)
+	items := inidoc.SplitList(text)
 	if len(items) > maxPatterns {
 		return nil, errors.Newf("want at most %d patterns", maxPatterns)
 	}
--- a/core/process/envdoc/parse_test.go
+++ b/core/process/envdoc/parse_test.go
@@ -90,7 +90,7 @@
 		}
 		_, err := Parse("doc.ini", 1, []byte(strings.Replace(text, tc.from, tc.to, 1)))
 		var got []string
-		var flaws inidoc.Flaws
+		var flaws inidoc.Problems
 		if errors.As(err, &flaws) {
 			for _, f := range flaws {
 				got = append(got, strings.TrimLeft(strings.TrimPrefix(f.Error(), "doc.ini:"), " "))
@@ -115,7 +115,7 @@
 		if err != nil {
 			return
 		}
-		contents := inidoc.Parse("fuzz.ini", []byte(text)).Contents()
+		contents := inidoc.Parse("fuzz.ini", []byte(text)).RawSections()
 		again, err := FromSections("fuzz.ini", 1, contents)
 		if err != nil {
 			t.Fatal(err)
--- a/core/process/gossip/bench_test.go
+++ b/core/process/gossip/bench_test.go
@@ -31,17 +31,17 @@
 
 func benchDocument(b *testing.B, revision uint64) State {
 	b.Helper()
-	contents := []inidoc.Content{
-		{Name: "environment", Keys: []inidoc.Pair{{Key: "name", Value: "e"}, {Key: "stage", Value: "trial"}}},
-		{Name: "region.r", Keys: []inidoc.Pair{{Key: "link", Value: "25Mbit"}}},
-		{Name: "zone.z", Keys: []inidoc.Pair{{Key: "region", Value: "r"}}},
-		{Name: "service.s", Keys: []inidoc.Pair{
+	contents := []inidoc.RawSection{
+		{Name: "environment", Pairs: []inidoc.KeyValue{{Key: "name", Value: "e"}, {Key: "stage", Value: "trial"}}},
+		{Name: "region.r", Pairs: []inidoc.KeyValue{{Key: "link", Value: "25Mbit"}}},
+		{Name: "zone.z", Pairs: []inidoc.KeyValue{{Key: "region", Value: "r"}}},
+		{Name: "service.s", Pairs: []inidoc.KeyValue{
 			{Key: "kind", Value: "plain"}, {Key: "replicas.z", Value: fmt.Sprint(1 + revision%9)},
 		}},
 	}
 	for i := range benchSections {
-		contents = append(contents, inidoc.Content{
-			Name: fmt.Sprintf("customer.customer-%05d", i), Keys: []inidoc.Pair{{Key: "share", Value: "1"}},
+		contents = append(contents, inidoc.RawSection{
+			Name: fmt.Sprintf("customer.customer-%05d", i), Pairs: []inidoc.KeyValue{{Key: "share", Value: "1"}},
 		})
 	}
 	s, err := EncodeDocument(revision, contents)
--- a/core/process/gossip/document.go
+++ b/core/process/gossip/document.go
@@ -11,10 +11,10 @@
 
 // EncodeDocument returns the state of a document. Each section is one item, and
 // the version is the revision that the configuration service assigned.
-func EncodeDocument(revision uint64, contents []inidoc.Content) (State, error) {
+func EncodeDocument(revision uint64, contents []inidoc.RawSection) (State, error) {
 	items := make([]Item, 0, len(contents))
 	for _, c := range contents {
-		b, err := json.Marshal(c.Keys)
+		b, err := json.Marshal(c.Pairs)
 		if err != nil {
 			return State{}, errors.Wrapf(err, "encode section %s", c.Name)
 		}
@@ -25,10 +25,10 @@
 
 // DecodeDocument decodes and validates the document of a state.
 func DecodeDocument(name string, s State) (*envdoc.Document, error) {
-	contents := make([]inidoc.Content, 0, len(s.Items))
+	contents := make([]inidoc.RawSection, 0, len(s.Items))
 	for _, it := range s.Items {
-		c := inidoc.Content{Name: it.Name}
-		if err := json.Unmarshal(it.Body, &c.Keys); err != nil {
+		c := inidoc.RawSection{Name: it.Name}
+		if err := json.Unmarshal(it.Body, &c.Pairs); err != nil {
 			return nil, errors.Wrapf(err, "decode section %s", it.Name)
 		}
 		contents = append(contents, c)
--- a/core/process/inidoc/file.go
+++ b/core/process/inidoc/file.go
@@ -23,7 +23,7 @@
 type File struct {
 	Name     string
 	Sections []*Section
-	Flaws    Flaws
+	Problems Problems
 
 	byName map[string]*Section
 }
@@ -33,36 +33,36 @@
 	Name string
 
 	file *File
-	keys []Pair
+	keys []KeyValue
 	used map[string]bool
 }
 
-// Pair is a key of a section and the text of its value.
-type Pair struct {
+// KeyValue is a key of a section and the text of its value.
+type KeyValue struct {
 	Key   string `json:"k"`
 	Value string `json:"v"`
 }
 
-// Content is the content of a section without its file, in the form in which
+// RawSection is the content of a section without its file, in the form in which
 // processes send it to each other. It preserves the exact text of each value;
 // formatting a section as INI and parsing it again might not, for values with
 // quotes or comment characters.
-type Content struct {
-	Name string
-	Keys []Pair
+type RawSection struct {
+	Name  string
+	Pairs []KeyValue
 }
 
-func (c Content) byteSize() int {
+func (c RawSection) byteSize() int {
 	n := 0
-	for _, p := range c.Keys {
+	for _, p := range c.Pairs {
 		n += len(p.Key) + len(p.Value)
 	}
 	return n
 }
 
-// Assemble makes a file from sections that were received separately. name is the
+// FromSections makes a file from sections that were received separately. name is the
 // file's name in flaws.
-func Assemble(name string, contents []Content) *File {
+func FromSections(name string, contents []RawSection) *File {
 	f := newFile(name)
 	for _, c := range contents {
 		f.addSection(c)
@@ -70,24 +70,24 @@
 	return f
 }
 
-// Contents returns the sections of the file.
-func (f *File) Contents() []Content {
-	out := make([]Content, 0, len(f.Sections))
+// RawSections returns the sections of the file.
+func (f *File) RawSections() []RawSection {
+	out := make([]RawSection, 0, len(f.Sections))
 	for _, s := range f.Sections {
-		out = append(out, Content{Name: s.Name, Keys: s.keys})
+		out = append(out, RawSection{Name: s.Name, Pairs: s.keys})
 	}
 	return out
 }
 
-func (f *File) addSection(c Content) {
+func (f *File) addSection(c RawSection) {
 	if f.Section(c.Name) != nil {
-		f.addFlaw(Flaw{Section: c.Name, Reason: "section appears twice"})
+		f.addFlaw(Problem{Section: c.Name, Reason: "section appears twice"})
 		return
 	}
 	if c.byteSize() > MaxSectionBytes {
-		f.addFlaw(Flaw{Section: c.Name, Reason: "section is longer than 32 KiB"})
+		f.addFlaw(Problem{Section: c.Name, Reason: "section is longer than 32 KiB"})
 	}
-	s := &Section{Name: c.Name, file: f, keys: c.Keys, used: map[string]bool{}}
+	s := &Section{Name: c.Name, file: f, keys: c.Pairs, used: map[string]bool{}}
 	f.Sections = append(f.Sections, s)
 	f.byName[s.Name] = s
 }
@@ -101,12 +101,12 @@
 func Parse(name string, b []byte) *File {
 	f := newFile(name)
 	if len(b) > MaxBytes {
-		f.addFlaw(Flaw{Reason: "longer than 1 MiB"})
+		f.addFlaw(Problem{Reason: "longer than 1 MiB"})
 		return f
 	}
 	text, err := ini.LoadSources(loadOptions(), b)
 	if err != nil {
-		f.addFlaw(Flaw{Reason: oneLine(err)})
+		f.addFlaw(Problem{Reason: oneLine(err)})
 		return f
 	}
 	for _, s := range text.Sections() {
@@ -132,39 +132,39 @@
 func (f *File) addINISection(s *ini.Section) {
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			f.addFlaw(Flaw{Key: k.Name(), Value: k.Value(), Reason: "stands outside of any section"})
+			f.addFlaw(Problem{Key: k.Name(), Value: k.Value(), Reason: "stands outside of any section"})
 		}
 		return
 	}
-	c := Content{Name: s.Name()}
+	c := RawSection{Name: s.Name()}
 	for _, k := range s.Keys() {
 		all := k.ValueWithShadows()
 		if len(all) > 1 {
-			f.addFlaw(Flaw{Section: c.Name, Key: k.Name(), Value: all[len(all)-1], Reason: "key appears twice"})
+			f.addFlaw(Problem{Section: c.Name, Key: k.Name(), Value: all[len(all)-1], Reason: "key appears twice"})
 		}
-		c.Keys = append(c.Keys, Pair{Key: k.Name(), Value: k.Value()})
+		c.Pairs = append(c.Pairs, KeyValue{Key: k.Name(), Value: k.Value()})
 	}
 	f.addSection(c)
 }
 
-func (f *File) addFlaw(flaw Flaw) {
+func (f *File) addFlaw(flaw Problem) {
 	flaw.File = f.Name
-	f.Flaws = append(f.Flaws, flaw)
+	f.Problems = append(f.Problems, flaw)
 }
 
 // Reject records a flaw of the whole file.
-func (f *File) Reject(reason string) { f.addFlaw(Flaw{Reason: reason}) }
+func (f *File) Reject(reason string) { f.addFlaw(Problem{Reason: reason}) }
 
 // Section returns the section with the given name, or nil if there is none.
 func (f *File) Section(name string) *Section { return f.byName[name] }
 
 // Reject records a flaw of one key of the section; key and value may be empty.
 func (s *Section) Reject(key, value, reason string) {
-	s.file.addFlaw(Flaw{Section: s.Name, Key: key, Value: value, Reason: reason})
+	s.file.addFlaw(Problem{Section: s.Name, Key: key, Value: value, Reason: reason})
 }
 
 // Take returns the value of key, if there is one, and marks the key as known for
-// Close.
+// RejectUnknownKeys.
 func (s *Section) Take(key string) (string, bool) {
 	s.used[key] = true
 	for _, p := range s.keys {
@@ -187,9 +187,9 @@
 	return out
 }
 
-// Close records a flaw for each unknown key, that is each key for which Take was
+// RejectUnknownKeys records a flaw for each unknown key, that is each key for which Take was
 // not called. Call it after reading all known keys.
-func (s *Section) Close() {
+func (s *Section) RejectUnknownKeys() {
 	for _, p := range s.keys {
 		if !s.used[p.Key] {
 			s.Reject(p.Key, p.Value, "unknown key")
--- a/core/process/inidoc/flaw.go
+++ b/core/process/inidoc/flaw.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Flaw is a fault in an INI text: its location and the reason. Key and Value are
+// Problem is a fault in an INI text: its location and the reason. Key and Value are
 // empty if the fault concerns a whole section, and Section is empty if it concerns
 // the whole file.
-type Flaw struct {
+type Problem struct {
 	File    string
 	Section string
 	Key     string
@@ -17,7 +17,7 @@
 }
 
 // Error returns the flaw as one line.
-func (f Flaw) Error() string {
+func (f Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File)
 	if f.Section != "" {
@@ -36,11 +36,11 @@
 	return b.String()
 }
 
-// Flaws lists the faults of a text in the order in which they were found.
-type Flaws []Flaw
+// Problems lists the faults of a text in the order in which they were found.
+type Problems []Problem
 
 // Error returns one line for each flaw.
-func (f Flaws) Error() string {
+func (f Problems) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, flaw := range f {
 		lines = append(lines, flaw.Error())
@@ -49,7 +49,7 @@
 }
 
 // Err returns f as an error, or nil if it is empty.
-func (f Flaws) Err() error {
+func (f Problems) Err() error {
 	if len(f) == 0 {
 		return nil
 	}
--- a/core/process/inidoc/value.go
+++ b/core/process/inidoc/value.go
@@ -155,7 +155,7 @@
 // is an empty list.
 func AddrPorts(text string) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
-	for _, part := range List(text) {
+	for _, part := range SplitList(text) {
 		a, err := AddrPort(part)
 		if err != nil {
 			return nil, err
@@ -165,8 +165,8 @@
 	return out, nil
 }
 
-// List splits a comma-separated list and trims its items. Empty items are dropped.
-func List(text string) []string {
+// SplitList splits a comma-separated list and trims its items. Empty items are dropped.
+func SplitList(text string) []string {
 	var out []string
 	for part := range strings.SplitSeq(text, ",") {
 		if part = strings.TrimSpace(part); part != "" {
--- a/core/process/opt/opt.go
+++ b/core/process/opt/opt.go
@@ -137,7 +137,7 @@
 func (f Field) setString(text string) error {
 	parse := func(s string) (string, error) { return s, nil }
 	if f.OneOf != "" {
-		parse = inidoc.OneOf(inidoc.List(f.OneOf)...)
+		parse = inidoc.OneOf(inidoc.SplitList(f.OneOf)...)
 	}
 	if f.Unit == unitName {
 		parse = inidoc.Identifier
--- a/io/process/cmds/bind.go
+++ b/io/process/cmds/bind.go
@@ -102,7 +102,7 @@
 
 // assign parses the texts into the options and lists every fault.
 func assign(options []*bound) error {
-	var flaws inidoc.Flaws
+	var flaws inidoc.Problems
 	for _, b := range options {
 		text := b.text
 		if text == "" {
@@ -112,7 +112,7 @@
 			continue
 		}
 		if err := b.Set(text); err != nil {
-			flaws = append(flaws, inidoc.Flaw{File: "command line", Key: b.name(), Value: text, Reason: err.Error()})
+			flaws = append(flaws, inidoc.Problem{File: "command line", Key: b.name(), Value: text, Reason: err.Error()})
 		}
 	}
 	return flaws.Err()
--- a/io/process/cmds/main.go
+++ b/io/process/cmds/main.go
@@ -74,8 +74,8 @@
 	if err == nil {
 		return exitOK
 	}
-	var flaws inidoc.Flaws
-	var flaw inidoc.Flaw
+	var flaws inidoc.Problems
+	var flaw inidoc.Problem
 	if errors.As(err, &flaws) || errors.As(err, &flaw) || errors.Is(err, errInput) {
 		return exitInput
 	}
--- a/io/process/cmds/plan.go
+++ b/io/process/cmds/plan.go
@@ -60,7 +60,7 @@
 
 // bothFlaws joins the faults of two documents, so that one run lists all.
 func bothFlaws(a, b error) error {
-	var all, flaws inidoc.Flaws
+	var all, flaws inidoc.Problems
 	for _, err := range []error{a, b} {
 		if err != nil && !errors.As(err, &flaws) {
 			return err
@@ -74,7 +74,7 @@
 
 func (p *plan) manifests(ctx context.Context, docs ...*envdoc.Document) (map[chunk.Digest]chunk.Manifest, error) {
 	out := map[chunk.Digest]chunk.Manifest{}
-	for _, path := range inidoc.List(p.Manifests) {
+	for _, path := range inidoc.SplitList(p.Manifests) {
 		b, err := os.ReadFile(path)
 		if err != nil {
 			return nil, errors.Mark(fault.At("read manifest", path, err), errInput)
--- a/io/process/cmds/process.go
+++ b/io/process/cmds/process.go
@@ -58,7 +58,7 @@
 		}
 	}
 	s, err := conf.Load(p.File, p.role, given)
-	var flaws inidoc.Flaws
+	var flaws inidoc.Problems
 	if err != nil && !errors.As(err, &flaws) {
 		return s, errors.Mark(err, errInput)
 	}
@@ -74,7 +74,7 @@
 		if i := strings.LastIndex(reason, ": "); i >= 0 {
 			reason = reason[i+2:]
 		}
-		return nil, inidoc.Flaw{File: p.File, Section: "listen", Key: key, Value: addr.String(), Reason: reason}
+		return nil, inidoc.Problem{File: p.File, Section: "listen", Key: key, Value: addr.String(), Reason: reason}
 	}
 	return l, nil
 }
--- a/io/process/conf/conf_test.go
+++ b/io/process/conf/conf_test.go
@@ -86,7 +86,7 @@
 		}
 		_, err := Parse("side.ini", []byte(strings.Replace(text, tc.from, tc.to, 1)), fleet.RoleSide, nil)
 		var got []string
-		var flaws inidoc.Flaws
+		var flaws inidoc.Problems
 		if errors.As(err, &flaws) {
 			for _, f := range flaws {
 				got = append(got, strings.TrimPrefix(f.Error(), "side.ini: "))
--- a/io/process/conf/load.go
+++ b/io/process/conf/load.go
@@ -37,7 +37,7 @@
 }
 
 // Load reads the settings of a process of the given role from the file at path. The flags
-// override the file's values. An error of type inidoc.Flaws lists everything that is wrong
+// override the file's values. An error of type inidoc.Problems lists everything that is wrong
 // with the settings.
 func Load(path string, role fleet.Role, flags []Flag) (Settings, error) {
 	b, err := os.ReadFile(path)
@@ -58,7 +58,7 @@
 	if s.Process.Role != "" && s.Process.Role != role {
 		r.reject("process", "role", string(s.Process.Role), "the command is "+string(role))
 	}
-	return s, r.file.Flaws.Err()
+	return s, r.file.Problems.Err()
 }
 
 type reader struct {
@@ -75,7 +75,7 @@
 		}
 	}
 	if in != nil {
-		in.Close()
+		in.RejectUnknownKeys()
 	}
 }
 
@@ -100,8 +100,8 @@
 		return
 	}
 	if err := f.Set(text); err != nil {
-		flaw := inidoc.Flaw{File: where, Section: name, Key: f.Key, Value: text, Reason: err.Error()}
-		r.file.Flaws = append(r.file.Flaws, flaw)
+		flaw := inidoc.Problem{File: where, Section: name, Key: f.Key, Value: text, Reason: err.Error()}
+		r.file.Problems = append(r.file.Problems, flaw)
 	}
 }
 
@@ -123,8 +123,8 @@
 }
 
 func (r *reader) reject(name, key, value, reason string) {
-	flaw := inidoc.Flaw{File: r.file.Name, Section: name, Key: key, Value: value, Reason: reason}
-	r.file.Flaws = append(r.file.Flaws, flaw)
+	flaw := inidoc.Problem{File: r.file.Name, Section: name, Key: key, Value: value, Reason: reason}
+	r.file.Problems = append(r.file.Problems, flaw)
 }
 
 func hasSection(known []section, name string) bool {
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -141,9 +141,9 @@
 // adopted or refused, so that the next read requests a revision above it.
 func (w *Watcher) readDocument(ctx context.Context, revision uint64, text []byte) {
 	f := inidoc.Parse(w.Environment, text)
-	s, err := gossip.EncodeDocument(revision, f.Contents())
-	if f.Flaws.Err() != nil {
-		err = f.Flaws
+	s, err := gossip.EncodeDocument(revision, f.RawSections())
+	if f.Problems.Err() != nil {
+		err = f.Problems
 	}
 	done := make(chan struct{})
 	w.post(ctx, func(now time.Time) []gossip.Action {
