--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -75,41 +75,41 @@
 	Name string
 }
 
-// Line is the result for one measure on one scale. Value is the value of the last
+// Result is the result for one measure on one scale. Value is the value of the last
 // finished window, Usual the median of the windows before it, and Trend the average
 // of the newest quarter of the windows divided by that of the oldest quarter, so 1
 // means no change. Declined is set if Value or Trend is above the tracker's limit.
-type Line struct {
+type Result struct {
 	Name     Name
 	Window   time.Duration
 	Windows  int
 	Value    float64
-	Usual    float64
+	Median   float64
 	Trend    float64
 	Declined bool
 }
 
-// Latency adds a sample to a measure of KindLatency.
-func (t *Tracker) Latency(now time.Time, name string, d time.Duration) {
+// AddLatency adds a sample to a measure of KindLatency.
+func (t *Tracker) AddLatency(now time.Time, name string, d time.Duration) {
 	t.seriesFor(now, Name{KindLatency, name}).add(now, float64(d)/float64(time.Millisecond))
 }
 
-// Count adds n to a measure of KindCount.
-func (t *Tracker) Count(now time.Time, name string, n int) {
+// AddCount adds n to a measure of KindCount.
+func (t *Tracker) AddCount(now time.Time, name string, n int) {
 	t.seriesFor(now, Name{KindCount, name}).add(now, float64(n))
 }
 
-// Size adds a sample to a measure of KindSize.
-func (t *Tracker) Size(now time.Time, name string, n int) {
+// AddSize adds a sample to a measure of KindSize.
+func (t *Tracker) AddSize(now time.Time, name string, n int) {
 	t.seriesFor(now, Name{KindSize, name}).add(now, float64(n))
 }
 
-// Lines returns a line for each measure and scale with at least two finished
+// Results returns a line for each measure and scale with at least two finished
 // windows, sorted by kind, name and window length.
-func (t *Tracker) Lines(now time.Time) []Line {
+func (t *Tracker) Results(now time.Time) []Result {
 	t.prepare()
 	t.series.Expire(now)
-	var out []Line
+	var out []Result
 	for name, s := range t.series.All(now) {
 		for _, w := range s.histories {
 			w.closeEnded(now)
@@ -125,7 +125,7 @@
 // Len returns the number of measures.
 func (t *Tracker) Len() int { return t.series.Len() }
 
-func compareLines(a, b Line) int {
+func compareLines(a, b Result) int {
 	return cmp.Or(
 		cmp.Compare(a.Name.Kind, b.Name.Kind),
 		cmp.Compare(a.Name.Name, b.Name.Name),
--- a/core/process/drift/drift_test.go
+++ b/core/process/drift/drift_test.go
@@ -11,22 +11,22 @@
 
 // recordWeek records one sample a minute for a week and returns the results. value
 // gives the sample at a time since the start.
-func recordWeek(record func(*Tracker, time.Time, float64), value func(time.Duration) float64) []Line {
+func recordWeek(record func(*Tracker, time.Time, float64), value func(time.Duration) float64) []Result {
 	t := &Tracker{}
 	const week = 7 * 24 * time.Hour
 	for d := time.Duration(0); d <= week; d += time.Minute {
 		record(t, start.Add(d), value(d))
 	}
-	return t.Lines(start.Add(week))
+	return t.Results(start.Add(week))
 }
 
 func latency(t *Tracker, now time.Time, v float64) {
-	t.Latency(now, "firstByte", time.Duration(v*float64(time.Millisecond)))
+	t.AddLatency(now, "firstByte", time.Duration(v*float64(time.Millisecond)))
 }
 
-func size(t *Tracker, now time.Time, v float64) { t.Size(now, "table", int(v)) }
+func size(t *Tracker, now time.Time, v float64) { t.AddSize(now, "table", int(v)) }
 
-func count(t *Tracker, now time.Time, v float64) { t.Count(now, "repeats", int(v)) }
+func count(t *Tracker, now time.Time, v float64) { t.AddCount(now, "repeats", int(v)) }
 
 // A degradation that no single window shows must be reported: 5 % a day in one
 // case, a few entries an hour in another. A measure that rises and falls with the
@@ -81,15 +81,15 @@
 	now := start
 	for range 20 {
 		now = now.Add(30 * time.Second)
-		tr.Latency(now, "x", time.Second)
+		tr.AddLatency(now, "x", time.Second)
 	}
 	now = now.Add(5 * time.Hour)
 	for range 4 {
 		now = now.Add(30 * time.Second)
-		tr.Latency(now, "x", time.Second)
+		tr.AddLatency(now, "x", time.Second)
 	}
-	for _, l := range tr.Lines(now) {
-		if l.Declined || l.Usual < 900 {
+	for _, l := range tr.Results(now) {
+		if l.Declined || l.Median < 900 {
 			t.Errorf("line after a pause: %+v", l)
 		}
 	}
@@ -101,7 +101,7 @@
 	now := start
 	for i := range 1000 {
 		now = now.Add(time.Minute)
-		tr.Count(now, string(rune('a'+i)), 1)
+		tr.AddCount(now, string(rune('a'+i)), 1)
 	}
 	if tr.Len() > 16 {
 		t.Errorf("%d series, want at most 16", tr.Len())
--- a/core/process/drift/window.go
+++ b/core/process/drift/window.go
@@ -69,16 +69,16 @@
 	}
 }
 
-func (w *windowHistory) line(n Name, factor, trend float64) (Line, bool) {
+func (w *windowHistory) line(n Name, factor, trend float64) (Result, bool) {
 	last := len(w.finished) - 1
 	if last < 1 {
-		return Line{}, false
+		return Result{}, false
 	}
-	l := Line{Name: n, Window: w.scale.Window, Windows: len(w.finished), Value: w.finished[last]}
-	l.Usual = median(w.finished[:last])
+	l := Result{Name: n, Window: w.scale.Window, Windows: len(w.finished), Value: w.finished[last]}
+	l.Median = median(w.finished[:last])
 	oldest, newest := w.trendEnds()
 	l.Trend = ratio(newest, oldest)
-	l.Declined = hasRisen(l.Value, l.Usual, factor) || hasRisen(newest, oldest, trend)
+	l.Declined = hasRisen(l.Value, l.Median, factor) || hasRisen(newest, oldest, trend)
 	return l, true
 }
 
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -175,16 +175,16 @@
 
 func (s *soak) measure() {
 	sizes := s.chooser.Sizes()
-	s.tracker.Size(s.now, "prefixes", sizes.Prefixes)
-	s.tracker.Size(s.now, "targets", sizes.Targets)
-	s.tracker.Size(s.now, "speeds", sizes.TokenIntervals)
-	s.tracker.Size(s.now, "admission", s.admit.Size(s.now))
-	s.tracker.Size(s.now, "ledger", s.ledger.Len())
-	s.tracker.Count(s.now, "refused", s.refused)
+	s.tracker.AddSize(s.now, "prefixes", sizes.Prefixes)
+	s.tracker.AddSize(s.now, "targets", sizes.Targets)
+	s.tracker.AddSize(s.now, "speeds", sizes.TokenIntervals)
+	s.tracker.AddSize(s.now, "admission", s.admit.Size(s.now))
+	s.tracker.AddSize(s.now, "ledger", s.ledger.Len())
+	s.tracker.AddCount(s.now, "refused", s.refused)
 	s.refused = 0
 	for _, st := range s.admit.States(s.now) {
-		s.tracker.Size(s.now, "inFlight", st.InFlight)
-		s.tracker.Size(s.now, "limit", st.Limit)
+		s.tracker.AddSize(s.now, "inFlight", st.InFlight)
+		s.tracker.AddSize(s.now, "limit", st.Limit)
 	}
 }
 
@@ -204,11 +204,11 @@
 	if s.repeatsRefused == 0 {
 		t.Error("no repeat of a ticket was refused: the test checks nothing")
 	}
-	for _, l := range s.tracker.Lines(s.now) {
-		t.Logf("%s %s over %v: value %.0f, usual %.0f, trend %.2f", l.Name.Kind, l.Name.Name, l.Window, l.Value, l.Usual, l.Trend)
+	for _, l := range s.tracker.Results(s.now) {
+		t.Logf("%s %s over %v: value %.0f, usual %.0f, trend %.2f", l.Name.Kind, l.Name.Name, l.Window, l.Value, l.Median, l.Trend)
 		if l.Declined {
 			t.Errorf("%s %s drifts over %v: value %.0f, usual %.0f, trend %.2f",
-				l.Name.Kind, l.Name.Name, l.Window, l.Value, l.Usual, l.Trend)
+				l.Name.Kind, l.Name.Name, l.Window, l.Value, l.Median, l.Trend)
 		}
 	}
 	t.Logf("%d calls, %d tickets, %d repeats refused", s.n, len(s.tickets), s.repeatsRefused)
@@ -222,10 +222,10 @@
 	s := newSoak()
 	s.admit.MaxCallAge = 52 * 7 * 24 * time.Hour
 	s.run(1)
-	for _, l := range s.tracker.Lines(s.now) {
+	for _, l := range s.tracker.Results(s.now) {
 		if l.Name.Name == "inFlight" && l.Declined {
 			return
 		}
 	}
-	t.Errorf("no drift of calls in flight reported: %+v", s.tracker.Lines(s.now))
+	t.Errorf("no drift of calls in flight reported: %+v", s.tracker.Results(s.now))
 }
--- a/io/process/gauge/gauge.go
+++ b/io/process/gauge/gauge.go
@@ -52,7 +52,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tracker.Latency(g.Clock.Now(), name, d)
+	g.tracker.AddLatency(g.Clock.Now(), name, d)
 }
 
 // Count adds n to the counter called name.
@@ -62,7 +62,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.tracker.Count(g.Clock.Now(), name, n)
+	g.tracker.AddCount(g.Clock.Now(), name, n)
 }
 
 // Watch adds a table whose size is read every publishInterval. Its Len must not use the gauge.
@@ -95,18 +95,18 @@
 	defer g.mu.Unlock()
 	now := g.Clock.Now()
 	for _, r := range rows {
-		g.tracker.Size(now, r.Name, r.Entries)
+		g.tracker.AddSize(now, r.Name, r.Entries)
 	}
-	for _, l := range g.tracker.Lines(now) {
+	for _, l := range g.tracker.Results(now) {
 		if s := g.scopeLocked(l); s != nil {
 			s.Gauge("drift_value").Update(l.Value)
-			s.Gauge("drift_usual").Update(l.Usual)
+			s.Gauge("drift_usual").Update(l.Median)
 			s.Gauge("drift_trend").Update(l.Trend)
 		}
 	}
 }
 
-func (g *Gauge) scopeLocked(l drift.Line) tally.Scope {
+func (g *Gauge) scopeLocked(l drift.Result) tally.Scope {
 	key := fmt.Sprint(l.Name, l.Window)
 	if s, ok := g.scopes[key]; ok {
 		return s
@@ -143,13 +143,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []admin.Drift
-	for _, l := range g.tracker.Lines(g.Clock.Now()) {
+	for _, l := range g.tracker.Results(g.Clock.Now()) {
 		out = append(out, admin.Drift{
 			Name:     l.Name.Name,
 			Unit:     unit(l.Name.Kind),
 			WindowMs: l.Window.Milliseconds(),
 			Value:    l.Value,
-			Previous: l.Usual,
+			Previous: l.Median,
 			Trend:    l.Trend,
 			Declined: l.Declined,
 		})
