--- a/core/process/explor/explor.go
+++ b/core/process/explor/explor.go
@@ -13,8 +13,8 @@
 	"strings"
 )
 
-// Move is an event that may happen in a state, and the state that follows.
-type Move[S any] struct {
+// Transition is an event that may happen in a state, and the state that follows.
+type Transition[S any] struct {
 	Name string
 	Next S
 }
@@ -23,16 +23,16 @@
 // are given or have returned.
 type Model[S any] struct {
 	Initial S
-	// Moves returns all events that may happen in a state.
-	Moves func(S) []Move[S]
+	// Transitions returns all events that may happen in a state.
+	Transitions func(S) []Transition[S]
 	// Key identifies a state. Of several states with the same key only the first
 	// one found is explored, so they must behave alike.
 	Key func(S) string
 	// Check returns an error if a state violates a property of the protocol.
 	Check func(S) error
-	// Max limits the number of states. The exploration ends incomplete when it
+	// MaxStates limits the number of states. The exploration ends incomplete when it
 	// would find more.
-	Max int
+	MaxStates int
 }
 
 // Result is the result of an exploration. States and Moves are the numbers of
@@ -41,12 +41,12 @@
 // checked without an error. Err is the error of the check and Trace the moves from
 // the initial state to the state that it is about.
 type Result struct {
-	States int
-	Moves  int
-	Depth  int
-	Whole  bool
-	Err    error
-	Trace  []string
+	States      int
+	Transitions int
+	Depth       int
+	Complete    bool
+	Err         error
+	Trace       []string
 }
 
 // String returns a summary in one line, followed by one line for each move of the
@@ -56,10 +56,10 @@
 		return fmt.Sprintf("%v after %d moves (%d states found):\n  %s",
 			r.Err, len(r.Trace), r.States, strings.Join(r.Trace, "\n  "))
 	}
-	if !r.Whole {
+	if !r.Complete {
 		return fmt.Sprintf("incomplete: stopped at %d states", r.States)
 	}
-	return fmt.Sprintf("%d states, %d moves, depth %d, no violation", r.States, r.Moves, r.Depth)
+	return fmt.Sprintf("%d states, %d moves, depth %d, no violation", r.States, r.Transitions, r.Depth)
 }
 
 // node is the position of a state in the search tree: the index of the state before
@@ -71,7 +71,7 @@
 }
 
 // Explore checks every reachable state of m. It stops at the first error of m.Check,
-// or when there are more than m.Max states.
+// or when there are more than m.MaxStates states.
 func Explore[S any](m Model[S]) Result {
 	var r Result
 	seen := map[string]bool{m.Key(m.Initial): true}
@@ -85,13 +85,13 @@
 		var zero S
 		states[i] = zero
 		r.Depth = nodes[i].depth
-		for _, move := range m.Moves(s) {
-			r.Moves++
+		for _, move := range m.Transitions(s) {
+			r.Transitions++
 			key := m.Key(move.Next)
 			if seen[key] {
 				continue
 			}
-			if len(nodes) >= m.Max {
+			if len(nodes) >= m.MaxStates {
 				r.States = len(nodes)
 				return r
 			}
@@ -107,7 +107,7 @@
 		}
 	}
 	r.States = len(nodes)
-	r.Whole = true
+	r.Complete = true
 	return r
 }
 
--- a/core/process/explor/explor_test.go
+++ b/core/process/explor/explor_test.go
@@ -12,8 +12,8 @@
 // fails at the value broken.
 func counterModel(broken int) Model[int] {
 	return Model[int]{
-		Moves: func(n int) []Move[int] {
-			return []Move[int]{{Name: "one", Next: (n + 1) % 10}, {Name: "two", Next: (n + 2) % 10}}
+		Transitions: func(n int) []Transition[int] {
+			return []Transition[int]{{Name: "one", Next: (n + 1) % 10}, {Name: "two", Next: (n + 2) % 10}}
 		},
 		Key: func(n int) string { return fmt.Sprint(n) },
 		Check: func(n int) error {
@@ -22,12 +22,12 @@
 			}
 			return nil
 		},
-		Max: 100,
+		MaxStates: 100,
 	}
 }
 
 func TestExploreChecksEveryState(t *testing.T) {
-	want := Result{States: 10, Moves: 20, Depth: 5, Whole: true}
+	want := Result{States: 10, Transitions: 20, Depth: 5, Complete: true}
 	if diff := cmp.Diff(want, Explore(counterModel(-1))); diff != "" {
 		t.Errorf("result (-want +got):\n%s", diff)
 	}
@@ -46,8 +46,8 @@
 // A model with more states than the limit must not be reported as checked.
 func TestExploreIsIncompleteAtTheStateLimit(t *testing.T) {
 	m := counterModel(-1)
-	m.Max = 4
-	if got := Explore(m); got.Whole {
+	m.MaxStates = 4
+	if got := Explore(m); got.Complete {
 		t.Errorf("result is complete at the state limit: %v", got)
 	}
 }
--- a/core/process/gossip/explore_test.go
+++ b/core/process/gossip/explore_test.go
@@ -221,13 +221,13 @@
 	return b.String()
 }
 
-func (m clusterModel) moves(s *clusterState) []explor.Move[*clusterState] {
-	var out []explor.Move[*clusterState]
+func (m clusterModel) moves(s *clusterState) []explor.Transition[*clusterState] {
+	var out []explor.Transition[*clusterState]
 	add := func(name string, change func(*clusterState)) {
 		c := s.clone()
 		change(c)
 		c.recordHighest()
-		out = append(out, explor.Move[*clusterState]{Name: name, Next: c})
+		out = append(out, explor.Transition[*clusterState]{Name: name, Next: c})
 	}
 	for i := range s.nodes {
 		if s.reads < m.bounds.reads {
@@ -405,11 +405,11 @@
 
 func (m clusterModel) run() explor.Result {
 	return explor.Explore(explor.Model[*clusterState]{
-		Initial: m.initial(),
-		Moves:   m.moves,
-		Key:     (*clusterState).key,
-		Check:   m.check,
-		Max:     1 << 20,
+		Initial:     m.initial(),
+		Transitions: m.moves,
+		Key:         (*clusterState).key,
+		Check:       m.check,
+		MaxStates:   1 << 20,
 	})
 }
 
@@ -442,7 +442,7 @@
 			t.Parallel()
 			got := clusterModel{bounds: tt.bounds}.run()
 			t.Log(got)
-			if !got.Whole {
+			if !got.Complete {
 				t.Errorf("exploration: %v", got)
 			}
 		})
--- a/core/process/naming/age_explore_test.go
+++ b/core/process/naming/age_explore_test.go
@@ -54,7 +54,7 @@
 // may change while the request reads it.
 type ageModel struct{ model }
 
-func (m ageModel) nextMoves(s *modelState) []explor.Move[*modelState] {
+func (m ageModel) nextMoves(s *modelState) []explor.Transition[*modelState] {
 	out := m.model.nextMoves(s)
 	for _, mv := range out {
 		c := mv.Next
@@ -98,7 +98,7 @@
 func (m ageModel) run() explor.Result {
 	m.quietEnd, m.recordsViews = maxKeyAge+tick, true
 	return explor.Explore(explor.Model[*modelState]{
-		Initial: m.initial(), Moves: m.nextMoves, Key: (*modelState).key, Max: 1 << 20,
+		Initial: m.initial(), Transitions: m.nextMoves, Key: (*modelState).key, MaxStates: 1 << 20,
 		Check: func(s *modelState) error { return s.violation },
 	})
 }
@@ -140,7 +140,7 @@
 			t.Parallel()
 			got := ageModel{model{bounds: tt.bounds}}.run()
 			t.Log(got)
-			if !got.Whole {
+			if !got.Complete {
 				t.Errorf("exploration: %v", got)
 			}
 		})
--- a/core/process/naming/explore_test.go
+++ b/core/process/naming/explore_test.go
@@ -82,15 +82,15 @@
 	return s
 }
 
-func (m model) nextMoves(s *modelState) []explor.Move[*modelState] {
-	var out []explor.Move[*modelState]
+func (m model) nextMoves(s *modelState) []explor.Transition[*modelState] {
+	var out []explor.Transition[*modelState]
 	add := func(name string, change func(*modelState)) {
 		c := s.clone()
 		c.views = nil
 		m.recordView(c)
 		change(c)
 		m.settle(c)
-		out = append(out, explor.Move[*modelState]{Name: name, Next: c})
+		out = append(out, explor.Transition[*modelState]{Name: name, Next: c})
 	}
 	end := time.Hour + time.Duration(m.bounds.ticks)*tick
 	if s.now < end {
@@ -224,7 +224,7 @@
 
 func (m model) run() explor.Result {
 	return explor.Explore(explor.Model[*modelState]{
-		Initial: m.initial(), Moves: m.nextMoves, Key: (*modelState).key, Check: m.check, Max: 1 << 20,
+		Initial: m.initial(), Transitions: m.nextMoves, Key: (*modelState).key, Check: m.check, MaxStates: 1 << 20,
 	})
 }
 
@@ -275,7 +275,7 @@
 			t.Parallel()
 			got := model{bounds: tt.bounds, quietEnd: settleTime}.run()
 			t.Log(got)
-			if !got.Whole {
+			if !got.Complete {
 				t.Errorf("exploration: %v", got)
 			}
 		})
--- a/core/request/proof/moves_test.go
+++ b/core/request/proof/moves_test.go
@@ -18,15 +18,15 @@
 	removed safeguard
 }
 
-type move = explor.Move[*modelState]
+type move = explor.Transition[*modelState]
 
 func (x explorer) run() explor.Result {
 	return explor.Explore(explor.Model[*modelState]{
-		Initial: newModelState(x.bounds, x.removed),
-		Moves:   x.moves,
-		Key:     (*modelState).key,
-		Check:   (*modelState).check,
-		Max:     1 << 21,
+		Initial:     newModelState(x.bounds, x.removed),
+		Transitions: x.moves,
+		Key:         (*modelState).key,
+		Check:       (*modelState).check,
+		MaxStates:   1 << 21,
 	})
 }
 
--- a/core/request/proof/once_test.go
+++ b/core/request/proof/once_test.go
@@ -96,7 +96,7 @@
 			begun := time.Now()
 			got := explorer{bounds: tt.bounds}.run()
 			t.Logf("%v in %v", got, time.Since(begun).Round(time.Millisecond))
-			if !got.Whole {
+			if !got.Complete {
 				t.Errorf("exploration: %v", got)
 			}
 		})
--- a/core/version/roll/explore_test.go
+++ b/core/version/roll/explore_test.go
@@ -118,12 +118,12 @@
 	return f
 }
 
-func (m zoneModel) moves(z *zone) []explor.Move[*zone] {
-	var out []explor.Move[*zone]
+func (m zoneModel) moves(z *zone) []explor.Transition[*zone] {
+	var out []explor.Transition[*zone]
 	add := func(name string, change func(*zone)) {
 		c := z.clone()
 		change(c)
-		out = append(out, explor.Move[*zone]{Name: name, Next: c})
+		out = append(out, explor.Transition[*zone]{Name: name, Next: c})
 	}
 	if z.now < m.ticks {
 		add("time passes", func(c *zone) { c.now++ })
@@ -246,11 +246,11 @@
 
 func (m zoneModel) run() explor.Result {
 	return explor.Explore(explor.Model[*zone]{
-		Initial: m.initial(),
-		Moves:   m.moves,
-		Key:     (*zone).key,
-		Check:   m.check,
-		Max:     1 << 20,
+		Initial:     m.initial(),
+		Transitions: m.moves,
+		Key:         (*zone).key,
+		Check:       m.check,
+		MaxStates:   1 << 20,
 	})
 }
 
@@ -271,7 +271,7 @@
 			t.Parallel()
 			got := tt.model.run()
 			t.Log(got)
-			if !got.Whole {
+			if !got.Complete {
 				t.Errorf("exploration: %v", got)
 			}
 		})
