--- a/core/process/aged/table.go
+++ b/core/process/aged/table.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Table maps keys to values. Set the exported fields before the first use. It is
+// Map maps keys to values. Set the exported fields before the first use. It is
 // not safe for concurrent use.
-type Table[K comparable, V any] struct {
-	// Max is the maximum number of entries. When a new one would exceed it, the
+type Map[K comparable, V any] struct {
+	// MaxEntries is the maximum number of entries. When a new one would exceed it, the
 	// entry whose last Put is the longest ago is removed.
-	Max int
-	// Age is how long an entry is kept after its last Put.
-	Age time.Duration
+	MaxEntries int
+	// TTL is how long an entry is kept after its last Put.
+	TTL time.Duration
 
 	items map[K]*list.Element
 	// order has the items, those put last at the front.
@@ -30,7 +30,7 @@
 }
 
 // Get returns the value of key, if there is one that has not expired at now.
-func (t *Table[K, V]) Get(now time.Time, key K) (V, bool) {
+func (t *Map[K, V]) Get(now time.Time, key K) (V, bool) {
 	var zero V
 	e, ok := t.items[key]
 	if !ok {
@@ -45,7 +45,7 @@
 
 // Put sets the value of key. If the key is new, Put then removes entries as Expire
 // does.
-func (t *Table[K, V]) Put(now time.Time, key K, value V) {
+func (t *Map[K, V]) Put(now time.Time, key K, value V) {
 	if t.items == nil {
 		t.items = make(map[K]*list.Element)
 	}
@@ -61,16 +61,16 @@
 }
 
 // Delete removes key.
-func (t *Table[K, V]) Delete(key K) {
+func (t *Map[K, V]) Delete(key K) {
 	if e, ok := t.items[key]; ok {
 		t.remove(e)
 	}
 }
 
 // Expire removes the entries that have expired at now or exceed Max.
-func (t *Table[K, V]) Expire(now time.Time) {
+func (t *Map[K, V]) Expire(now time.Time) {
 	for e := t.order.Back(); e != nil; e = t.order.Back() {
-		if len(t.items) <= t.Max && !t.expired(now, e.Value.(*item[K, V])) {
+		if len(t.items) <= t.MaxEntries && !t.expired(now, e.Value.(*item[K, V])) {
 			return
 		}
 		t.remove(e)
@@ -79,11 +79,11 @@
 
 // Len returns the number of entries, including expired ones that have not been
 // removed yet.
-func (t *Table[K, V]) Len() int { return len(t.items) }
+func (t *Map[K, V]) Len() int { return len(t.items) }
 
 // All iterates over the entries that have not expired at now, the one put last
 // first. The current entry may be deleted during the iteration.
-func (t *Table[K, V]) All(now time.Time) func(yield func(K, V) bool) {
+func (t *Map[K, V]) All(now time.Time) func(yield func(K, V) bool) {
 	return func(yield func(K, V) bool) {
 		var next *list.Element
 		for e := t.order.Front(); e != nil; e = next {
@@ -99,11 +99,11 @@
 	}
 }
 
-func (t *Table[K, V]) expired(now time.Time, it *item[K, V]) bool {
-	return now.Sub(it.putAt) > t.Age
+func (t *Map[K, V]) expired(now time.Time, it *item[K, V]) bool {
+	return now.Sub(it.putAt) > t.TTL
 }
 
-func (t *Table[K, V]) remove(e *list.Element) {
+func (t *Map[K, V]) remove(e *list.Element) {
 	delete(t.items, e.Value.(*item[K, V]).key)
 	t.order.Remove(e)
 }
--- a/core/process/aged/table_test.go
+++ b/core/process/aged/table_test.go
@@ -13,7 +13,7 @@
 func TestTableStaysBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const maxEntries = 8
-		table := &Table[int, int]{Max: maxEntries, Age: 10 * time.Second}
+		table := &Map[int, int]{MaxEntries: maxEntries, TTL: 10 * time.Second}
 		now := time.Unix(0, 0)
 		putAt := map[int]time.Time{}
 		n := rapid.IntRange(1, 200).Draw(t, "n")
@@ -24,7 +24,7 @@
 				table.Put(now, k, i)
 				putAt[k] = now
 			}
-			if _, ok := table.Get(now, k); ok && now.Sub(putAt[k]) > table.Age {
+			if _, ok := table.Get(now, k); ok && now.Sub(putAt[k]) > table.TTL {
 				t.Fatalf("key %d was put %v ago and has not expired", k, now.Sub(putAt[k]))
 			}
 			if table.Len() > maxEntries {
--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -65,7 +65,7 @@
 	MaxFactor float64
 	MaxTrend  float64
 
-	series aged.Table[Name, *series]
+	series aged.Map[Name, *series]
 	ready  bool
 }
 
@@ -151,8 +151,8 @@
 	if len(t.Scales) == 0 {
 		t.Scales = DefaultScales()
 	}
-	t.series.Max = cmp.Or(t.MaxSeries, DefaultMaxSeries)
-	t.series.Age = cmp.Or(t.MaxAge, DefaultMaxAge)
+	t.series.MaxEntries = cmp.Or(t.MaxSeries, DefaultMaxSeries)
+	t.series.TTL = cmp.Or(t.MaxAge, DefaultMaxAge)
 	t.MaxFactor = cmp.Or(t.MaxFactor, DefaultMaxFactor)
 	t.MaxTrend = cmp.Or(t.MaxTrend, DefaultMaxTrend)
 }
--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -136,7 +136,7 @@
 	Limit LimitSettings
 
 	shares   map[string]int
-	services aged.Table[string, *service]
+	services aged.Map[string, *service]
 	calls    map[string]*call
 	ready    bool
 }
@@ -279,7 +279,7 @@
 	s, ok := a.services.Get(now, name)
 	if !ok {
 		a.services.Expire(now)
-		if a.services.Len() >= a.services.Max {
+		if a.services.Len() >= a.services.MaxEntries {
 			return nil
 		}
 		s = newService(a)
@@ -302,8 +302,8 @@
 	a.IdleAge = max(orDefault(a.IdleAge, DefaultIdleAge), a.MaxCallAge)
 	a.Limit = a.Limit.withDefaults()
 	a.calls = make(map[string]*call)
-	a.services.Max = orDefault(a.MaxServices, DefaultMaxServices)
-	a.services.Age = a.IdleAge
+	a.services.MaxEntries = orDefault(a.MaxServices, DefaultMaxServices)
+	a.services.TTL = a.IdleAge
 }
 
 func orDefault[T comparable](v, def T) T {
--- a/core/request/admit/service.go
+++ b/core/request/admit/service.go
@@ -20,8 +20,8 @@
 	inFlight  int
 	waiting   queue
 	maxQueue  int
-	customers aged.Table[string, *customer]
-	reports   aged.Table[string, route.LoadReport]
+	customers aged.Map[string, *customer]
+	reports   aged.Map[string, route.LoadReport]
 	// holdTime is how long an admitted call holds its slot, in seconds.
 	holdTime mean
 	// firstByte is the mean time from admission to the first byte, in seconds.
@@ -30,10 +30,10 @@
 
 func newService(a *Admitter) *service {
 	s := &service{limit: newLimit(a.Limit), retries: newRetryBudget(), maxQueue: a.MaxQueue}
-	s.customers.Max = a.MaxCustomers
-	s.customers.Age = a.IdleAge
-	s.reports.Max = a.MaxTargets
-	s.reports.Age = a.MaxReportAge
+	s.customers.MaxEntries = a.MaxCustomers
+	s.customers.TTL = a.IdleAge
+	s.reports.MaxEntries = a.MaxTargets
+	s.reports.TTL = a.MaxReportAge
 	return s
 }
 
--- a/core/request/poison/ledger.go
+++ b/core/request/poison/ledger.go
@@ -168,14 +168,14 @@
 // Ledger records at which target starts the attempts of each request broke off. The
 // zero value is ready to use. It isn't safe for concurrent use.
 type Ledger struct {
-	requests aged.Table[Fingerprint, *record]
+	requests aged.Map[Fingerprint, *record]
 	// keysByStart holds the requests that recently broke off at each target start.
-	keysByStart aged.Table[Incarnation, []Fingerprint]
+	keysByStart aged.Map[Incarnation, []Fingerprint]
 }
 
 func (l *Ledger) init() {
-	l.requests.Max, l.requests.Age = maxRequests, recordMaxAge
-	l.keysByStart.Max, l.keysByStart.Age = maxStarts, maxAnswerTime
+	l.requests.MaxEntries, l.requests.TTL = maxRequests, recordMaxAge
+	l.keysByStart.MaxEntries, l.keysByStart.TTL = maxStarts, maxAnswerTime
 }
 
 // Len returns the number of known requests.
--- a/core/request/route/choose.go
+++ b/core/request/route/choose.go
@@ -160,14 +160,14 @@
 	c.LoadFactor = orDefault(c.LoadFactor, DefaultLoadFactor)
 	c.MinAffinityLoad = orDefault(c.MinAffinityLoad, DefaultMinAffinityLoad)
 	c.SpillThreshold = orDefault(c.SpillThreshold, DefaultSpillThreshold)
-	c.prefixes.table.Max = orDefault(c.MaxPrefixes, DefaultMaxPrefixes)
-	c.prefixes.table.Age = orDefault(c.PrefixMaxAge, DefaultPrefixMaxAge)
-	c.loadEstimates.table.Max = orDefault(c.MaxTargets, DefaultMaxTargets)
+	c.prefixes.table.MaxEntries = orDefault(c.MaxPrefixes, DefaultMaxPrefixes)
+	c.prefixes.table.TTL = orDefault(c.PrefixMaxAge, DefaultPrefixMaxAge)
+	c.loadEstimates.table.MaxEntries = orDefault(c.MaxTargets, DefaultMaxTargets)
 	c.loadEstimates.reportMaxAge = orDefault(c.ReportMaxAge, DefaultReportMaxAge)
-	c.loadEstimates.table.Age = c.loadEstimates.reportMaxAge
+	c.loadEstimates.table.TTL = c.loadEstimates.reportMaxAge
 	c.loadEstimates.capacity = orDefault(c.AssumedCapacity, DefaultAssumedCapacity)
-	c.paces.table.Max = c.loadEstimates.table.Max
-	c.paces.table.Age = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
+	c.paces.table.MaxEntries = c.loadEstimates.table.MaxEntries
+	c.paces.table.TTL = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
 }
 
 func orDefault[T comparable](v, def T) T {
--- a/core/request/route/load.go
+++ b/core/request/route/load.go
@@ -8,7 +8,7 @@
 
 // loadEstimator estimates the current load of targets from load reports that lag.
 type loadEstimator struct {
-	table        aged.Table[string, baseline]
+	table        aged.Map[string, baseline]
 	reportMaxAge time.Duration
 	capacity     int
 }
--- a/core/request/route/prefix.go
+++ b/core/request/route/prefix.go
@@ -17,7 +17,7 @@
 // that a chosen target holds the prompt's prefixes before its engine reports it. A
 // wrong entry costs one prefill at most.
 type prefixTable struct {
-	table aged.Table[uint64, []holder]
+	table aged.Map[uint64, []holder]
 }
 
 // holder is a target that is assumed to hold a prefix since storedAt.
@@ -32,7 +32,7 @@
 	old, _ := p.table.Get(now, prefix)
 	held := []holder{{target: target, storedAt: now}}
 	for _, h := range old {
-		if h.target != target && now.Sub(h.storedAt) <= p.table.Age && len(held) < holdersPerPrefix {
+		if h.target != target && now.Sub(h.storedAt) <= p.table.TTL && len(held) < holdersPerPrefix {
 			held = append(held, h)
 		}
 	}
@@ -58,7 +58,7 @@
 	for i, prefix := range slices.Backward(request) {
 		held, _ := p.table.Get(now, prefix)
 		for _, h := range held {
-			if h.target == target && now.Sub(h.storedAt) <= p.table.Age {
+			if h.target == target && now.Sub(h.storedAt) <= p.table.TTL {
 				return i + 1
 			}
 		}
