--- a/core/process/audit/read.go
+++ b/core/process/audit/read.go
@@ -42,5 +42,5 @@
 			out.Decisions = append(out.Decisions, d)
 		}
 	}
-	return out, fault.At("read log", name, in.Err())
+	return out, fault.Wrap("read log", name, in.Err())
 }
--- a/core/process/fault/fault.go
+++ b/core/process/fault/fault.go
@@ -13,7 +13,7 @@
 // answer". Peer is what it involved: a process name, an address or a file name. Peer
 // is empty if there is nothing to name.
 type Error struct {
-	Step string
+	Op   string
 	Peer string
 	Err  error
 }
@@ -22,23 +22,23 @@
 // peer.
 func (e *Error) Error() string {
 	if e.Peer == "" {
-		return fmt.Sprintf("%s: %v", e.Step, e.Err)
+		return fmt.Sprintf("%s: %v", e.Op, e.Err)
 	}
-	return fmt.Sprintf("%s (%s): %v", e.Step, e.Peer, e.Err)
+	return fmt.Sprintf("%s (%s): %v", e.Op, e.Peer, e.Err)
 }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// At wraps err with a step and a peer. It returns nil if err is nil.
-func At(step, peer string, err error) error {
+// Wrap wraps err with a step and a peer. It returns nil if err is nil.
+func Wrap(step, peer string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &Error{Step: step, Peer: peer, Err: err}
+	return &Error{Op: step, Peer: peer, Err: err}
 }
 
-// Newf returns an Error whose cause has the formatted message.
-func Newf(step, peer, format string, args ...any) error {
-	return &Error{Step: step, Peer: peer, Err: errors.Newf(format, args...)}
+// Errorf returns an Error whose cause has the formatted message.
+func Errorf(step, peer, format string, args ...any) error {
+	return &Error{Op: step, Peer: peer, Err: errors.Newf(format, args...)}
 }
--- a/io/process/admin/serve.go
+++ b/io/process/admin/serve.go
@@ -55,7 +55,7 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return fault.At("serve administration API", s.Listener.Addr().String(), err)
+	return fault.Wrap("serve administration API", s.Listener.Addr().String(), err)
 }
 
 func (s *Server) routes() http.Handler {
--- a/io/process/cmds/fetch.go
+++ b/io/process/cmds/fetch.go
@@ -21,16 +21,16 @@
 	url := "http://" + store.String() + "/v1/manifests/" + string(d)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, fault.At(step, store.String(), err)
+		return nil, fault.Wrap(step, store.String(), err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fault.At(step, store.String(), err)
+		return nil, fault.Wrap(step, store.String(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fault.At(step, store.String(), errors.Newf("%s: status %d", d, resp.StatusCode))
+		return nil, fault.Wrap(step, store.String(), errors.Newf("%s: status %d", d, resp.StatusCode))
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxManifest))
-	return b, fault.At(step, store.String(), err)
+	return b, fault.Wrap(step, store.String(), err)
 }
--- a/io/process/cmds/status.go
+++ b/io/process/cmds/status.go
@@ -62,7 +62,7 @@
 	printDrift(t, all)
 	printTables(t, all)
 	printTraffic(t, all)
-	return fault.At("print status", "", t.Flush())
+	return fault.Wrap("print status", "", t.Flush())
 }
 
 func printProcesses(w io.Writer, all []admin.Status) {
--- a/io/process/conf/load.go
+++ b/io/process/conf/load.go
@@ -42,7 +42,7 @@
 func Load(path string, role fleet.Role, flags []Flag) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, fault.At("read settings", path, err)
+		return Settings{}, fault.Wrap("read settings", path, err)
 	}
 	return Parse(path, b, role, flags)
 }
--- a/io/process/trace/log.go
+++ b/io/process/trace/log.go
@@ -88,7 +88,7 @@
 func NewLogger(w io.Writer, level string) (*logrus.Logger, error) {
 	least, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, fault.At("set log level", "", err)
+		return nil, fault.Wrap("set log level", "", err)
 	}
 	l := logrus.New()
 	l.SetOutput(w)
--- a/io/process/trace/sink.go
+++ b/io/process/trace/sink.go
@@ -129,7 +129,7 @@
 		return standard{os.Stdout}, nil
 	}
 	f, err := os.OpenFile(output, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
-	return f, fault.At("open log", output, err)
+	return f, fault.Wrap("open log", output, err)
 }
 
 // standard is a stream that belongs to the whole process and stays open.
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -228,5 +228,5 @@
 }
 
 func environmentMismatch(got, want string) error {
-	return fault.At("check document", "", errors.Newf("document is for environment %q, want %q", got, want))
+	return fault.Wrap("check document", "", errors.Newf("document is for environment %q, want %q", got, want))
 }
--- a/io/request/direct/exchange.go
+++ b/io/request/direct/exchange.go
@@ -103,7 +103,7 @@
 	began := c.clock.Now()
 	conn, err := c.dial(dialCtx, "tcp", t.Address.String())
 	if err != nil {
-		return nil, fault.At("connect to target", t.Address.String(), err)
+		return nil, fault.Wrap("connect to target", t.Address.String(), err)
 	}
 	c.dialTimes.record(t.Zone, c.clock.Since(began))
 	x := &exchange{conn: conn, closed: make(chan struct{})}
--- a/io/request/direct/forwarder.go
+++ b/io/request/direct/forwarder.go
@@ -84,7 +84,7 @@
 		}
 		return f.finishStream(f.x)
 	default:
-		return f.handleSourceEnd(fault.At("read stream", "", item.err))
+		return f.handleSourceEnd(fault.Wrap("read stream", "", item.err))
 	}
 }
 
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -131,7 +131,7 @@
 	defer stop()
 	err := s.server.Serve(s.Net)
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fault.At("serve callers", s.Net.Addr().String(), err)
+		return fault.Wrap("serve callers", s.Net.Addr().String(), err)
 	}
 	<-ctx.Done()
 	return nil
@@ -228,7 +228,7 @@
 	case <-s.Clock.After(min(maxDrainNotice, time.Duration(drainNoticeShare*float64(s.Rules.Grace)))):
 	case <-ctx.Done():
 	}
-	return fault.At("drain", "", s.server.Shutdown(ctx))
+	return fault.Wrap("drain", "", s.server.Shutdown(ctx))
 }
 
 // takeRetry reports whether the retry budget of a service allows another attempt, and
--- a/io/request/front/front.go
+++ b/io/request/front/front.go
@@ -112,7 +112,7 @@
 	defer f.running.Store(false)
 	err = f.server.Serve(callerListener{nl})
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fault.At("serve callers", nl.Addr().String(), err)
+		return fault.Wrap("serve callers", nl.Addr().String(), err)
 	}
 	// After Drain, the calls in flight still need their sessions.
 	<-ctx.Done()
@@ -124,7 +124,7 @@
 		return f.Net, nil
 	}
 	nl, err := net.Listen("tcp", f.ListenAddr.String())
-	return nl, fault.At("listen for callers", f.ListenAddr.String(), err)
+	return nl, fault.Wrap("listen for callers", f.ListenAddr.String(), err)
 }
 
 // Drain makes the entry report not ready, keeps serving for Limits.DrainNotice so that
@@ -143,7 +143,7 @@
 	case <-notice.Chan():
 	case <-ctx.Done():
 	}
-	return fault.At("drain", "", f.server.Shutdown(ctx))
+	return fault.Wrap("drain", "", f.server.Shutdown(ctx))
 }
 
 // Ready reports whether the load balancer may send callers here: the entry is serving,
--- a/io/request/gate/request.go
+++ b/io/request/gate/request.go
@@ -19,7 +19,7 @@
 	url := "http://" + g.Target.String() + s.Start.Path
 	req, err := http.NewRequestWithContext(ctx, s.Start.Method, url, bytes.NewReader(s.Body))
 	if err != nil {
-		return nil, fault.At("build request", g.Target.String(), err)
+		return nil, fault.Wrap("build request", g.Target.String(), err)
 	}
 	req.Header = s.Start.Header.Clone()
 	if req.Header == nil {
--- a/io/version/swarm/conn.go
+++ b/io/version/swarm/conn.go
@@ -145,7 +145,7 @@
 // writeMessages writes messages with a common deadline.
 func (n *Node) writeMessages(c *conn, msgs []frame.Message) error {
 	if err := c.SetWriteDeadline(n.Clock.Now().Add(writeTimeout)); err != nil {
-		return fault.At("send", c.peerName(), err)
+		return fault.Wrap("send", c.peerName(), err)
 	}
 	for _, m := range msgs {
 		if err := c.Send(m); err != nil {
@@ -167,7 +167,7 @@
 func (n *Node) readLoop(c *conn) error {
 	for {
 		if err := c.SetReadDeadline(n.Clock.Now().Add(readTimeout)); err != nil {
-			return fault.At("receive", c.peerName(), err)
+			return fault.Wrap("receive", c.peerName(), err)
 		}
 		m, err := c.Receive()
 		if err != nil {
@@ -215,7 +215,7 @@
 		n.addManifestPart(c, m)
 	case *ping:
 	default:
-		return fault.At("receive", c.peerName(), errors.Newf("unexpected message %s", m.Kind()))
+		return fault.Wrap("receive", c.peerName(), errors.Newf("unexpected message %s", m.Kind()))
 	}
 	return nil
 }
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -64,7 +64,7 @@
 func (n *Node) runTransfer(ctx context.Context, in *incoming) {
 	b, err := n.download(ctx, in)
 	if err == nil {
-		err = fault.At("stage chunk", "engine", n.Staging.Put(ctx, in.fetch.Chunk.Digest, b))
+		err = fault.Wrap("stage chunk", "engine", n.Staging.Put(ctx, in.fetch.Chunk.Digest, b))
 	}
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
@@ -88,7 +88,7 @@
 	}
 	if digest := chunk.DigestOf(b); digest != in.fetch.Chunk.Digest {
 		err := errors.Wrapf(errCorrupt, "digest %s, want %s", digest, in.fetch.Chunk.Digest)
-		return nil, fault.At("verify chunk", in.fetch.Peer, err)
+		return nil, fault.Wrap("verify chunk", in.fetch.Peer, err)
 	}
 	return b, nil
 }
@@ -153,7 +153,7 @@
 		case b := <-in.blocks:
 			if b.Offset != received || b.Offset+int64(len(b.Data)) > requested {
 				err := errors.Wrapf(errCorrupt, "block at %d of %d bytes, want offset %d up to %d", b.Offset, len(b.Data), received, requested)
-				return nil, fault.At("receive chunk", c.peerName(), err)
+				return nil, fault.Wrap("receive chunk", c.peerName(), err)
 			}
 			received += int64(copy(buf[received:], b.Data))
 			out.releaseOldest(int64(len(b.Data)))
--- a/io/version/swarm/incoming.go
+++ b/io/version/swarm/incoming.go
@@ -21,7 +21,7 @@
 	case in.blocks <- b:
 	default:
 		err := errors.Wrapf(errCorrupt, "more blocks of %s than requested", b.Chunk)
-		in.cancel(fault.At("receive chunk", c.peerName(), err))
+		in.cancel(fault.Wrap("receive chunk", c.peerName(), err))
 	}
 }
 
@@ -62,7 +62,7 @@
 // handleRefusal ends a transfer whose request the peer refused.
 func (n *Node) handleRefusal(c *conn, id transferID) {
 	if in := n.transferOf(c, id); in != nil {
-		in.cancel(fault.At("ask for chunk", c.peerName(), errNotHeld))
+		in.cancel(fault.Wrap("ask for chunk", c.peerName(), errNotHeld))
 	}
 }
 
--- a/io/version/swarm/peers.go
+++ b/io/version/swarm/peers.go
@@ -54,7 +54,7 @@
 	lc, err := link.Dial(ctx, n.Self, addr, link.PurposeWeights, messageKinds())
 	if err == nil && lc.Peer.VM.Name != name {
 		lc.Close()
-		err = fault.Newf("dial", addr.String(), "answered as %s, want %s", lc.Peer.VM.Name, name)
+		err = fault.Errorf("dial", addr.String(), "answered as %s, want %s", lc.Peer.VM.Name, name)
 	}
 	if err != nil {
 		n.withState(func(s *state) {
@@ -192,7 +192,7 @@
 	defer n.mu.Unlock()
 	c, ok := n.state.conns[name]
 	if !ok {
-		return nil, fault.Newf("connect", name, "no connection")
+		return nil, fault.Errorf("connect", name, "no connection")
 	}
 	return c, nil
 }
