--- a/core/process/opt/opt.go
+++ b/core/process/opt/opt.go
@@ -32,17 +32,17 @@
 // Field is an option declared by a struct field. Its fields are the tags that the
 // package comment describes.
 type Field struct {
-	Key     string
-	Help    string
-	Default string
-	Unit    string
-	Min     string
-	Max     string
-	OneOf   string
-	Role    string
-	Need    bool
-	// Arg is the position among the arguments, or 0 for a flag.
-	Arg int
+	Key      string
+	Help     string
+	Default  string
+	Unit     string
+	Min      string
+	Max      string
+	OneOf    string
+	Role     string
+	Required bool
+	// Position is the position among the arguments, or 0 for a flag.
+	Position int
 
 	value reflect.Value
 }
@@ -64,18 +64,18 @@
 
 func newField(tag reflect.StructTag, v reflect.Value) Field {
 	f := Field{
-		Key:     tag.Get("key"),
-		Help:    tag.Get("help"),
-		Default: tag.Get("default"),
-		Unit:    tag.Get("unit"),
-		Min:     tag.Get("min"),
-		Max:     tag.Get("max"),
-		OneOf:   tag.Get("oneof"),
-		Role:    tag.Get("role"),
-		Need:    tag.Get("need") == "true",
-		value:   v,
-	}
-	f.Arg, _ = strconv.Atoi(tag.Get("arg"))
+		Key:      tag.Get("key"),
+		Help:     tag.Get("help"),
+		Default:  tag.Get("default"),
+		Unit:     tag.Get("unit"),
+		Min:      tag.Get("min"),
+		Max:      tag.Get("max"),
+		OneOf:    tag.Get("oneof"),
+		Role:     tag.Get("role"),
+		Required: tag.Get("need") == "true",
+		value:    v,
+	}
+	f.Position, _ = strconv.Atoi(tag.Get("arg"))
 	if f.Unit == "" {
 		f.Unit = unitOf(v)
 	}
--- a/io/process/cmds/bind.go
+++ b/io/process/cmds/bind.go
@@ -26,7 +26,7 @@
 
 // name is the option as the user writes it.
 func (b *bound) name() string {
-	if b.Arg > 0 {
+	if b.Position > 0 {
 		return b.Key
 	}
 	return "--" + b.Key
@@ -87,8 +87,8 @@
 	for _, f := range fields {
 		b := &bound{Field: f}
 		switch {
-		case f.Arg > 0:
-			s.AddPositionalValue(&b.text, f.Key, f.Arg, f.Need, f.Describe())
+		case f.Position > 0:
+			s.AddPositionalValue(&b.text, f.Key, f.Position, f.Required, f.Describe())
 		case f.IsBool():
 			s.Bool(f.Bool(), "", f.Key, f.Describe())
 			continue
--- a/io/process/conf/conf_test.go
+++ b/io/process/conf/conf_test.go
@@ -125,7 +125,7 @@
 		bounds = o.Min + " to " + o.Max
 	}
 	defaultText := o.Default
-	if o.Need {
+	if o.Required {
 		defaultText = "required"
 	}
 	roles := o.Role
--- a/io/process/conf/load.go
+++ b/io/process/conf/load.go
@@ -89,7 +89,7 @@
 		text, given = flag, true
 		where = "--" + name + "-" + f.Key
 	}
-	if !given && f.Need {
+	if !given && f.Required {
 		r.reject(name, f.Key, "", "missing")
 		return
 	}
