--- a/core/conn/lease/lease.go
+++ b/core/conn/lease/lease.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Reading is a reading of a side's clock. The side sends one with each heartbeat, and
+// ClockReading is a reading of a side's clock. The side sends one with each heartbeat, and
 // the entry includes the latest one that it has received in each call. Tickets contain
 // the reading at which they were issued.
-type Reading struct {
+type ClockReading struct {
 	// Boot identifies one run of the side.
 	Boot string `msgpack:"boot"`
 	// At is the time since the start of that run.
@@ -21,7 +21,7 @@
 }
 
 // Check returns an error for the first invalid field.
-func (r Reading) Check() error {
+func (r ClockReading) Check() error {
 	if r.Boot == "" {
 		return errors.New("reading: boot is empty")
 	}
@@ -41,7 +41,7 @@
 	OtherBoot Freshness = "otherBoot"
 )
 
-// Judge compares the reading echo of a call with now, the current reading of the
+// CheckFreshness compares the reading echo of a call with now, the current reading of the
 // side that received the call. Only a call with a fresh reading may start. A reading
 // older than maxAge, or from the future, is stale.
 //
@@ -49,7 +49,7 @@
 // paused entry could start long after its caller was told to try elsewhere. Readings
 // are issued and their age is measured by the side alone, so that neither clock drift
 // nor a pause of the entry can make an old call look new.
-func Judge(now, echo Reading, maxAge time.Duration) Freshness {
+func CheckFreshness(now, echo ClockReading, maxAge time.Duration) Freshness {
 	if echo.Boot != now.Boot {
 		return OtherBoot
 	}
@@ -60,22 +60,22 @@
 	return Fresh
 }
 
-// Silence detects when an open connection has received nothing for too long.
+// SilenceDetector detects when an open connection has received nothing for too long.
 //
 // If a device between the two ends has lost the state of a connection, neither end
 // gets an error, and calls would wait until their deadlines. A healthy connection
 // receives heartbeats at a known rate, so if several of them are missing, the
 // connection must be replaced.
-type Silence struct {
-	// After is the time without a message after which the connection counts as
+type SilenceDetector struct {
+	// Timeout is the time without a message after which the connection counts as
 	// silent.
-	After     time.Duration
+	Timeout   time.Duration
 	lastHeard time.Time
 }
 
-// Heard records that a message was received at now.
-func (s *Silence) Heard(now time.Time) { s.lastHeard = now }
+// MessageReceived records that a message was received at now.
+func (s *SilenceDetector) MessageReceived(now time.Time) { s.lastHeard = now }
 
-// Silent reports whether nothing was received for longer than After. Call Heard when
+// TimedOut reports whether nothing was received for longer than After. Call Heard when
 // the connection is opened; without it, every connection counts as silent.
-func (s *Silence) Silent(now time.Time) bool { return now.Sub(s.lastHeard) > s.After }
+func (s *SilenceDetector) TimedOut(now time.Time) bool { return now.Sub(s.lastHeard) > s.Timeout }
--- a/core/request/calls/ledger_test.go
+++ b/core/request/calls/ledger_test.go
@@ -14,7 +14,7 @@
 var testLimits = Limits{MaxReadingAge: 3 * time.Second, RecordMaxAge: time.Minute, KeyWindow: 10 * time.Second, MaxRecords: 4}
 
 func newStart(id ID, b Binding, at time.Duration) StartRequest {
-	echo := lease.Reading{Boot: "b", At: at}
+	echo := lease.ClockReading{Boot: "b", At: at}
 	return StartRequest{Ticket: Ticket{CallID: id, Binding: b, Service: "s", Side: "v", Issued: echo}, EchoedReading: echo, Fingerprint: "p"}
 }
 
--- a/core/request/calls/ticket.go
+++ b/core/request/calls/ticket.go
@@ -26,11 +26,11 @@
 // and clock when the ticket was issued. Callers get its text form, with which any
 // entry can look up the outcome later.
 type Ticket struct {
-	CallID  ID            `msgpack:"c"`
-	Binding Binding       `msgpack:"b"`
-	Service string        `msgpack:"s"`
-	Side    string        `msgpack:"v"`
-	Issued  lease.Reading `msgpack:"i"`
+	CallID  ID                 `msgpack:"c"`
+	Binding Binding            `msgpack:"b"`
+	Service string             `msgpack:"s"`
+	Side    string             `msgpack:"v"`
+	Issued  lease.ClockReading `msgpack:"i"`
 }
 
 // Check returns an error for the first invalid field.
@@ -77,7 +77,7 @@
 
 // expired reports whether the record of t may have been dropped at time now. A ticket
 // that was issued in the future counts as expired.
-func (t Ticket) expired(now lease.Reading, keep time.Duration) bool {
+func (t Ticket) expired(now lease.ClockReading, keep time.Duration) bool {
 	age := now.At - t.Issued.At
 	return age < 0 || age > keep
 }
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -157,14 +157,14 @@
 		Binding: calls.BindTicket,
 		Service: "booking",
 		Side:    "t",
-		Issued:  lease.Reading{Boot: "boot", At: clock},
+		Issued:  lease.ClockReading{Boot: "boot", At: clock},
 	}
 	if len(s.tickets) > 0 && s.rand.IntN(repeatOneIn) == 0 {
 		t = s.tickets[s.rand.IntN(len(s.tickets))]
 	} else {
 		s.tickets = append(s.tickets, t)
 	}
-	start := calls.StartRequest{Ticket: t, EchoedReading: lease.Reading{Boot: "boot", At: clock}, Fingerprint: "p"}
+	start := calls.StartRequest{Ticket: t, EchoedReading: lease.ClockReading{Boot: "boot", At: clock}, Fingerprint: "p"}
 	if s.ledger.Start(clock, start).Kind != calls.ActionRun {
 		s.repeatsRefused++
 		return
--- a/core/request/proof/state_test.go
+++ b/core/request/proof/state_test.go
@@ -110,7 +110,7 @@
 	abandoned     bool
 	newOwnerKnown bool
 	ticket        calls.Ticket
-	echo          lease.Reading
+	echo          lease.ClockReading
 	state         calls.State
 	outcome       calls.Outcome
 }
@@ -188,8 +188,8 @@
 	return time.Duration(w.now-w.sides[i].bootAt) * tick
 }
 
-func (w *modelState) reading(i int) lease.Reading {
-	return lease.Reading{Boot: w.sides[i].ledger.Boot, At: w.clock(i)}
+func (w *modelState) reading(i int) lease.ClockReading {
+	return lease.ClockReading{Boot: w.sides[i].ledger.Boot, At: w.clock(i)}
 }
 
 func (w *modelState) clone() *modelState {
--- a/core/request/proof/statekey_test.go
+++ b/core/request/proof/statekey_test.go
@@ -38,7 +38,7 @@
 	k.b = append(k.b, ';')
 }
 
-func (k *keyBuilder) reading(r lease.Reading) {
+func (k *keyBuilder) reading(r lease.ClockReading) {
 	k.text(r.Boot)
 	k.num(int(r.At / tick))
 }
--- a/io/conn/sessn/beat.go
+++ b/io/conn/sessn/beat.go
@@ -20,11 +20,11 @@
 // Heartbeat is sent by the side at a steady rate, and at once when something
 // in it has changed. Kinds of service without weights have an empty Serving.
 type Heartbeat struct {
-	Reading lease.Reading `msgpack:"r"`
-	Leaving bool          `msgpack:"l"`
-	Ready   bool          `msgpack:"y"`
-	Serving chunk.Digest  `msgpack:"s"`
-	Load    Load          `msgpack:"o"`
+	Reading lease.ClockReading `msgpack:"r"`
+	Leaving bool               `msgpack:"l"`
+	Ready   bool               `msgpack:"y"`
+	Serving chunk.Digest       `msgpack:"s"`
+	Load    Load               `msgpack:"o"`
 }
 
 // Kind names the message.
--- a/io/conn/sessn/client.go
+++ b/io/conn/sessn/client.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	conn := &entryConn{link: l, told: c.told, events: c.onEvents, calls: map[Channel]*Call{}}
-	conn.silence.After = t.Silent
+	conn.silence.Timeout = t.Silent
 	conn.heard(c.Clock.Now())
 	c.set(conn)
 	watched, stop := context.WithCancel(ctx)
@@ -175,7 +175,7 @@
 }
 
 // Reading returns the side's latest reading, for the calls to echo.
-func (c *Client) Reading() (lease.Reading, bool) {
+func (c *Client) Reading() (lease.ClockReading, bool) {
 	s := c.Status()
 	return s.Beat.Reading, s.Connected
 }
--- a/io/conn/sessn/entryconn.go
+++ b/io/conn/sessn/entryconn.go
@@ -20,7 +20,7 @@
 	calls   map[Channel]*Call
 	last    Channel
 	closed  bool
-	silence lease.Silence
+	silence lease.SilenceDetector
 	beat    *Heartbeat
 	beatAt  time.Time
 }
@@ -79,14 +79,14 @@
 
 func (c *entryConn) heard(now time.Time) {
 	c.mu.Lock()
-	c.silence.Heard(now)
+	c.silence.MessageReceived(now)
 	c.mu.Unlock()
 }
 
 func (c *entryConn) silent(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.Silent(now)
+	return c.silence.TimedOut(now)
 }
 
 func (c *entryConn) onBeat(hb *Heartbeat, now time.Time) {
--- a/io/conn/sessn/message.go
+++ b/io/conn/sessn/message.go
@@ -35,18 +35,18 @@
 // that may answer. Timeout bounds the call at the side. Members is what the
 // entry believes of a key's possible owners.
 type Start struct {
-	Channel Channel       `msgpack:"c"`
-	Request string        `msgpack:"q"`
-	Echo    lease.Reading `msgpack:"e"`
-	Ticket  *calls.Ticket `msgpack:"t,omitempty"`
-	Method  string        `msgpack:"m"`
-	Path    string        `msgpack:"p"`
-	Header  http.Header   `msgpack:"h"`
-	Body    []byte        `msgpack:"b"`
-	Size    int           `msgpack:"z"`
-	Timeout time.Duration `msgpack:"o"`
-	Version chunk.Digest  `msgpack:"v,omitempty"`
-	Members string        `msgpack:"k,omitempty"`
+	Channel Channel            `msgpack:"c"`
+	Request string             `msgpack:"q"`
+	Echo    lease.ClockReading `msgpack:"e"`
+	Ticket  *calls.Ticket      `msgpack:"t,omitempty"`
+	Method  string             `msgpack:"m"`
+	Path    string             `msgpack:"p"`
+	Header  http.Header        `msgpack:"h"`
+	Body    []byte             `msgpack:"b"`
+	Size    int                `msgpack:"z"`
+	Timeout time.Duration      `msgpack:"o"`
+	Version chunk.Digest       `msgpack:"v,omitempty"`
+	Members string             `msgpack:"k,omitempty"`
 }
 
 // Kind names the message.
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -63,7 +63,7 @@
 
 	mu      sync.Mutex
 	streams map[Channel]*Stream
-	silence lease.Silence
+	silence lease.SilenceDetector
 	// beaten counts heartbeats sent, alive those that the entry has answered;
 	// heardFrom is closed and renewed with each answer.
 	beaten    int
@@ -81,7 +81,7 @@
 	c := &sideConn{link: l, server: s, streams: map[Channel]*Stream{}, heardFrom: make(chan struct{})}
 	s.add(c)
 	defer s.remove(c)
-	c.silence.After = s.Timing.orDefault().Silent
+	c.silence.Timeout = s.Timing.orDefault().Silent
 	c.heard(s.Clock.Now())
 	c.wg.Go(func() { c.beats(ctx) })
 	_ = c.receive(ctx)
@@ -127,14 +127,14 @@
 
 func (c *sideConn) heard(now time.Time) {
 	c.mu.Lock()
-	c.silence.Heard(now)
+	c.silence.MessageReceived(now)
 	c.mu.Unlock()
 }
 
 func (c *sideConn) silent(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silence.Silent(now)
+	return c.silence.TimedOut(now)
 }
 
 func (c *sideConn) send(m frame.Message) error {
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -218,8 +218,8 @@
 	g.changed = make(chan struct{})
 }
 
-func (g *Gate) clockReadingLocked() lease.Reading {
-	return lease.Reading{Boot: g.Self.Boot, At: g.now()}
+func (g *Gate) clockReadingLocked() lease.ClockReading {
+	return lease.ClockReading{Boot: g.Self.Boot, At: g.now()}
 }
 
 // now returns the time since the gate's boot. It is the clock that readings refer to.
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -54,7 +54,7 @@
 func (g *Gate) admitRepeatable(m *sessn.Start) calls.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch lease.Judge(g.clockReadingLocked(), m.Echo, g.Limits.MaxReadingAge) {
+	switch lease.CheckFreshness(g.clockReadingLocked(), m.Echo, g.Limits.MaxReadingAge) {
 	case lease.Stale:
 		return calls.ReasonStaleReading
 	case lease.OtherBoot:
