--- a/bench/burst/main.go
+++ b/bench/burst/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/integrii/flaggy"
 
-	"hawthornferry/core/version/burst"
+	"hawthornferry/core/version/spread"
 )
 
 // fullChunks is the customary number of chunks of a version.
@@ -25,7 +25,7 @@
 var (
 	verbose   bool
 	profiled  bool
-	tuning    burst.Config
+	tuning    spread.Config
 	logWriter io.Writer = os.Stderr
 )
 
--- a/bench/policy/engine.go
+++ b/bench/policy/engine.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"hawthornferry/core/process/fleet"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // The cost of an engine's step: a fixed part, a part for each sequence that
@@ -138,7 +138,7 @@
 }
 
 func (e *engine) report() {
-	r := route.LoadReport{Running: len(e.running), Queued: len(e.queue), Capacity: engineSlots}
+	r := picker.LoadReport{Running: len(e.running), Queued: len(e.queue), Capacity: engineSlots}
 	e.s.after(reportLag, func() {
 		for _, n := range e.s.entries {
 			n.report(e.vm.Name, r)
--- a/bench/policy/entry.go
+++ b/bench/policy/entry.go
@@ -5,7 +5,7 @@
 
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/admit"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // call is one arrival on its way.
@@ -33,13 +33,13 @@
 	policy   policy
 	calls    map[string]*call
 	inFlight map[string]int
-	reports  map[string]route.LoadReport
+	reports  map[string]picker.LoadReport
 }
 
 func (n *entry) start() {
 	n.calls = make(map[string]*call)
 	n.inFlight = make(map[string]int)
-	n.reports = make(map[string]route.LoadReport)
+	n.reports = make(map[string]picker.LoadReport)
 	n.s.after(tickEvery, n.tick)
 }
 
@@ -48,7 +48,7 @@
 	n.s.after(tickEvery, n.tick)
 }
 
-func (n *entry) report(target string, r route.LoadReport) {
+func (n *entry) report(target string, r picker.LoadReport) {
 	r.ReceivedAt = n.s.now
 	n.reports[target] = r
 	n.policy.report(n.s.now, target, r)
@@ -66,7 +66,7 @@
 	n.calls[c.request.ID] = c
 	n.deliver(n.policy.offer(n.s.now, c.request))
 	patience := callerGivesUp
-	if c.request.Priority == route.PriorityBatch {
+	if c.request.Priority == picker.PriorityBatch {
 		patience = batchGivesUp
 	}
 	n.s.after(patience, func() {
@@ -96,12 +96,12 @@
 	n.s.after(n.s.distance(n, e), func() { e.submit(c) })
 }
 
-func (n *entry) candidates() []route.Candidate {
-	out := make([]route.Candidate, 0, len(n.s.engines))
+func (n *entry) candidates() []picker.Candidate {
+	out := make([]picker.Candidate, 0, len(n.s.engines))
 	for _, e := range n.s.engines {
-		out = append(out, route.Candidate{
+		out = append(out, picker.Candidate{
 			VM:           e.vm,
-			Availability: route.AvailabilityReady,
+			Availability: picker.AvailabilityReady,
 			InFlight:     n.inFlight[e.vm.Name],
 			Report:       n.reports[e.vm.Name],
 		})
--- a/bench/policy/measure.go
+++ b/bench/policy/measure.go
@@ -6,7 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // Lengths of a run: what arrives before warm has passed is not counted.
@@ -128,7 +128,7 @@
 		}
 		blocks += len(c.request.PrefixHashes)
 		hit += c.hitBlocks
-		if c.request.Priority == route.PriorityInteractive {
+		if c.request.Priority == picker.PriorityInteractive {
 			_ = first.RecordValue(c.first.Sub(c.begun).Microseconds())
 		}
 	}
--- a/bench/policy/policies.go
+++ b/bench/policy/policies.go
@@ -6,15 +6,15 @@
 
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/admit"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // policy is what an entry asks.
 type policy interface {
-	offer(now time.Time, r route.Request) []admit.Verdict
-	choose(now time.Time, r route.Request, cs []route.Candidate) string
+	offer(now time.Time, r picker.Request) []admit.Verdict
+	choose(now time.Time, r picker.Request, cs []picker.Candidate) string
 	done(now time.Time, d admit.Done) []admit.Verdict
-	report(now time.Time, target string, r route.LoadReport)
+	report(now time.Time, target string, r picker.LoadReport)
 	event(now time.Time, target string, block uint64, stored bool)
 	paced(now time.Time, target string, pace time.Duration)
 	tick(now time.Time) []admit.Verdict
@@ -23,14 +23,14 @@
 // open admits every call at once and learns nothing.
 type open struct{}
 
-func (open) offer(_ time.Time, r route.Request) []admit.Verdict {
+func (open) offer(_ time.Time, r picker.Request) []admit.Verdict {
 	return []admit.Verdict{{ID: r.ID, Decision: admit.Admitted}}
 }
-func (open) done(time.Time, admit.Done) []admit.Verdict { return nil }
-func (open) report(time.Time, string, route.LoadReport) {}
-func (open) event(time.Time, string, uint64, bool)      {}
-func (open) paced(time.Time, string, time.Duration)     {}
-func (open) tick(time.Time) []admit.Verdict             { return nil }
+func (open) done(time.Time, admit.Done) []admit.Verdict  { return nil }
+func (open) report(time.Time, string, picker.LoadReport) {}
+func (open) event(time.Time, string, uint64, bool)       {}
+func (open) paced(time.Time, string, time.Duration)      {}
+func (open) tick(time.Time) []admit.Verdict              { return nil }
 
 // roundRobin takes the targets in turn.
 type roundRobin struct {
@@ -38,7 +38,7 @@
 	n int
 }
 
-func (p *roundRobin) choose(_ time.Time, _ route.Request, cs []route.Candidate) string {
+func (p *roundRobin) choose(_ time.Time, _ picker.Request, cs []picker.Candidate) string {
 	p.n++
 	return cs[p.n%len(cs)].VM.Name
 }
@@ -50,7 +50,7 @@
 	rand *rand.Rand
 }
 
-func (p *leastInFlight) choose(_ time.Time, _ route.Request, cs []route.Candidate) string {
+func (p *leastInFlight) choose(_ time.Time, _ picker.Request, cs []picker.Candidate) string {
 	from := p.rand.IntN(len(cs))
 	best := cs[from]
 	for i := range cs {
@@ -64,10 +64,10 @@
 // chosen is the project's choice of target without admission.
 type chosen struct {
 	open
-	c *route.Chooser
+	c *picker.Chooser
 }
 
-func (p *chosen) choose(now time.Time, r route.Request, cs []route.Candidate) string {
+func (p *chosen) choose(now time.Time, r picker.Request, cs []picker.Candidate) string {
 	got, err := p.c.Choose(now, r, cs)
 	if err != nil {
 		panic(err)
@@ -93,7 +93,7 @@
 	a *admit.Admitter
 }
 
-func (p *whole) offer(now time.Time, r route.Request) []admit.Verdict {
+func (p *whole) offer(now time.Time, r picker.Request) []admit.Verdict {
 	return p.a.Offer(now, admit.Offer{
 		ID:       r.ID,
 		Customer: r.Customer,
@@ -105,7 +105,7 @@
 
 func (p *whole) done(now time.Time, d admit.Done) []admit.Verdict { return p.a.Done(now, d) }
 
-func (p *whole) report(now time.Time, target string, r route.LoadReport) {
+func (p *whole) report(now time.Time, target string, r picker.LoadReport) {
 	p.a.Report(now, "helper", target, r)
 }
 
@@ -131,5 +131,5 @@
 }
 
 func newChosen(vm fleet.VM, r *rand.Rand) *chosen {
-	return &chosen{c: &route.Chooser{Entry: vm, Rand: r}}
+	return &chosen{c: &picker.Chooser{Entry: vm, Rand: r}}
 }
--- a/bench/policy/work.go
+++ b/bench/policy/work.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"hawthornferry/core/process/envdoc"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // The shape of the work: conversations of a few large and many small
@@ -30,7 +30,7 @@
 // arrival is one call of the offered work.
 type arrival struct {
 	at      time.Duration
-	request route.Request
+	request picker.Request
 	due     time.Duration
 	outputs int
 }
@@ -106,7 +106,7 @@
 	i := w.rand.IntN(len(w.open))
 	c := &w.open[i]
 	a := arrival{at: at, request: w.request(*c), due: interactiveDue}
-	if a.request.Priority == route.PriorityBatch {
+	if a.request.Priority == picker.PriorityBatch {
 		a.due = batchDue
 	}
 	a.outputs = 1 + int(w.rand.ExpFloat64()*meanOutputs)
@@ -117,16 +117,16 @@
 	return a
 }
 
-func (w *work) request(c conversation) route.Request {
+func (w *work) request(c conversation) picker.Request {
 	w.calls++
-	r := route.Request{
+	r := picker.Request{
 		ID:       fmt.Sprint(w.calls),
 		Customer: customerName(c.customer),
 		Service:  "helper",
-		Priority: route.PriorityInteractive,
+		Priority: picker.PriorityInteractive,
 	}
 	if w.rand.IntN(batchOf) == 0 {
-		r.Priority = route.PriorityBatch
+		r.Priority = picker.PriorityBatch
 	}
 	for i := range sharedBlocks {
 		r.PrefixHashes = append(r.PrefixHashes, customerHashBase+uint64(c.customer*sharedBlocks+i))
--- a/core/conn/lease/lease.go
+++ b/core/conn/fresh/lease.go
@@ -2,7 +2,7 @@
 // enough to rely on. Entries and sides use it: for calls (core/request/calls,
 // io/request/gate) and for the connections that carry them (io/conn/sessn). Each
 // process reads only its own clock; the clocks of two processes are never compared.
-package lease
+package fresh
 
 import (
 	"time"
--- a/core/process/audit/read.go
+++ b/core/process/audit/read.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"io"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 )
 
@@ -42,5 +42,5 @@
 			out.Decisions = append(out.Decisions, d)
 		}
 	}
-	return out, fault.Wrap("read log", name, in.Err())
+	return out, operr.Wrap("read log", name, in.Err())
 }
--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"hawthornferry/core/process/aged"
+	"hawthornferry/core/process/ttlmap"
 )
 
 // Kind says how the samples of a measure are aggregated over a window.
@@ -65,7 +65,7 @@
 	MaxFactor float64
 	MaxTrend  float64
 
-	series aged.Map[Name, *series]
+	series ttlmap.Map[Name, *series]
 	ready  bool
 }
 
--- a/core/process/fault/fault.go
+++ b/core/process/operr/fault.go
@@ -1,7 +1,7 @@
 // Package fault wraps errors with the operation that failed and the process, address
 // or file that it involved. The packages that do I/O use it, so that their messages
 // have the same form.
-package fault
+package operr
 
 import (
 	"fmt"
--- a/core/process/aged/table.go
+++ b/core/process/ttlmap/table.go
@@ -2,7 +2,7 @@
 // Packages such as core/request/route and core/request/admit use it for what they
 // learn from and about other processes. In a plain map, entries for targets, keys and
 // customers that no longer exist would accumulate over weeks.
-package aged
+package ttlmap
 
 import (
 	"container/list"
--- a/core/process/aged/table_test.go
+++ b/core/process/ttlmap/table_test.go
@@ -1,4 +1,4 @@
-package aged
+package ttlmap
 
 import (
 	"testing"
--- a/core/process/naming/naming.go
+++ b/core/process/verlog/naming.go
@@ -3,7 +3,7 @@
 // limits on how long an older version may still be served count from the
 // announcement, and a process that was disconnected learns of the announcement
 // late, by as long as it was disconnected.
-package naming
+package verlog
 
 import (
 	"cmp"
--- a/core/process/naming/settle_test.go
+++ b/core/process/verlog/settle_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-package naming
+package verlog
 
 import (
 	"slices"
--- a/core/process/naming/statement.go
+++ b/core/process/verlog/statement.go
@@ -1,4 +1,4 @@
-package naming
+package verlog
 
 import (
 	"slices"
--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -26,9 +26,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/aged"
 	"hawthornferry/core/process/envdoc"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/process/ttlmap"
+	"hawthornferry/core/request/picker"
 )
 
 // TickEvery is how often Tick is to be called.
@@ -56,7 +56,7 @@
 	ID       string
 	Customer string
 	Service  string
-	Priority route.Priority
+	Priority picker.Priority
 	Deadline time.Time
 }
 
@@ -65,7 +65,7 @@
 	if o.ID == "" || o.Service == "" {
 		return errors.New("offer: id or service is empty")
 	}
-	if o.Priority != route.PriorityInteractive && o.Priority != route.PriorityBatch {
+	if o.Priority != picker.PriorityInteractive && o.Priority != picker.PriorityBatch {
 		return errors.Newf("offer: unknown priority %q", o.Priority)
 	}
 	return nil
@@ -136,7 +136,7 @@
 	Limit LimitSettings
 
 	shares   map[string]int
-	services aged.Map[string, *service]
+	services ttlmap.Map[string, *service]
 	calls    map[string]*call
 	ready    bool
 }
@@ -152,7 +152,7 @@
 }
 
 // Report records a target's load report.
-func (a *Admitter) Report(now time.Time, serviceName, target string, r route.LoadReport) {
+func (a *Admitter) Report(now time.Time, serviceName, target string, r picker.LoadReport) {
 	a.prepare()
 	if s := a.service(now, serviceName); s != nil {
 		s.reports.Put(now, target, r)
--- a/core/request/admit/admit_test.go
+++ b/core/request/admit/admit_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 
 	"hawthornferry/core/process/envdoc"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 var start = time.Unix(1_000_000, 0)
 
 func offer(id, customer string) Offer {
-	return Offer{ID: id, Customer: customer, Service: "helper", Priority: route.PriorityInteractive}
+	return Offer{ID: id, Customer: customer, Service: "helper", Priority: picker.PriorityInteractive}
 }
 
 // admissionsByCustomer runs a closed loop in which one slot becomes free at a time and
@@ -113,7 +113,7 @@
 func TestBatchWaitsForInteractive(t *testing.T) {
 	a := &Admitter{Limit: LimitSettings{Initial: 1, Min: 1}}
 	batch := offer("b", "x")
-	batch.Priority = route.PriorityBatch
+	batch.Priority = picker.PriorityBatch
 	a.Offer(start, offer("0", "x"))
 	a.Offer(start, batch)
 	a.Offer(start, offer("i", "y"))
@@ -154,7 +154,7 @@
 	report := func(queued int) {
 		for range 20 {
 			now = now.Add(a.Limit.Interval)
-			a.Report(now, "helper", "t1", route.LoadReport{ReceivedAt: now, Running: 10, Queued: queued, Capacity: 10})
+			a.Report(now, "helper", "t1", picker.LoadReport{ReceivedAt: now, Running: 10, Queued: queued, Capacity: 10})
 			a.Tick(now)
 		}
 	}
@@ -208,7 +208,7 @@
 				o := offer(fmt.Sprint(n), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "customer"))
 				n++
 				if rapid.Bool().Draw(t, "batch") {
-					o.Priority = route.PriorityBatch
+					o.Priority = picker.PriorityBatch
 				}
 				if rapid.Bool().Draw(t, "due") {
 					o.Deadline = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
--- a/core/request/admit/queue.go
+++ b/core/request/admit/queue.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // call is an offered call until it is refused or done.
@@ -29,7 +29,7 @@
 func (c *customer) waiting() int { return len(c.interactive) + len(c.batch) }
 
 func (c *customer) push(q *call) {
-	if q.Priority == route.PriorityBatch {
+	if q.Priority == picker.PriorityBatch {
 		c.batch = append(c.batch, q)
 		return
 	}
--- a/core/request/admit/service.go
+++ b/core/request/admit/service.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"hawthornferry/core/process/aged"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/process/ttlmap"
+	"hawthornferry/core/request/picker"
 )
 
 // Bounds of RetryAfter.
@@ -20,8 +20,8 @@
 	inFlight  int
 	waiting   queue
 	maxQueue  int
-	customers aged.Map[string, *customer]
-	reports   aged.Map[string, route.LoadReport]
+	customers ttlmap.Map[string, *customer]
+	reports   ttlmap.Map[string, picker.LoadReport]
 	// holdTime is how long an admitted call holds its slot, in seconds.
 	holdTime mean
 	// firstByte is the mean time from admission to the first byte, in seconds.
@@ -61,7 +61,7 @@
 // fill the queue and shut out the others.
 func (s *service) makeRoom(now time.Time, own *customer, c *call) []Verdict {
 	mostBacklogged := s.waiting.mostBacklogged(own)
-	if mostBacklogged == own && (own.waiting() == 0 || c.Priority == route.PriorityBatch || len(own.batch) == 0) {
+	if mostBacklogged == own && (own.waiting() == 0 || c.Priority == picker.PriorityBatch || len(own.batch) == 0) {
 		return []Verdict{s.refuse(now, c, ReasonQueueFull, s.estimateWait(own))}
 	}
 	victim := mostBacklogged.leastUrgent()
--- a/core/request/spend/spend.go
+++ b/core/request/budget/spend.go
@@ -2,7 +2,7 @@
 // requests) repeats. Package direct calls it. The limit holds over all entries of the
 // system without messages between them: each entry repeats only a share of its own
 // requests, and together they repeat the same share of all.
-package spend
+package budget
 
 import "time"
 
--- a/core/request/spend/spend_test.go
+++ b/core/request/budget/spend_test.go
@@ -1,4 +1,4 @@
-package spend
+package budget
 
 import (
 	"testing"
--- a/core/request/calls/ledger.go
+++ b/core/request/calls/ledger.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 )
 
 // Limits are the settings of a ledger.
@@ -75,7 +75,7 @@
 // may disagree about the owners of keys.
 type StartRequest struct {
 	Ticket        Ticket
-	EchoedReading lease.ClockReading
+	EchoedReading fresh.ClockReading
 	Fingerprint   string
 	RefuseReason  Reason
 	MembersDiffer bool
@@ -114,7 +114,7 @@
 	if r, ok := l.records[s.Ticket.CallID]; ok {
 		return decideRecorded(r, s)
 	}
-	clock := lease.ClockReading{Boot: l.Boot, At: now}
+	clock := fresh.ClockReading{Boot: l.Boot, At: now}
 	if s.Ticket.Binding == BindTicket && s.Ticket.expired(clock, l.Limits.RecordMaxAge) {
 		return refuse(OutcomeUnknown, ReasonTicketExpired)
 	}
@@ -142,11 +142,11 @@
 
 // refusalReason returns why a call without a record may not run, or an empty string
 // if it may.
-func (l *Ledger) refusalReason(clock lease.ClockReading, s StartRequest) Reason {
-	switch lease.CheckFreshness(clock, s.EchoedReading, l.Limits.MaxReadingAge) {
-	case lease.Stale:
+func (l *Ledger) refusalReason(clock fresh.ClockReading, s StartRequest) Reason {
+	switch fresh.CheckFreshness(clock, s.EchoedReading, l.Limits.MaxReadingAge) {
+	case fresh.Stale:
 		return ReasonStaleReading
-	case lease.OtherBoot:
+	case fresh.OtherBoot:
 		return ReasonOtherBoot
 	}
 	if s.RefuseReason != "" {
@@ -220,7 +220,7 @@
 // the mark are one step, so that the call can't start in between.
 func (l *Ledger) Query(now time.Duration, q QueryRequest) State {
 	l.Expire(now)
-	clock := lease.ClockReading{Boot: l.Boot, At: now}
+	clock := fresh.ClockReading{Boot: l.Boot, At: now}
 	if q.Ticket.Issued.Boot != l.Boot {
 		return StateGone
 	}
--- a/core/request/calls/ledger_test.go
+++ b/core/request/calls/ledger_test.go
@@ -8,13 +8,13 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 )
 
 var testLimits = Limits{MaxReadingAge: 3 * time.Second, RecordMaxAge: time.Minute, KeyWindow: 10 * time.Second, MaxRecords: 4}
 
 func newStart(id ID, b Binding, at time.Duration) StartRequest {
-	echo := lease.ClockReading{Boot: "b", At: at}
+	echo := fresh.ClockReading{Boot: "b", At: at}
 	return StartRequest{Ticket: Ticket{CallID: id, Binding: b, Service: "s", Side: "v", Issued: echo}, EchoedReading: echo, Fingerprint: "p"}
 }
 
--- a/core/request/calls/ticket.go
+++ b/core/request/calls/ticket.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 )
 
 // Binding says which side may run a call.
@@ -30,7 +30,7 @@
 	Binding Binding            `msgpack:"b"`
 	Service string             `msgpack:"s"`
 	Side    string             `msgpack:"v"`
-	Issued  lease.ClockReading `msgpack:"i"`
+	Issued  fresh.ClockReading `msgpack:"i"`
 }
 
 // Check returns an error for the first invalid field.
@@ -77,7 +77,7 @@
 
 // expired reports whether the record of t may have been dropped at time now. A ticket
 // that was issued in the future counts as expired.
-func (t Ticket) expired(now lease.ClockReading, keep time.Duration) bool {
+func (t Ticket) expired(now fresh.ClockReading, keep time.Duration) bool {
 	age := now.At - t.Issued.At
 	return age < 0 || age > keep
 }
--- a/core/request/route/choose_test.go
+++ b/core/request/picker/choose_test.go
@@ -1,4 +1,4 @@
-package route
+package picker
 
 import (
 	"fmt"
--- a/core/request/route/load.go
+++ b/core/request/picker/load.go
@@ -1,14 +1,14 @@
-package route
+package picker
 
 import (
 	"time"
 
-	"hawthornferry/core/process/aged"
+	"hawthornferry/core/process/ttlmap"
 )
 
 // loadEstimator estimates the current load of targets from load reports that lag.
 type loadEstimator struct {
-	table        aged.Map[string, baseline]
+	table        ttlmap.Map[string, baseline]
 	reportMaxAge time.Duration
 	capacity     int
 }
--- a/core/request/route/prefix.go
+++ b/core/request/picker/prefix.go
@@ -1,10 +1,10 @@
-package route
+package picker
 
 import (
 	"slices"
 	"time"
 
-	"hawthornferry/core/process/aged"
+	"hawthornferry/core/process/ttlmap"
 )
 
 // holdersPerPrefix is the most targets remembered for one prefix.
@@ -17,7 +17,7 @@
 // that a chosen target holds the prompt's prefixes before its engine reports it. A
 // wrong entry costs one prefill at most.
 type prefixTable struct {
-	table aged.Map[uint64, []holder]
+	table ttlmap.Map[uint64, []holder]
 }
 
 // holder is a target that is assumed to hold a prefix since storedAt.
--- a/core/request/route/speed.go
+++ b/core/request/picker/speed.go
@@ -1,10 +1,10 @@
-package route
+package picker
 
 import (
 	"slices"
 	"time"
 
-	"hawthornferry/core/process/aged"
+	"hawthornferry/core/process/ttlmap"
 )
 
 // Parameters for detecting slow targets.
@@ -27,7 +27,7 @@
 // The time to the first byte isn't suitable as a measure: it depends more on prompts,
 // caches and queues than on the target, and busy targets were taken for slow ones.
 type paceTracker struct {
-	table aged.Map[string, paceStats]
+	table ttlmap.Map[string, paceStats]
 }
 
 // paceStats holds a target's speed. pace is the moving average of its time between tokens
--- a/core/request/route/types.go
+++ b/core/request/picker/types.go
@@ -4,7 +4,7 @@
 //
 // The entry's front calls it with what it knows of its targets. The package does no
 // I/O and reads no clock; callers pass the time in.
-package route
+package picker
 
 import (
 	"time"
--- a/core/request/poison/ledger.go
+++ b/core/request/poison/ledger.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"hawthornferry/core/process/aged"
+	"hawthornferry/core/process/ttlmap"
 )
 
 // Thresholds at which a request is suspected and blocked.
@@ -168,9 +168,9 @@
 // Ledger records at which target starts the attempts of each request broke off. The
 // zero value is ready to use. It isn't safe for concurrent use.
 type Ledger struct {
-	requests aged.Map[Fingerprint, *record]
+	requests ttlmap.Map[Fingerprint, *record]
 	// keysByStart holds the requests that recently broke off at each target start.
-	keysByStart aged.Map[Incarnation, []Fingerprint]
+	keysByStart ttlmap.Map[Incarnation, []Fingerprint]
 }
 
 func (l *Ledger) init() {
--- a/core/request/proof/moves_test.go
+++ b/core/request/proof/moves_test.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"slices"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/process/explor"
 	"hawthornferry/core/request/calls"
 )
@@ -268,7 +268,7 @@
 	t := m.ticket
 	echo := m.echo
 	if x.removed == bootCheck {
-		t.Issued = lease.ClockReading{Boot: s.ledger.Boot, At: w.clock(m.side)}
+		t.Issued = fresh.ClockReading{Boot: s.ledger.Boot, At: w.clock(m.side)}
 		echo = t.Issued
 	}
 	if x.removed == ticketAgeCheck {
@@ -319,7 +319,7 @@
 	s := &w.sides[m.side]
 	q := calls.QueryRequest{Ticket: m.ticket, MarkNever: x.removed != queryMark, MembersDiffer: x.unsure(w, m)}
 	if x.removed == bootCheck {
-		q.Ticket.Issued = lease.ClockReading{Boot: s.ledger.Boot, At: w.clock(m.side)}
+		q.Ticket.Issued = fresh.ClockReading{Boot: s.ledger.Boot, At: w.clock(m.side)}
 	}
 	state := s.ledger.Query(w.clock(m.side), q)
 	if x.removed == queryMark && state == calls.StateAbsent {
--- a/core/request/proof/soak_test.go
+++ b/core/request/proof/soak_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/process/drift"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/admit"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/core/version/chunk"
 )
 
@@ -36,11 +36,11 @@
 	now            time.Time
 	startTime      time.Time
 	n              int
-	chooser        *route.Chooser
+	chooser        *picker.Chooser
 	admit          *admit.Admitter
 	ledger         *calls.Ledger
 	tracker        *drift.Tracker
-	targets        []route.Candidate
+	targets        []picker.Candidate
 	created        int
 	tickets        []calls.Ticket
 	ran            map[calls.ID]int
@@ -57,7 +57,7 @@
 		ran:     map[calls.ID]int{},
 	}
 	s.startTime = s.now
-	s.chooser = &route.Chooser{Entry: fleet.VM{Name: "e", Zone: "z0", Region: "r"}, Rand: s.rand}
+	s.chooser = &picker.Chooser{Entry: fleet.VM{Name: "e", Zone: "z0", Region: "r"}, Rand: s.rand}
 	s.ledger = calls.NewLedger("boot", calls.DefaultLimits())
 	for range soakTargets {
 		s.targets = append(s.targets, s.newTarget())
@@ -65,9 +65,9 @@
 	return s
 }
 
-func (s *soak) newTarget() route.Candidate {
+func (s *soak) newTarget() picker.Candidate {
 	s.created++
-	return route.Candidate{
+	return picker.Candidate{
 		VM: fleet.VM{
 			Name:    fmt.Sprint("t", s.created),
 			Role:    fleet.RoleSide,
@@ -77,7 +77,7 @@
 			Address: netip.MustParseAddrPort("127.0.0.1:1"),
 			State:   fleet.StateLive,
 		},
-		Availability: route.AvailabilityReady,
+		Availability: picker.AvailabilityReady,
 	}
 }
 
@@ -91,7 +91,7 @@
 	for i := range s.targets {
 		t := &s.targets[i]
 		t.ServedVersion = chunk.DigestOf([]byte(fmt.Sprint(s.now.Sub(s.startTime) / versionLifetime)))
-		t.Report = route.LoadReport{ReceivedAt: s.now, Running: s.rand.IntN(8), Capacity: 16}
+		t.Report = picker.LoadReport{ReceivedAt: s.now, Running: s.rand.IntN(8), Capacity: 16}
 		s.admit.Report(s.now, "helper", t.VM.Name, t.Report)
 	}
 	s.routedCall()
@@ -125,7 +125,7 @@
 
 func (s *soak) routedCall() {
 	id := fmt.Sprint("r", s.n)
-	r := route.Request{ID: id, Customer: s.customer(), Service: "helper", Priority: route.PriorityInteractive}
+	r := picker.Request{ID: id, Customer: s.customer(), Service: "helper", Priority: picker.PriorityInteractive}
 	r.Deadline = s.now.Add(2 * time.Second)
 	for i := range soakPrefixes {
 		r.PrefixHashes = append(r.PrefixHashes, uint64(s.n/3)<<8+uint64(i))
@@ -157,14 +157,14 @@
 		Binding: calls.BindTicket,
 		Service: "booking",
 		Side:    "t",
-		Issued:  lease.ClockReading{Boot: "boot", At: clock},
+		Issued:  fresh.ClockReading{Boot: "boot", At: clock},
 	}
 	if len(s.tickets) > 0 && s.rand.IntN(repeatOneIn) == 0 {
 		t = s.tickets[s.rand.IntN(len(s.tickets))]
 	} else {
 		s.tickets = append(s.tickets, t)
 	}
-	start := calls.StartRequest{Ticket: t, EchoedReading: lease.ClockReading{Boot: "boot", At: clock}, Fingerprint: "p"}
+	start := calls.StartRequest{Ticket: t, EchoedReading: fresh.ClockReading{Boot: "boot", At: clock}, Fingerprint: "p"}
 	if s.ledger.Start(clock, start).Kind != calls.ActionRun {
 		s.repeatsRefused++
 		return
--- a/core/request/proof/state_test.go
+++ b/core/request/proof/state_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/request/calls"
 )
 
@@ -110,7 +110,7 @@
 	abandoned     bool
 	newOwnerKnown bool
 	ticket        calls.Ticket
-	echo          lease.ClockReading
+	echo          fresh.ClockReading
 	state         calls.State
 	outcome       calls.Outcome
 }
@@ -188,8 +188,8 @@
 	return time.Duration(w.now-w.sides[i].bootAt) * tick
 }
 
-func (w *modelState) reading(i int) lease.ClockReading {
-	return lease.ClockReading{Boot: w.sides[i].ledger.Boot, At: w.clock(i)}
+func (w *modelState) reading(i int) fresh.ClockReading {
+	return fresh.ClockReading{Boot: w.sides[i].ledger.Boot, At: w.clock(i)}
 }
 
 func (w *modelState) clone() *modelState {
--- a/core/request/proof/statekey_test.go
+++ b/core/request/proof/statekey_test.go
@@ -5,7 +5,7 @@
 import (
 	"slices"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/request/calls"
 )
 
@@ -38,7 +38,7 @@
 	k.b = append(k.b, ';')
 }
 
-func (k *keyBuilder) reading(r lease.ClockReading) {
+func (k *keyBuilder) reading(r fresh.ClockReading) {
 	k.text(r.Boot)
 	k.num(int(r.At / tick))
 }
--- a/core/version/burst/burst.go
+++ b/core/version/spread/burst.go
@@ -10,7 +10,7 @@
 // Within a region, sides exchange chunks by offers: a side with a free upload
 // slot sends an offer to a neighbour that lacks something it holds, and the
 // neighbour requests the chunk that the fewest of its neighbours hold.
-package burst
+package spread
 
 import (
 	"math/rand/v2"
--- a/core/version/burst/network_test.go
+++ b/core/version/spread/network_test.go
@@ -1,4 +1,4 @@
-package burst
+package spread
 
 import (
 	"container/heap"
--- a/io/conn/link/link.go
+++ b/io/conn/link/link.go
@@ -14,8 +14,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/io/conn/frame"
 )
 
@@ -106,14 +106,14 @@
 // Send writes one message.
 func (c *Conn) Send(m frame.Message) error {
 	err := c.w.Write(m, c.self.Revision.Load())
-	return fault.Wrap("send "+string(m.Kind()), c.Peer.VM.Name, err)
+	return operr.Wrap("send "+string(m.Kind()), c.Peer.VM.Name, err)
 }
 
 // Receive returns the next message.
 func (c *Conn) Receive() (frame.Message, error) {
 	m, h, err := c.r.Read()
 	if err != nil {
-		return nil, fault.Wrap("receive", c.Peer.VM.Name, err)
+		return nil, operr.Wrap("receive", c.Peer.VM.Name, err)
 	}
 	if h.Revision > c.PeerRevision.Load() {
 		c.PeerRevision.Store(h.Revision)
@@ -137,18 +137,18 @@
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
-		return nil, fault.Wrap("dial", addr.String(), err)
+		return nil, operr.Wrap("dial", addr.String(), err)
 	}
 	c := newConn(self, nc, kinds)
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
 	if err := c.greet(purpose); err != nil {
 		nc.Close()
-		return nil, fault.Wrap("greet", addr.String(), err)
+		return nil, operr.Wrap("greet", addr.String(), err)
 	}
 	if err := c.awaitHello(); err != nil {
 		nc.Close()
-		return nil, fault.Wrap("await hello", addr.String(), err)
+		return nil, operr.Wrap("await hello", addr.String(), err)
 	}
 	c.nc.belong(self, purpose, c.Peer.VM)
 	return c, nil
--- a/io/conn/link/listen.go
+++ b/io/conn/link/listen.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/io/conn/frame"
 )
 
@@ -40,7 +40,7 @@
 			return nil
 		}
 		if err != nil {
-			return fault.Wrap("accept", l.Net.Addr().String(), err)
+			return operr.Wrap("accept", l.Net.Addr().String(), err)
 		}
 		wg.Go(func() { l.serve(ctx, nc) })
 	}
@@ -78,16 +78,16 @@
 	defer stop()
 	c := newConn(l.Self, nc, l.allKinds())
 	if err := c.awaitHello(); err != nil {
-		l.reject(fault.Wrap("await hello", nc.RemoteAddr().String(), err))
+		l.reject(operr.Wrap("await hello", nc.RemoteAddr().String(), err))
 		return
 	}
 	h, ok := l.Handlers[c.Peer.Purpose]
 	if !ok {
-		l.reject(fault.Wrap("accept", c.Peer.VM.Name, errors.Newf("no handler for %s", c.Peer.Purpose)))
+		l.reject(operr.Wrap("accept", c.Peer.VM.Name, errors.Newf("no handler for %s", c.Peer.Purpose)))
 		return
 	}
 	if err := c.greet(c.Peer.Purpose); err != nil {
-		l.reject(fault.Wrap("greet", c.Peer.VM.Name, err))
+		l.reject(operr.Wrap("greet", c.Peer.VM.Name, err))
 		return
 	}
 	c.nc.belong(l.Self, c.Peer.Purpose, c.Peer.VM)
--- a/io/conn/sessn/beat.go
+++ b/io/conn/sessn/beat.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/frame"
 )
@@ -20,7 +20,7 @@
 // Heartbeat is sent by the side at a steady rate, and at once when something
 // in it has changed. Kinds of service without weights have an empty Serving.
 type Heartbeat struct {
-	Reading lease.ClockReading `msgpack:"r"`
+	Reading fresh.ClockReading `msgpack:"r"`
 	Leaving bool               `msgpack:"l"`
 	Ready   bool               `msgpack:"y"`
 	Serving chunk.Digest       `msgpack:"s"`
--- a/io/conn/sessn/client.go
+++ b/io/conn/sessn/client.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/io/conn/link"
 )
@@ -175,7 +175,7 @@
 }
 
 // Reading returns the side's latest reading, for the calls to echo.
-func (c *Client) Reading() (lease.ClockReading, bool) {
+func (c *Client) Reading() (fresh.ClockReading, bool) {
 	s := c.Status()
 	return s.Beat.Reading, s.Connected
 }
--- a/io/conn/sessn/entryconn.go
+++ b/io/conn/sessn/entryconn.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
 )
@@ -20,7 +20,7 @@
 	calls   map[Channel]*Call
 	last    Channel
 	closed  bool
-	silence lease.SilenceDetector
+	silence fresh.SilenceDetector
 	beat    *Heartbeat
 	beatAt  time.Time
 }
--- a/io/conn/sessn/message.go
+++ b/io/conn/sessn/message.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/request/calls"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/frame"
@@ -37,7 +37,7 @@
 type Start struct {
 	Channel Channel            `msgpack:"c"`
 	Request string             `msgpack:"q"`
-	Echo    lease.ClockReading `msgpack:"e"`
+	Echo    fresh.ClockReading `msgpack:"e"`
 	Ticket  *calls.Ticket      `msgpack:"t,omitempty"`
 	Method  string             `msgpack:"m"`
 	Path    string             `msgpack:"p"`
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/request/calls"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
@@ -63,7 +63,7 @@
 
 	mu      sync.Mutex
 	streams map[Channel]*Stream
-	silence lease.SilenceDetector
+	silence fresh.SilenceDetector
 	// beaten counts heartbeats sent, alive those that the entry has answered;
 	// heardFrom is closed and renewed with each answer.
 	beaten    int
--- a/io/conn/sessn/sessn_test.go
+++ b/io/conn/sessn/sessn_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/jonboulle/clockwork"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
@@ -29,7 +29,7 @@
 	vm := fleet.VM{Name: "s", Role: fleet.RoleSide, Zone: "z", Region: "r", Address: addr, State: fleet.StateLive}
 	starts, answers := make(chan *Start, 8), make(chan frame.Message, 8)
 	serve := func(ctx context.Context, c *link.Conn) {
-		_ = c.Send(&Heartbeat{Reading: lease.ClockReading{Boot: "b"}, Ready: true})
+		_ = c.Send(&Heartbeat{Reading: fresh.ClockReading{Boot: "b"}, Ready: true})
 		go func() {
 			for m := range answers {
 				_ = c.Send(m)
--- a/io/process/admin/fetch.go
+++ b/io/process/admin/fetch.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 )
 
 // maxStatus is the most bytes of a status that Fetch takes.
@@ -20,19 +20,19 @@
 	const step = "fetch status"
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/status", nil)
 	if err != nil {
-		return Status{}, fault.Wrap(step, addr.String(), err)
+		return Status{}, operr.Wrap(step, addr.String(), err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return Status{}, fault.Wrap(step, addr.String(), err)
+		return Status{}, operr.Wrap(step, addr.String(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return Status{}, fault.Wrap(step, addr.String(), errors.Newf("status %d", resp.StatusCode))
+		return Status{}, operr.Wrap(step, addr.String(), errors.Newf("status %d", resp.StatusCode))
 	}
 	var s Status
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s); err != nil {
-		return Status{}, fault.Wrap(step, addr.String(), err)
+		return Status{}, operr.Wrap(step, addr.String(), err)
 	}
-	return s, fault.Wrap(step, addr.String(), s.Check())
+	return s, operr.Wrap(step, addr.String(), s.Check())
 }
--- a/io/process/admin/serve.go
+++ b/io/process/admin/serve.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/gorilla/mux"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 )
 
 // Bounds of a request to the API and of the wait for those in flight at the
@@ -55,7 +55,7 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return fault.Wrap("serve administration API", s.Listener.Addr().String(), err)
+	return operr.Wrap("serve administration API", s.Listener.Addr().String(), err)
 }
 
 func (s *Server) routes() http.Handler {
--- a/io/process/cmds/check.go
+++ b/io/process/cmds/check.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"hawthornferry/core/process/envdoc"
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 )
 
 func init() {
@@ -38,7 +38,7 @@
 func readDocument(path string) (*envdoc.Document, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Mark(fault.Wrap("read document", path, err), errInput)
+		return nil, errors.Mark(operr.Wrap("read document", path, err), errInput)
 	}
 	return envdoc.Parse(path, 0, b)
 }
--- a/io/process/cmds/fetch.go
+++ b/io/process/cmds/fetch.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
 )
 
@@ -21,16 +21,16 @@
 	url := "http://" + store.String() + "/v1/manifests/" + string(d)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, fault.Wrap(step, store.String(), err)
+		return nil, operr.Wrap(step, store.String(), err)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, fault.Wrap(step, store.String(), err)
+		return nil, operr.Wrap(step, store.String(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fault.Wrap(step, store.String(), errors.Newf("%s: status %d", d, resp.StatusCode))
+		return nil, operr.Wrap(step, store.String(), errors.Newf("%s: status %d", d, resp.StatusCode))
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxManifest))
-	return b, fault.Wrap(step, store.String(), err)
+	return b, operr.Wrap(step, store.String(), err)
 }
--- a/io/process/cmds/plan.go
+++ b/io/process/cmds/plan.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 
 	"hawthornferry/core/process/envdoc"
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/inidoc"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
 )
 
@@ -77,7 +77,7 @@
 	for _, path := range inidoc.SplitList(p.Manifests) {
 		b, err := os.ReadFile(path)
 		if err != nil {
-			return nil, errors.Mark(fault.Wrap("read manifest", path, err), errInput)
+			return nil, errors.Mark(operr.Wrap("read manifest", path, err), errInput)
 		}
 		if err := addManifest(out, chunk.DigestOf(b), b, path); err != nil {
 			return nil, err
@@ -106,7 +106,7 @@
 func addManifest(to map[chunk.Digest]chunk.Manifest, d chunk.Digest, b []byte, from string) error {
 	m, err := chunk.Decode(b, d)
 	if err != nil {
-		return errors.Mark(fault.Wrap("decode manifest", from, err), errInput)
+		return errors.Mark(operr.Wrap("decode manifest", from, err), errInput)
 	}
 	to[d] = m
 	return nil
@@ -115,7 +115,7 @@
 func printJSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	return fault.Wrap("print JSON", "", enc.Encode(v))
+	return operr.Wrap("print JSON", "", enc.Encode(v))
 }
 
 func printPlan(w io.Writer, p envdoc.Plan) error {
@@ -142,7 +142,7 @@
 	for _, s := range p.Sections {
 		fmt.Fprintf(t, "\t%s\t%s\t%s\n", s.Change, s.Section, values(s))
 	}
-	return fault.Wrap("print plan", "", t.Flush())
+	return operr.Wrap("print plan", "", t.Flush())
 }
 
 func values(s envdoc.SectionChange) string {
--- a/io/process/cmds/replay.go
+++ b/io/process/cmds/replay.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"hawthornferry/core/process/audit"
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 )
 
@@ -67,14 +67,14 @@
 func logNames(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
-		return nil, errors.Mark(fault.Wrap("find logs", path, err), errInput)
+		return nil, errors.Mark(operr.Wrap("find logs", path, err), errInput)
 	}
 	if !info.IsDir() {
 		return []string{path}, nil
 	}
 	entries, err := os.ReadDir(path)
 	if err != nil {
-		return nil, errors.Mark(fault.Wrap("list logs", path, err), errInput)
+		return nil, errors.Mark(operr.Wrap("list logs", path, err), errInput)
 	}
 	var names []string
 	for _, e := range entries {
@@ -88,7 +88,7 @@
 func readLog(name string) (audit.ParsedLog, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return audit.ParsedLog{}, errors.Mark(fault.Wrap("open log", name, err), errInput)
+		return audit.ParsedLog{}, errors.Mark(operr.Wrap("open log", name, err), errInput)
 	}
 	defer f.Close()
 	log, err := audit.Read(name, f)
--- a/io/process/cmds/status.go
+++ b/io/process/cmds/status.go
@@ -12,7 +12,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/io/process/admin"
 )
 
@@ -62,7 +62,7 @@
 	printDrift(t, all)
 	printTables(t, all)
 	printTraffic(t, all)
-	return fault.Wrap("print status", "", t.Flush())
+	return operr.Wrap("print status", "", t.Flush())
 }
 
 func printProcesses(w io.Writer, all []admin.Status) {
--- a/io/process/conf/load.go
+++ b/io/process/conf/load.go
@@ -4,9 +4,9 @@
 	"os"
 	"strings"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/inidoc"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/opt"
 )
 
@@ -42,7 +42,7 @@
 func Load(path string, role fleet.Role, flags []Flag) (Settings, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return Settings{}, fault.Wrap("read settings", path, err)
+		return Settings{}, operr.Wrap("read settings", path, err)
 	}
 	return Parse(path, b, role, flags)
 }
--- a/io/process/feed/announcement_test.go
+++ b/io/process/feed/announcement_test.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/google/go-cmp/cmp"
 
-	"hawthornferry/core/process/naming"
+	"hawthornferry/core/process/verlog"
 )
 
 // These tests guard against serving requests on an old version past its time
@@ -150,7 +150,7 @@
 	knows, _ := servePeer(t, reader)
 	var rounds atomic.Int64
 	f.Peers = func() []Peer {
-		if rounds.Add(1) <= naming.MinQuestions+1 {
+		if rounds.Add(1) <= verlog.MinQuestions+1 {
 			return []Peer{silent}
 		}
 		return []Peer{knows}
@@ -217,7 +217,7 @@
 // not count as announced before the outage: engines would have to serve it
 // seconds before they can have it, and callers would be rejected.
 //
-// If the process pauses for longer than naming.MaxGap between two watches, it
+// If the process pauses for longer than verlog.MaxGap between two watches, it
 // can't know the exact time. Such a try proves nothing, and is repeated.
 func TestVersionAnnouncedAfterOutageIsNotBackdated(t *testing.T) {
 	const tries = 5
@@ -229,7 +229,7 @@
 	eventually(t, "version 1 is known", func() bool { return newestVersion(f) == 1 })
 	for version := uint64(2); version < 2+tries; version++ {
 		named := announceAfterOutage(t, f, s, version)
-		if s.longestGap() > naming.MaxGap {
+		if s.longestGap() > verlog.MaxGap {
 			continue
 		}
 		if diff := cmp.Diff(version-1, announcedBy(f, named)); diff != "" {
@@ -237,7 +237,7 @@
 		}
 		return
 	}
-	t.Errorf("the feed paused for over %s in each of %d tries", naming.MaxGap, tries)
+	t.Errorf("the feed paused for over %s in each of %d tries", verlog.MaxGap, tries)
 }
 
 // announceAfterOutage makes the store fail for a while, announces a version
@@ -281,7 +281,7 @@
 	f.Peers = func() []Peer { return []Peer{peer} }
 	runFeed(t, f)
 	eventually(t, "version 1 is known", func() bool { return newestVersion(f) == 1 })
-	for v := uint64(2); v < naming.MaxQuestions; v++ {
+	for v := uint64(2); v < verlog.MaxQuestions; v++ {
 		s.set("version/m", strconv.FormatUint(v, 10), false)
 		eventually(t, "the version is known", func() bool { return newestVersion(f) == v })
 		eventually(t, "the announcement time is known", func() bool {
@@ -306,13 +306,13 @@
 		waited bool
 		ran    bool
 		at     uint64
-		want   naming.Entry
+		want   verlog.Entry
 	}{
-		{"at once", now - naming.MaxRoundTrip/2, false, true, 5, naming.Entry{Since: now - age, Exact: true}},
-		{"read the store meanwhile", now - naming.MaxRoundTrip/2, false, true, 4, naming.Entry{Since: now - age, Exact: true}},
-		{"slow answer", now - 2*naming.MaxRoundTrip, false, true, 5, naming.Entry{Since: now - 2*naming.MaxRoundTrip - age}},
-		{"waited for a change", now - time.Second, true, true, 5, naming.Entry{Since: now - age, Exact: true}},
-		{"suspended while it waited", now - time.Second, true, false, 5, naming.Entry{Since: now - time.Second - age}},
+		{"at once", now - verlog.MaxRoundTrip/2, false, true, 5, verlog.Entry{Since: now - age, Exact: true}},
+		{"read the store meanwhile", now - verlog.MaxRoundTrip/2, false, true, 4, verlog.Entry{Since: now - age, Exact: true}},
+		{"slow answer", now - 2*verlog.MaxRoundTrip, false, true, 5, verlog.Entry{Since: now - 2*verlog.MaxRoundTrip - age}},
+		{"waited for a change", now - time.Second, true, true, 5, verlog.Entry{Since: now - age, Exact: true}},
+		{"suspended while it waited", now - time.Second, true, false, 5, verlog.Entry{Since: now - time.Second - age}},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -322,10 +322,10 @@
 			f.init()
 			f.known, f.revision, f.confirmed = true, 5, now-time.Second
 			f.adoptReply(tc.asked, tc.waited, "peer", &factsReply{
-				Known: true, At: tc.at, Announced: []naming.VersionReport{{Model: "m", Version: 2, Age: age, Exact: true}},
+				Known: true, At: tc.at, Announced: []verlog.VersionReport{{Model: "m", Version: 2, Age: age, Exact: true}},
 			})
 			tc.want.Model, tc.want.Version = "m", 2
-			if diff := cmp.Diff([]naming.Entry{tc.want}, f.announcements.All()); diff != "" {
+			if diff := cmp.Diff([]verlog.Entry{tc.want}, f.announcements.All()); diff != "" {
 				t.Errorf("announcements (-want +got):\n%s", diff)
 			}
 			if diff := cmp.Diff(uint64(2), newestVersion(f)); diff != "" {
--- a/io/process/feed/apply.go
+++ b/io/process/feed/apply.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"hawthornferry/core/process/naming"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/process/verlog"
 )
 
 // replaceAll replaces all items by the given ones, read at revision at. f.mu
@@ -19,12 +19,12 @@
 			items = append(items, Item{Key: key, Revision: at, Deleted: true})
 		}
 	}
-	f.apply(items, naming.OptionalTime{})
+	f.apply(items, verlog.OptionalTime{})
 }
 
 // apply applies changed items. live is when they were changed, known only if
 // they were received as that happened. f.mu must be held.
-func (f *Feed) apply(items []Item, live naming.OptionalTime) {
+func (f *Feed) apply(items []Item, live verlog.OptionalTime) {
 	for _, it := range items {
 		if old, ok := f.items[it.Key]; ok && old.Revision > it.Revision {
 			continue
@@ -88,7 +88,7 @@
 // decode decodes an item. If it can't be decoded, the last good version of it
 // stays in force, except for a target: a target whose entry is invalid must not
 // be used.
-func (f *Feed) decode(it Item, live naming.OptionalTime) {
+func (f *Feed) decode(it Item, live verlog.OptionalTime) {
 	fact, err := f.Reader.Read(it)
 	old, had := f.decoded[it.Key]
 	if err != nil {
--- a/io/process/feed/feed.go
+++ b/io/process/feed/feed.go
@@ -20,8 +20,8 @@
 	"github.com/uber-go/tally/v4"
 
 	"hawthornferry/core/process/facts"
-	"hawthornferry/core/process/naming"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/process/verlog"
 	"hawthornferry/io/conn/link"
 )
 
@@ -39,7 +39,7 @@
 	// minWatchInterval is the shortest time from the start of a watch that
 	// brought changes to the next one. Changes come in bursts of ten and more a
 	// second, and without it each watch would return with one. It must stay
-	// well below naming.MaxGap: after a longer gap, changes no longer count as
+	// well below verlog.MaxGap: after a longer gap, changes no longer count as
 	// received when they were made.
 	minWatchInterval = 100 * time.Millisecond
 	// retryBase and retryMax bound the pauses between calls that failed.
@@ -114,7 +114,7 @@
 	removed       removals
 	decoded       map[string]Fact
 	graceEnds     map[string]time.Time
-	announcements naming.Log
+	announcements verlog.Log
 	// queries is how often peers were asked when the newest version was
 	// announced, and nextQuery the time on the Awake clock of the next query.
 	queries   int
--- a/io/process/feed/log.go
+++ b/io/process/feed/log.go
@@ -5,8 +5,8 @@
 	"strconv"
 
 	"hawthornferry/core/process/facts"
-	"hawthornferry/core/process/naming"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/process/verlog"
 )
 
 func versionText(v uint64) string { return strconv.FormatUint(v, 10) }
@@ -38,9 +38,9 @@
 
 // logAnnouncementTimes logs the announcement times that peers have changed;
 // before holds the entries before the change.
-func (f *Feed) logAnnouncementTimes(before []naming.Entry) {
+func (f *Feed) logAnnouncementTimes(before []verlog.Entry) {
 	for _, e := range f.announcements.All() {
-		i := slices.IndexFunc(before, func(b naming.Entry) bool { return b.Model == e.Model && b.Version == e.Version })
+		i := slices.IndexFunc(before, func(b verlog.Entry) bool { return b.Model == e.Model && b.Version == e.Version })
 		if i >= 0 && before[i].Exact == e.Exact && before[i].FromReturn == e.FromReturn {
 			continue
 		}
--- a/io/process/feed/query.go
+++ b/io/process/feed/query.go
@@ -9,8 +9,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/naming"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/process/verlog"
 	"hawthornferry/io/conn/link"
 )
 
@@ -41,8 +41,8 @@
 )
 
 // queryAnnouncements asks peers when the versions that this process has read
-// were announced: until that is known or naming.MaxQuestions is reached, and
-// naming.MinQuestions times in any case.
+// were announced: until that is known or verlog.MaxQuestions is reached, and
+// verlog.MinQuestions times in any case.
 func (f *Feed) queryAnnouncements(ctx context.Context) {
 	for {
 		changed := f.Changed()
@@ -245,7 +245,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := naming.Reply{Asked: asked, Got: f.Awake(), LongPoll: waited, StoreUnreachable: reply.Away}
+	r := verlog.Reply{Asked: asked, Got: f.Awake(), LongPoll: waited, StoreUnreachable: reply.Away}
 	f.mergeAnnouncements(r, reply.Announced)
 	f.recordPeerReply(waited, reply.Age)
 	since := r.Since(reply.Age)
@@ -265,7 +265,7 @@
 // held.
 func (f *Feed) applyReply(reply *factsReply) {
 	if reply.Changes {
-		f.apply(reply.Items, naming.OptionalTime{})
+		f.apply(reply.Items, verlog.OptionalTime{})
 		return
 	}
 	present := make(map[string]bool, len(reply.Keys))
@@ -278,5 +278,5 @@
 			items = append(items, Item{Key: key, Revision: reply.At, Deleted: true})
 		}
 	}
-	f.apply(items, naming.OptionalTime{})
+	f.apply(items, verlog.OptionalTime{})
 }
--- a/io/process/feed/relay.go
+++ b/io/process/feed/relay.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/naming"
+	"hawthornferry/core/process/verlog"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
 )
@@ -87,7 +87,7 @@
 	// Announced lists the announced versions, including replaced ones: the
 	// store holds only the newest, and the time limit that counts from an
 	// earlier announcement ends first.
-	Announced []naming.VersionReport `msgpack:"named"`
+	Announced []verlog.VersionReport `msgpack:"named"`
 	// Away is set if the sender has been unable to reach the store since Age
 	// ago.
 	Away bool `msgpack:"away"`
--- a/io/process/feed/removals_test.go
+++ b/io/process/feed/removals_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"hawthornferry/core/process/naming"
+	"hawthornferry/core/process/verlog"
 )
 
 // Guards against an entry that uses a target which has left, because its
@@ -62,7 +62,7 @@
 	} else {
 		for _, it := range s.log {
 			if it.Revision > f.revision {
-				f.apply([]Item{it}, naming.OptionalTime{})
+				f.apply([]Item{it}, verlog.OptionalTime{})
 			}
 		}
 	}
--- a/io/process/feed/store_outage_test.go
+++ b/io/process/feed/store_outage_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"hawthornferry/core/process/naming"
+	"hawthornferry/core/process/verlog"
 
 	"github.com/cockroachdb/errors"
 )
@@ -93,7 +93,7 @@
 	s.set("version/m", "2", false)
 	eventually(t, "one entry has received version 2", func() bool { return newestVersion(connected.Feed) == 2 })
 	// Its report to the others takes up to this much longer.
-	announcedAt := time.Now().Add(naming.MaxRoundTrip)
+	announcedAt := time.Now().Add(verlog.MaxRoundTrip)
 	storeOutage(2*time.Second, cutA, cutB)
 	for _, w := range []*peerFeed{a, b} {
 		eventually(t, "it counts from the announcement", func() bool { return announcedBy(w.Feed, announcedAt) == 2 })
--- a/io/process/feed/versions.go
+++ b/io/process/feed/versions.go
@@ -4,13 +4,13 @@
 	"time"
 
 	"hawthornferry/core/process/facts"
-	"hawthornferry/core/process/naming"
+	"hawthornferry/core/process/verlog"
 )
 
 // contact returns the record of the last contact with the store. f.mu must be
 // held.
-func (f *Feed) contact() naming.Contact {
-	return naming.Contact{Known: f.known, Revision: f.revision, Confirmed: f.confirmed, Answered: f.answeredUntil, Failed: f.lastFailure}
+func (f *Feed) contact() verlog.Contact {
+	return verlog.Contact{Known: f.known, Revision: f.revision, Confirmed: f.confirmed, Answered: f.answeredUntil, Failed: f.lastFailure}
 }
 
 // recordStoreFailure records that a call to the store failed, after before
@@ -36,7 +36,7 @@
 }
 
 // recordAnswerTime records when the store answered a call. f.mu must be held.
-func (f *Feed) recordAnswerTime(call naming.StoreCall) {
+func (f *Feed) recordAnswerTime(call verlog.StoreCall) {
 	c := f.contact()
 	c.RecordAnswer(call, f.ranSince)
 	f.answeredUntil = c.Answered
@@ -45,7 +45,7 @@
 // addAnnouncement records a version that was just read from an item. live is
 // when the item was written, on the Awake clock, known only if it was received
 // as it was written. f.mu must be held.
-func (f *Feed) addAnnouncement(v *facts.ModelVersion, live naming.OptionalTime) {
+func (f *Feed) addAnnouncement(v *facts.ModelVersion, live verlog.OptionalTime) {
 	c := f.contact()
 	e := c.EntryFor(v.Model, v.Version, live, f.Awake())
 	e.StoreUnreachable = c.StoreUnreachable(f.ranSince)
@@ -58,7 +58,7 @@
 
 // mergeAnnouncements merges what a peer reports about announcements. f.mu must
 // be held.
-func (f *Feed) mergeAnnouncements(r naming.Reply, statements []naming.VersionReport) {
+func (f *Feed) mergeAnnouncements(r verlog.Reply, statements []verlog.VersionReport) {
 	before := f.announcements.All()
 	if !f.announcements.Merge(r, statements, f.ranSince) || !f.known {
 		return
--- a/io/process/feed/watch.go
+++ b/io/process/feed/watch.go
@@ -5,8 +5,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/naming"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/process/verlog"
 )
 
 // syncOnce lists the store if there is no state yet; otherwise it waits for one
@@ -41,7 +41,7 @@
 	defer f.mu.Unlock()
 	// A peer may have sent a newer revision in the meantime.
 	if c.At >= f.revision {
-		call := naming.StoreCall{Asked: asked, Got: got, Wait: wait}
+		call := verlog.StoreCall{Asked: asked, Got: got, Wait: wait}
 		live := f.contact().ChangesMadeAt(call, f.ranSince)
 		f.recordStoreAnswer(f.Wait)
 		f.recordAnswerTime(call)
@@ -81,7 +81,7 @@
 	if first < f.revision {
 		return nil
 	}
-	f.recordAnswerTime(naming.StoreCall{Asked: asked, Got: f.Awake()})
+	f.recordAnswerTime(verlog.StoreCall{Asked: asked, Got: f.Awake()})
 	f.replaceAll(items, first)
 	f.confirm(asked, first)
 	return nil
--- a/io/process/host/host.go
+++ b/io/process/host/host.go
@@ -18,8 +18,8 @@
 	"github.com/uber-go/tally/v4"
 	"golang.org/x/sync/errgroup"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/process/admin"
@@ -167,7 +167,7 @@
 	defer stop()
 	g, runCtx := errgroup.WithContext(runCtx)
 	for _, c := range h.allComponents() {
-		g.Go(func() error { return fault.Wrap("run "+c.Name, "", c.Run(runCtx)) })
+		g.Go(func() error { return operr.Wrap("run "+c.Name, "", c.Run(runCtx)) })
 	}
 	select {
 	case <-runCtx.Done():
@@ -186,7 +186,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), h.Settings.Limits.Grace)
 	defer cancel()
-	return fault.Wrap("drain within the grace period", "", h.Drain(ctx))
+	return operr.Wrap("drain within the grace period", "", h.Drain(ctx))
 }
 
 func (h *Host) allComponents() []Component {
--- a/io/process/hosted/entry.go
+++ b/io/process/hosted/entry.go
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"net"
 
+	"hawthornferry/core/request/budget"
 	"hawthornferry/core/request/place"
-	"hawthornferry/core/request/spend"
 	"hawthornferry/io/process/alert"
 	"hawthornferry/io/process/pulse"
 	"hawthornferry/io/request/direct"
@@ -54,7 +54,7 @@
 			TableAge: scaleDuration(bounds.Apply, tableShare),
 			Grace:    bounds.Grace,
 			Version:  bounds.Version,
-			Retry:    spend.Budget{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
+			Retry:    budget.Budget{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
 		},
 	}
 	if bounds.StrictKeys {
--- a/io/process/hosted/process.go
+++ b/io/process/hosted/process.go
@@ -19,8 +19,8 @@
 	"github.com/uber-go/tally/v4"
 	"golang.org/x/sync/errgroup"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/request/place"
 	"hawthornferry/io/conn/link"
@@ -188,7 +188,7 @@
 // listen opens a TCP listener. The error says what it is for and on which address.
 func listen(what string, addr netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr.String())
-	return l, fault.Wrap("listen for "+what, addr.String(), err)
+	return l, operr.Wrap("listen for "+what, addr.String(), err)
 }
 
 // run runs the components until ctx ends, then drains within the grace period. It
@@ -244,7 +244,7 @@
 		components = append(components, component{"administration", server.Run})
 	}
 	for _, c := range components {
-		g.Go(func() error { return fault.Wrap("run "+c.name, "", c.run(runCtx)) })
+		g.Go(func() error { return operr.Wrap("run "+c.name, "", c.run(runCtx)) })
 	}
 	select {
 	case <-runCtx.Done():
@@ -267,7 +267,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Grace-killReserve)
 	defer cancel()
-	return fault.Wrap("drain within the grace period", "", p.drain(ctx))
+	return operr.Wrap("drain within the grace period", "", p.drain(ctx))
 }
 
 func (p *process) rejected(err error) {
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -12,9 +12,9 @@
 	"hawthornferry/core/process/facts"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/place"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/core/version/roll"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/process/awake"
 	"hawthornferry/io/process/pulse"
@@ -133,7 +133,7 @@
 	s.node = &swarm.Node{
 		Self: p.self, Clock: p.clock, Log: p.log, Logger: p.logger, Metrics: p.metrics,
 		Members: s.members, Staging: s.adapter, Source: s.adapter, CacheBytes: cacheBytes,
-		Burst: burst.Config{
+		Burst: spread.Config{
 			MinTimeout: minStallTimeout, MaxBackoff: maxRetryPause, OriginSlots: originDownloads, UploadSlots: peerUploads, DownloadSlots: peerDownloads,
 		},
 		BlockTime: blockTime,
--- a/io/process/side/side.go
+++ b/io/process/side/side.go
@@ -11,9 +11,9 @@
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/process/view"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/core/version/roll"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/process/awake"
 	"hawthornferry/io/process/host"
@@ -85,7 +85,7 @@
 		Staging: &stage.Client{Engine: h.Settings.Target.Address},
 		Origin:  h.Settings.Platform.Origin,
 		Store:   h.Settings.Platform.Store,
-		Burst:   burst.Config{UploadSlots: h.Settings.Limits.UploadSlots},
+		Burst:   spread.Config{UploadSlots: h.Settings.Limits.UploadSlots},
 		Pacer:   s.pacer,
 		// The engine's staging area holds every chunk; the cache only saves reading
 		// chunks again that several peers request at about the same time. If it took
--- a/io/process/trace/log.go
+++ b/io/process/trace/log.go
@@ -10,7 +10,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/sirupsen/logrus"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 )
 
@@ -88,7 +88,7 @@
 func NewLogger(w io.Writer, level string) (*logrus.Logger, error) {
 	least, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, fault.Wrap("set log level", "", err)
+		return nil, operr.Wrap("set log level", "", err)
 	}
 	l := logrus.New()
 	l.SetOutput(w)
--- a/io/process/trace/sink.go
+++ b/io/process/trace/sink.go
@@ -12,7 +12,7 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 )
 
 // DefaultBuffer is the number of lines that wait when Buffer is 0.
@@ -129,7 +129,7 @@
 		return standard{os.Stdout}, nil
 	}
 	f, err := os.OpenFile(output, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
-	return f, fault.Wrap("open log", output, err)
+	return f, operr.Wrap("open log", output, err)
 }
 
 // standard is a stream that belongs to the whole process and stays open.
--- a/io/process/watch/fetcher.go
+++ b/io/process/watch/fetcher.go
@@ -14,9 +14,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/inidoc"
+	"hawthornferry/core/process/operr"
 )
 
 // Timeouts and limits of reads from the platform.
@@ -62,11 +62,11 @@
 	}
 	b, h, err := s.get(ctx, path, wait, inidoc.MaxBytes)
 	if err != nil || h == nil {
-		return nil, 0, fault.Wrap("read document", s.addr.String(), err)
+		return nil, 0, operr.Wrap("read document", s.addr.String(), err)
 	}
 	revision, err := strconv.ParseUint(h.Get("X-Revision"), 10, 64)
 	if err != nil || revision == 0 {
-		return nil, 0, fault.Errorf("read document", s.addr.String(), "X-Revision %q is not a number above 0", h.Get("X-Revision"))
+		return nil, 0, operr.Errorf("read document", s.addr.String(), "X-Revision %q is not a number above 0", h.Get("X-Revision"))
 	}
 	return b, revision, nil
 }
@@ -76,11 +76,11 @@
 	const step = "read VM list"
 	b, _, err := s.get(ctx, "/v1/vms", 0, maxVMList)
 	if err != nil {
-		return nil, 0, fault.Wrap(step, s.addr.String(), err)
+		return nil, 0, operr.Wrap(step, s.addr.String(), err)
 	}
 	var vms []fleet.VM
 	if err := json.Unmarshal(b, &vms); err != nil {
-		return nil, 0, fault.Wrap(step, s.addr.String(), err)
+		return nil, 0, operr.Wrap(step, s.addr.String(), err)
 	}
 	return vms, len(b), nil
 }
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -8,10 +8,10 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/gossip"
 	"hawthornferry/core/process/inidoc"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/retry"
 	"hawthornferry/core/process/trail"
 )
@@ -228,5 +228,5 @@
 }
 
 func environmentMismatch(got, want string) error {
-	return fault.Wrap("check document", "", errors.Newf("document is for environment %q, want %q", got, want))
+	return operr.Wrap("check document", "", errors.Newf("document is for environment %q, want %q", got, want))
 }
--- a/io/request/direct/buffered.go
+++ b/io/request/direct/buffered.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/request/resend"
 	"hawthornferry/io/request/gate"
 )
@@ -76,7 +76,7 @@
 		err = errors.Newf("response is over %d bytes", maxBufferedResponse)
 	}
 	if err != nil {
-		r.q.progress.responseErr = fault.Wrap("read answer", "", err)
+		r.q.progress.responseErr = operr.Wrap("read answer", "", err)
 		return resend.Broken
 	}
 	if x.resp.StatusCode >= http.StatusInternalServerError && r.q.route.Repeatable() {
--- a/io/request/direct/exchange.go
+++ b/io/request/direct/exchange.go
@@ -14,7 +14,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"hawthornferry/core/process/facts"
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 )
 
 // readBuffer is the size in bytes of the buffers for requests and responses.
@@ -103,7 +103,7 @@
 	began := c.clock.Now()
 	conn, err := c.dial(dialCtx, "tcp", t.Address.String())
 	if err != nil {
-		return nil, fault.Wrap("connect to target", t.Address.String(), err)
+		return nil, operr.Wrap("connect to target", t.Address.String(), err)
 	}
 	c.dialTimes.record(t.Zone, c.clock.Since(began))
 	x := &exchange{conn: conn, closed: make(chan struct{})}
--- a/io/request/direct/forwarder.go
+++ b/io/request/direct/forwarder.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/request/resend"
 )
 
@@ -84,7 +84,7 @@
 		}
 		return f.finishStream(f.x)
 	default:
-		return f.handleSourceEnd(fault.Wrap("read stream", "", item.err))
+		return f.handleSourceEnd(operr.Wrap("read stream", "", item.err))
 	}
 }
 
--- a/io/request/direct/handover_test.go
+++ b/io/request/direct/handover_test.go
@@ -21,8 +21,8 @@
 
 	"hawthornferry/core/process/facts"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/request/budget"
 	"hawthornferry/core/request/place"
-	"hawthornferry/core/request/spend"
 	"hawthornferry/core/request/table"
 )
 
@@ -113,7 +113,7 @@
 	m.server = &Server{
 		Net: nl, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Dialect: testDialect{},
 		Placer: &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))},
-		Rules:  Rules{Retry: spend.Budget{Ratio: 1, Slack: 100, Window: time.Second}},
+		Rules:  Rules{Retry: budget.Budget{Ratio: 1, Slack: 100, Window: time.Second}},
 	}
 	m.server.Source = &testSource{facts: known}
 	m.server.init()
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -13,10 +13,10 @@
 	"github.com/uber-go/tally/v4"
 
 	"hawthornferry/core/process/facts"
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
+	"hawthornferry/core/request/budget"
 	"hawthornferry/core/request/place"
-	"hawthornferry/core/request/spend"
 )
 
 // Source provides the facts that requests are served by: the process's view of the
@@ -42,7 +42,7 @@
 	// begin on older ones.
 	Version time.Duration
 	// Retry limits the retries that are sent to each service.
-	Retry spend.Budget
+	Retry budget.Budget
 }
 
 // Timeouts and size limits of the HTTP server.
@@ -84,7 +84,7 @@
 	drainTimes atomic.Pointer[drainTimes]
 
 	budgetMu     sync.Mutex
-	retryBudgets map[string]*spend.Budget
+	retryBudgets map[string]*budget.Budget
 	// maxEntries is the highest number of entries that a report has told of. It is
 	// guarded by budgetMu.
 	maxEntries      int
@@ -108,7 +108,7 @@
 		s.dispatcher = newDispatcher(s.Clock, s.Placer)
 		s.connector = newConnector(s.Clock)
 		s.connector.dialTimes.onChange = s.dispatcher.setRoundTrip
-		s.retryBudgets = map[string]*spend.Budget{}
+		s.retryBudgets = map[string]*budget.Budget{}
 		s.server = &http.Server{
 			Handler:           http.HandlerFunc(s.serve),
 			ReadHeaderTimeout: headerTimeout,
@@ -131,7 +131,7 @@
 	defer stop()
 	err := s.server.Serve(s.Net)
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fault.Wrap("serve callers", s.Net.Addr().String(), err)
+		return operr.Wrap("serve callers", s.Net.Addr().String(), err)
 	}
 	<-ctx.Done()
 	return nil
@@ -228,7 +228,7 @@
 	case <-s.Clock.After(min(maxDrainNotice, time.Duration(drainNoticeShare*float64(s.Rules.Grace)))):
 	case <-ctx.Done():
 	}
-	return fault.Wrap("drain", "", s.server.Shutdown(ctx))
+	return operr.Wrap("drain", "", s.server.Shutdown(ctx))
 }
 
 // takeRetry reports whether the retry budget of a service allows another attempt, and
@@ -247,10 +247,10 @@
 }
 
 // retryBudget returns the budget of a service. The caller must hold budgetMu.
-func (s *Server) retryBudget(service string) *spend.Budget {
+func (s *Server) retryBudget(service string) *budget.Budget {
 	b, ok := s.retryBudgets[service]
 	if !ok {
-		b = &spend.Budget{Ratio: s.Rules.Retry.Ratio, Slack: s.Rules.Retry.Slack, Window: s.Rules.Retry.Window}
+		b = &budget.Budget{Ratio: s.Rules.Retry.Ratio, Slack: s.Rules.Retry.Slack, Window: s.Rules.Retry.Window}
 		s.retryBudgets[service] = b
 	}
 	b.Entries = s.maxEntries
--- a/io/request/direct/suspects_test.go
+++ b/io/request/direct/suspects_test.go
@@ -15,7 +15,7 @@
 	"github.com/jonboulle/clockwork"
 
 	"hawthornferry/core/process/facts"
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/request/poison"
 	"hawthornferry/core/request/resend"
 )
@@ -90,7 +90,7 @@
 // after the request was sent. A request that the entry aborted, that the target
 // rejected, or that got an invalid response has crashed nothing.
 func TestReportOutcome(t *testing.T) {
-	eof := fault.Wrap("read stream", "", io.ErrUnexpectedEOF)
+	eof := operr.Wrap("read stream", "", io.ErrUnexpectedEOF)
 	reset := &net.OpError{Op: "read", Err: syscall.ECONNRESET}
 	closed := &net.OpError{Op: "read", Err: net.ErrClosed}
 	tests := []struct {
--- a/io/request/direct/watchdogset_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -10,9 +10,9 @@
 	"github.com/google/go-cmp/cmp"
 
 	"hawthornferry/core/process/facts"
+	"hawthornferry/core/request/budget"
 	"hawthornferry/core/request/place"
 	"hawthornferry/core/request/resend"
-	"hawthornferry/core/request/spend"
 	"hawthornferry/core/request/table"
 )
 
@@ -36,7 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWatchdogTest(t)
 			w.server.Placer = &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))}
-			w.server.Rules.Retry = spend.Budget{Ratio: 1, Slack: 100, Window: time.Second}
+			w.server.Rules.Retry = budget.Budget{Ratio: 1, Slack: 100, Window: time.Second}
 			w.server.init()
 			w.server.dispatcher.update(idleEngines("a", "b"))
 			w.q.targetID = "a"
--- a/io/request/front/choose.go
+++ b/io/request/front/choose.go
@@ -4,7 +4,7 @@
 	"github.com/cockroachdb/errors"
 
 	"hawthornferry/core/process/trail"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // errNoTarget is returned when no candidate may receive the call.
@@ -36,9 +36,9 @@
 	return m, err
 }
 
-// leftOf returns the rejected candidates and the reasons from a *route.NoTargetError error.
+// leftOf returns the rejected candidates and the reasons from a *picker.NoTargetError error.
 func leftOf(err error) []trail.Exclusion {
-	var none *route.NoTargetError
+	var none *picker.NoTargetError
 	if errors.As(err, &none) {
 		return none.Excluded
 	}
--- a/io/request/front/drain_test.go
+++ b/io/request/front/drain_test.go
@@ -11,13 +11,13 @@
 
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/conn/sessn"
 )
 
 // waitStanding waits until the entry reports the wanted standing for the target.
-func (fl *testFleet) waitStanding(e *entry, name string, want route.Availability) {
+func (fl *testFleet) waitStanding(e *entry, name string, want picker.Availability) {
 	for {
 		for _, t := range e.front.Targets() {
 			if t.VM.Name == name && t.Standing == want {
@@ -47,7 +47,7 @@
 	<-p.started
 	drained := make(chan error, 1)
 	go func() { drained <- s.gate.Drain(context.Background()) }()
-	fl.waitStanding(e, "b1", route.AvailabilityLeaving)
+	fl.waitStanding(e, "b1", picker.AvailabilityLeaving)
 	fl.addSide("b2", "booking", other)
 	fl.waitReady(e, "booking", 1)
 	check(t, "new call", "paid new", (<-fl.callAsync(e, "new", nil)).Body)
@@ -98,7 +98,7 @@
 	fl.waitReady(e, "booking", 1)
 	s.vm.State = fleet.StateLeaving
 	fl.setVM(s.vm)
-	fl.waitStanding(e, "b1", route.AvailabilityLeaving)
+	fl.waitStanding(e, "b1", picker.AvailabilityLeaving)
 	check(t, "caller result", "notRun", (<-fl.callAsync(e, "fee", nil)).Header.Get(headerOutcome))
 	for !s.gate.Beat().Leaving {
 		time.Sleep(time.Millisecond)
--- a/io/request/front/fleet_test.go
+++ b/io/request/front/fleet_test.go
@@ -22,7 +22,7 @@
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/process/view"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/conn/sessn"
 	"hawthornferry/io/request/gate"
@@ -304,10 +304,10 @@
 	rest Chooser
 }
 
-func (c preferTarget) Choose(now time.Time, r route.Request, cs []route.Candidate) (route.Choice, error) {
+func (c preferTarget) Choose(now time.Time, r picker.Request, cs []picker.Candidate) (picker.Choice, error) {
 	for _, x := range cs {
 		if x.VM.Name == c.name && !slices.Contains(r.FailedTargets, c.name) {
-			return route.Choice{VM: x.VM}, nil
+			return picker.Choice{VM: x.VM}, nil
 		}
 	}
 	return c.rest.Choose(now, r, cs)
--- a/io/request/front/front.go
+++ b/io/request/front/front.go
@@ -22,10 +22,10 @@
 	"github.com/uber-go/tally/v4"
 	"golang.org/x/sync/semaphore"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/process/view"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/conn/sessn"
 	"hawthornferry/io/process/gauge"
@@ -33,7 +33,7 @@
 
 // Chooser picks the target of a call from the candidates.
 type Chooser interface {
-	Choose(now time.Time, r route.Request, candidates []route.Candidate) (route.Choice, error)
+	Choose(now time.Time, r picker.Request, candidates []picker.Candidate) (picker.Choice, error)
 }
 
 // Front serves callers. Set the exported fields before Run; limits that are zero get
@@ -51,7 +51,7 @@
 	// instead.
 	ListenAddr netip.AddrPort
 	Net        net.Listener
-	// Chooser picks targets. If it is nil, a route.Chooser is used.
+	// Chooser picks targets. If it is nil, a picker.Chooser is used.
 	Chooser Chooser
 	Timing  sessn.Timing
 	Limits  Limits
@@ -112,7 +112,7 @@
 	defer f.running.Store(false)
 	err = f.server.Serve(callerListener{nl})
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fault.Wrap("serve callers", nl.Addr().String(), err)
+		return operr.Wrap("serve callers", nl.Addr().String(), err)
 	}
 	// After Drain, the calls in flight still need their sessions.
 	<-ctx.Done()
@@ -124,7 +124,7 @@
 		return f.Net, nil
 	}
 	nl, err := net.Listen("tcp", f.ListenAddr.String())
-	return nl, fault.Wrap("listen for callers", f.ListenAddr.String(), err)
+	return nl, operr.Wrap("listen for callers", f.ListenAddr.String(), err)
 }
 
 // Drain makes the entry report not ready, keeps serving for Limits.DrainNotice so that
@@ -143,7 +143,7 @@
 	case <-notice.Chan():
 	case <-ctx.Done():
 	}
-	return fault.Wrap("drain", "", f.server.Shutdown(ctx))
+	return operr.Wrap("drain", "", f.server.Shutdown(ctx))
 }
 
 // Ready reports whether the load balancer may send callers here: the entry is serving,
--- a/io/request/front/limits.go
+++ b/io/request/front/limits.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // Limits limits the resources that callers may use. Sizes are in bytes.
@@ -46,7 +46,7 @@
 		IdleTimeout:       2 * time.Minute,
 		DrainNotice:       time.Second,
 		MaxInFlight:       2048,
-		Subset:            route.DefaultSubsetSize,
+		Subset:            picker.DefaultSubsetSize,
 		MaxAttempts:       3,
 		QueryTimeout:      3 * time.Second,
 	}
--- a/io/request/front/measure.go
+++ b/io/request/front/measure.go
@@ -3,7 +3,7 @@
 import (
 	"hawthornferry/core/request/admit"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/process/gauge"
 )
 
@@ -23,7 +23,7 @@
 
 // watchTables registers the tables of the entry whose sizes Gauge watches.
 func (f *Front) watchTables() {
-	f.Gauge.Watch(gauge.Table{Name: "prefixes", Bound: route.DefaultMaxPrefixes, Len: f.policy.prefixCount})
+	f.Gauge.Watch(gauge.Table{Name: "prefixes", Bound: picker.DefaultMaxPrefixes, Len: f.policy.prefixCount})
 	f.Gauge.Watch(gauge.Table{Name: "admission", Bound: admit.MaxRemembered + f.Limits.MaxInFlight, Len: f.policy.admissionCount})
 	f.Gauge.Watch(gauge.Table{Name: "sessions", Len: f.pool.size})
 }
--- a/io/request/front/policy.go
+++ b/io/request/front/policy.go
@@ -10,7 +10,7 @@
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/admit"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/request/await"
 )
 
@@ -22,7 +22,7 @@
 // delivers admission verdicts to the calls that wait for them.
 type policy struct {
 	clock           clockwork.Clock
-	chooser         *route.Chooser
+	chooser         *picker.Chooser
 	admitter        *admit.Admitter
 	lastChooserTick time.Time
 	await.Desk[admit.Verdict]
@@ -30,7 +30,7 @@
 
 func newPolicy(clock clockwork.Clock, self fleet.VM) *policy {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	p := &policy{clock: clock, chooser: &route.Chooser{Entry: self, Rand: rng}, admitter: &admit.Admitter{}}
+	p := &policy{clock: clock, chooser: &picker.Chooser{Entry: self, Rand: rng}, admitter: &admit.Admitter{}}
 	p.ID = func(v admit.Verdict) string { return v.ID }
 	return p
 }
@@ -60,7 +60,7 @@
 }
 
 // admit waits for the admission verdict on a call. It returns false if ctx ends first.
-func (p *policy) admit(ctx context.Context, r route.Request) (admit.Verdict, bool) {
+func (p *policy) admit(ctx context.Context, r picker.Request) (admit.Verdict, bool) {
 	o := admit.Offer{
 		ID: r.ID, Customer: r.Customer, Service: r.Service,
 		Priority: r.Priority, Deadline: r.Deadline,
@@ -97,7 +97,7 @@
 }
 
 // reportLoad passes a target's load report to the admitter.
-func (p *policy) reportLoad(service, target string, r route.LoadReport) {
+func (p *policy) reportLoad(service, target string, r picker.LoadReport) {
 	p.locked(func() { p.admitter.Report(p.clock.Now(), service, target, r) })
 }
 
@@ -118,8 +118,8 @@
 }
 
 // Choose implements Chooser.
-func (p *policy) Choose(now time.Time, r route.Request, candidates []route.Candidate) (route.Choice, error) {
-	var c route.Choice
+func (p *policy) Choose(now time.Time, r picker.Request, candidates []picker.Candidate) (picker.Choice, error) {
+	var c picker.Choice
 	var err error
 	p.locked(func() { c, err = p.chooser.Choose(now, r, candidates) })
 	return c, err
--- a/io/request/front/pool.go
+++ b/io/request/front/pool.go
@@ -10,7 +10,7 @@
 
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/view"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/sessn"
 )
@@ -24,11 +24,11 @@
 
 // TargetStatus is the state of a target as seen by the entry.
 type TargetStatus struct {
-	VM       fleet.VM           `json:"vm"`
-	Standing route.Availability `json:"standing"`
-	InFlight int                `json:"inFlight"`
-	Serving  chunk.Digest       `json:"serving,omitempty"`
-	Boot     string             `json:"boot,omitempty"`
+	VM       fleet.VM            `json:"vm"`
+	Standing picker.Availability `json:"standing"`
+	InFlight int                 `json:"inFlight"`
+	Serving  chunk.Digest        `json:"serving,omitempty"`
+	Boot     string              `json:"boot,omitempty"`
 }
 
 // memberID identifies a target process. A VM that replaces another of the same name has
@@ -149,7 +149,7 @@
 	}
 	var out []fleet.VM
 	for name := range services {
-		out = append(out, route.Subset(p.front.Self.VM, name, live, p.front.Limits.Subset)...)
+		out = append(out, picker.Subset(p.front.Self.VM, name, live, p.front.Limits.Subset)...)
 	}
 	return out
 }
@@ -188,9 +188,9 @@
 	}
 }
 
-func loadReportOf(s sessn.Status) route.LoadReport {
+func loadReportOf(s sessn.Status) picker.LoadReport {
 	l := s.Beat.Load
-	return route.LoadReport{ReceivedAt: s.At, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
+	return picker.LoadReport{ReceivedAt: s.At, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
 }
 
 // acquire returns the member for the named VM and counts a call in flight at it, or
@@ -245,22 +245,22 @@
 
 // candidates returns the service's targets that the entry has sessions with, sorted by
 // name.
-func (p *pool) candidates(service string) []route.Candidate {
+func (p *pool) candidates(service string) []picker.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var out []route.Candidate
+	var out []picker.Candidate
 	for _, m := range p.members {
 		if m.vm.Service == service && m.listed {
 			out = append(out, m.candidate())
 		}
 	}
-	slices.SortFunc(out, func(a, b route.Candidate) int { return cmp.Compare(a.VM.Name, b.VM.Name) })
+	slices.SortFunc(out, func(a, b picker.Candidate) int { return cmp.Compare(a.VM.Name, b.VM.Name) })
 	return out
 }
 
-func (m *member) candidate() route.Candidate {
+func (m *member) candidate() picker.Candidate {
 	s := m.client.Status()
-	c := route.Candidate{VM: m.vm, Availability: m.standing(s), InFlight: m.inFlight, ServedVersion: s.Beat.Serving}
+	c := picker.Candidate{VM: m.vm, Availability: m.standing(s), InFlight: m.inFlight, ServedVersion: s.Beat.Serving}
 	if s.Beat.Load.Known {
 		c.Report = loadReportOf(s)
 	}
@@ -269,16 +269,16 @@
 
 // standing combines what the VM list, the side's heartbeat and the state of the session
 // say. The first that excludes the target determines the result.
-func (m *member) standing(s sessn.Status) route.Availability {
+func (m *member) standing(s sessn.Status) picker.Availability {
 	switch {
 	case m.vm.State == fleet.StateLeaving || s.Beat.Leaving:
-		return route.AvailabilityLeaving
+		return picker.AvailabilityLeaving
 	case !s.Connected:
-		return route.AvailabilitySilent
+		return picker.AvailabilitySilent
 	case !s.Beat.Ready:
-		return route.AvailabilityUnserved
+		return picker.AvailabilityUnserved
 	}
-	return route.AvailabilityReady
+	return picker.AvailabilityReady
 }
 
 func (p *pool) targets() []TargetStatus {
--- a/io/request/front/request.go
+++ b/io/request/front/request.go
@@ -13,13 +13,13 @@
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/request/gate"
 )
 
 // request is a caller's request, with what is needed to run it at a target.
 type request struct {
-	routing route.Request
+	routing picker.Request
 	kind    envdoc.ServiceKind
 	method  string
 	path    string
@@ -56,11 +56,11 @@
 // headers.
 func (f *Front) newRequest(r *http.Request, s envdoc.Service) (*request, error) {
 	rq := &request{kind: s.Kind, method: r.Method, header: forwardedHeader(r.Header), timeout: s.Timeout}
-	rq.routing = route.Request{
+	rq.routing = picker.Request{
 		ID:       uuid.NewString(),
 		Customer: valueOr(r.Header.Get(headerCustomer), anonymousCustomer),
 		Service:  s.Name,
-		Priority: route.PriorityInteractive,
+		Priority: picker.PriorityInteractive,
 	}
 	if len(rq.routing.Customer) > maxNameLength {
 		return nil, errors.Newf("%s is over %d characters", headerCustomer, maxNameLength)
@@ -76,14 +76,14 @@
 }
 
 func (rq *request) parsePriority(s string) error {
-	switch p := route.Priority(s); p {
+	switch p := picker.Priority(s); p {
 	case "":
 		return nil
-	case route.PriorityInteractive, route.PriorityBatch:
+	case picker.PriorityInteractive, picker.PriorityBatch:
 		rq.routing.Priority = p
 		return nil
 	}
-	return errors.Newf("%s %q: want %s or %s", headerPriority, s, route.PriorityInteractive, route.PriorityBatch)
+	return errors.Newf("%s %q: want %s or %s", headerPriority, s, picker.PriorityInteractive, picker.PriorityBatch)
 }
 
 // parseDeadline reads the caller's deadline. The service's timeout is the upper limit.
--- a/io/request/front/retry_test.go
+++ b/io/request/front/retry_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"hawthornferry/core/process/fleet"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 )
 
 // An engine that is switching versions answers 503, and one with a full queue answers
@@ -39,7 +39,7 @@
 	var calls atomic.Int64
 	fl.addSide("h1", "helper", engineStub("", func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	e := fl.addEntry("e1")
-	fl.waitStanding(e, "h1", route.AvailabilityUnserved)
+	fl.waitStanding(e, "h1", picker.AvailabilityUnserved)
 	r := fl.call(e, http.MethodPost, chatURL, streamBody, nil)
 	check(t, "status", http.StatusServiceUnavailable, r.Status)
 	check(t, "outcome", "notRun", r.Header.Get(headerOutcome))
--- a/io/request/front/ticket.go
+++ b/io/request/front/ticket.go
@@ -11,7 +11,7 @@
 
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/request/calls"
-	"hawthornferry/core/request/route"
+	"hawthornferry/core/request/picker"
 	"hawthornferry/io/conn/sessn"
 )
 
@@ -105,7 +105,7 @@
 		return
 	}
 	rq := &request{binding: calls.BindTicket, ticket: &t, timeout: f.Limits.QueryTimeout}
-	rq.routing = route.Request{ID: uuid.NewString(), Service: t.Service}
+	rq.routing = picker.Request{ID: uuid.NewString(), Service: t.Service}
 	ctx, cancel := context.WithTimeout(r.Context(), f.Limits.QueryTimeout)
 	defer cancel()
 	writeJSON(w, http.StatusOK, f.ticketStatus(ctx, rq))
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -17,7 +17,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/uber-go/tally/v4"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/trail"
@@ -218,8 +218,8 @@
 	g.changed = make(chan struct{})
 }
 
-func (g *Gate) clockReadingLocked() lease.ClockReading {
-	return lease.ClockReading{Boot: g.Self.Boot, At: g.now()}
+func (g *Gate) clockReadingLocked() fresh.ClockReading {
+	return fresh.ClockReading{Boot: g.Self.Boot, At: g.now()}
 }
 
 // now returns the time since the gate's boot. It is the clock that readings refer to.
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"hawthornferry/core/conn/lease"
+	"hawthornferry/core/conn/fresh"
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/request/calls"
 	"hawthornferry/io/conn/sessn"
@@ -54,10 +54,10 @@
 func (g *Gate) admitRepeatable(m *sessn.Start) calls.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch lease.CheckFreshness(g.clockReadingLocked(), m.Echo, g.Limits.MaxReadingAge) {
-	case lease.Stale:
+	switch fresh.CheckFreshness(g.clockReadingLocked(), m.Echo, g.Limits.MaxReadingAge) {
+	case fresh.Stale:
 		return calls.ReasonStaleReading
-	case lease.OtherBoot:
+	case fresh.OtherBoot:
 		return calls.ReasonOtherBoot
 	}
 	if reason := g.refusalReasonLocked(m.Version); reason != "" {
--- a/io/request/gate/request.go
+++ b/io/request/gate/request.go
@@ -7,7 +7,7 @@
 	"net/textproto"
 	"strings"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/io/conn/sessn"
 )
 
@@ -19,7 +19,7 @@
 	url := "http://" + g.Target.String() + s.Start.Path
 	req, err := http.NewRequestWithContext(ctx, s.Start.Method, url, bytes.NewReader(s.Body))
 	if err != nil {
-		return nil, fault.Wrap("build request", g.Target.String(), err)
+		return nil, operr.Wrap("build request", g.Target.String(), err)
 	}
 	req.Header = s.Start.Header.Clone()
 	if req.Header == nil {
--- a/io/request/gate/target.go
+++ b/io/request/gate/target.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"hawthornferry/core/process/envdoc"
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/request/calls"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/sessn"
@@ -110,16 +110,16 @@
 	url := "http://" + g.Target.String() + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return out, fault.Wrap("ask "+path, g.Target.String(), err)
+		return out, operr.Wrap("ask "+path, g.Target.String(), err)
 	}
 	res, err := g.pooledTransport.RoundTrip(req)
 	if err != nil {
-		return out, fault.Wrap("ask "+path, g.Target.String(), err)
+		return out, operr.Wrap("ask "+path, g.Target.String(), err)
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return out, fault.Errorf("ask "+path, g.Target.String(), "status %d", res.StatusCode)
+		return out, operr.Errorf("ask "+path, g.Target.String(), "status %d", res.StatusCode)
 	}
 	err = json.NewDecoder(io.LimitReader(res.Body, maxStateBytes)).Decode(&out)
-	return out, fault.Wrap("read "+path, g.Target.String(), err)
+	return out, operr.Wrap("read "+path, g.Target.String(), err)
 }
--- a/io/version/order/engine.go
+++ b/io/version/order/engine.go
@@ -16,7 +16,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/core/version/roll"
 )
@@ -59,11 +59,11 @@
 func (e *Engine) State(ctx context.Context) (roll.Target, error) {
 	body, err := e.call(ctx, http.MethodGet, "/v1/state", nil, http.StatusOK)
 	if err != nil {
-		return roll.Target{}, fault.Wrap("read engine state", e.Address.String(), err)
+		return roll.Target{}, operr.Wrap("read engine state", e.Address.String(), err)
 	}
 	var s engineState
 	if err := json.Unmarshal(body, &s); err != nil {
-		return roll.Target{}, fault.Wrap("decode engine state", e.Address.String(), err)
+		return roll.Target{}, operr.Wrap("decode engine state", e.Address.String(), err)
 	}
 	return roll.Target{Boot: s.Boot, Serving: s.Manifest, Loading: s.Loading, LastOrder: s.LastOrder}, nil
 }
@@ -74,10 +74,10 @@
 func (e *Engine) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
 	b, err := json.Marshal(loadOrder{Number: number, Action: actionLoad, Manifest: digest, Body: m})
 	if err != nil {
-		return fault.Wrap("encode order", e.Address.String(), err)
+		return operr.Wrap("encode order", e.Address.String(), err)
 	}
 	_, err = e.call(ctx, http.MethodPost, "/v1/orders", b, http.StatusAccepted)
-	return fault.Wrap("order load", e.Address.String(), err)
+	return operr.Wrap("order load", e.Address.String(), err)
 }
 
 // call sends one request to the engine and returns the body of a response with status
--- a/io/version/shelf/load.go
+++ b/io/version/shelf/load.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/process/awake"
@@ -39,7 +39,7 @@
 func (s *Shelf) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
 	e := s.versionByDigest(digest)
 	if e == nil {
-		return fault.Errorf("order load", "engine", "manifest %s is not known", digest)
+		return operr.Errorf("order load", "engine", "manifest %s is not known", digest)
 	}
 	if s.Loading != nil {
 		s.Loading(true)
@@ -154,7 +154,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fault.Wrap("await unanswered order", "engine", err)
+			return operr.Wrap("await unanswered order", "engine", err)
 		case <-s.Clock.After(enginePollInterval):
 		}
 	}
@@ -199,7 +199,7 @@
 	}
 	b, ok := s.cachedChunk(ref.Digest)
 	if !ok {
-		return 0, fault.Errorf("order load", "engine", "chunk %d is corrupt or missing at the engine and not in memory", num)
+		return 0, operr.Errorf("order load", "engine", "chunk %d is corrupt or missing at the engine and not in memory", num)
 	}
 	s.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: "stageAgain", Subject: string(ref.Digest), Choice: strconv.Itoa(num),
@@ -214,7 +214,7 @@
 		return 0, err
 	}
 	if !bytes.Equal(readBack, b) {
-		return 0, fault.Errorf("order load", "engine", "chunk %d differs when read back after staging", num)
+		return 0, operr.Errorf("order load", "engine", "chunk %d differs when read back after staging", num)
 	}
 	return verifiedAt, nil
 }
--- a/io/version/shelf/manifest.go
+++ b/io/version/shelf/manifest.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"hawthornferry/core/process/fault"
 	"hawthornferry/core/process/fleet"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/core/version/tree"
@@ -226,7 +226,7 @@
 		}
 		return m, nil
 	}
-	return chunk.Manifest{}, fault.Errorf("read manifest", sourceOrigin, "no two of %d answers agree", maxOriginReads)
+	return chunk.Manifest{}, operr.Errorf("read manifest", sourceOrigin, "no two of %d answers agree", maxOriginReads)
 }
 
 // versionKey identifies a version of a model in the decision log and in the tree.
@@ -358,7 +358,7 @@
 	}
 	e, ok := m.(*manifestReply)
 	if !ok || !e.Known {
-		return chunk.Manifest{}, fault.Wrap("ask for manifest", addr.String(), errPeerLacksManifest)
+		return chunk.Manifest{}, operr.Wrap("ask for manifest", addr.String(), errPeerLacksManifest)
 	}
 	return e.Manifest, nil
 }
--- a/io/version/shelf/staging.go
+++ b/io/version/shelf/staging.go
@@ -4,7 +4,7 @@
 	"context"
 	"strconv"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/version/chunk"
 )
@@ -39,7 +39,7 @@
 func (s *Shelf) Put(ctx context.Context, d chunk.Digest, b []byte) error {
 	positions := s.positionsOf(d)
 	if len(positions) == 0 {
-		return fault.Wrap("stage chunk", "engine", errUnknownChunk)
+		return operr.Wrap("stage chunk", "engine", errUnknownChunk)
 	}
 	s.cacheChunk(d, b)
 	if !s.stagingMu.TryLock() {
@@ -145,14 +145,14 @@
 	}
 	positions := s.positionsOf(d)
 	if len(positions) == 0 {
-		return nil, fault.Wrap("read chunk", "engine", errUnknownChunk)
+		return nil, operr.Wrap("read chunk", "engine", errUnknownChunk)
 	}
 	b, err := s.Engine.Get(ctx, positions[0].model, positions[0].num)
 	if err != nil {
 		return nil, err
 	}
 	if got := chunk.DigestOf(b); got != d {
-		return nil, fault.Errorf("read chunk", "engine", "digest %s, want %s", got, d)
+		return nil, operr.Errorf("read chunk", "engine", "digest %s, want %s", got, d)
 	}
 	s.recordSeen(positions[0].num, d)
 	s.cacheChunk(d, b)
--- a/io/version/shelf/versions.go
+++ b/io/version/shelf/versions.go
@@ -19,7 +19,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/jonboulle/clockwork"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/version/chunk"
 )
@@ -176,27 +176,27 @@
 			return e.Manifest, e.encoded, nil
 		}
 	}
-	return chunk.Manifest{}, nil, fault.Errorf("find manifest", "", "manifest %s has not been read", d)
+	return chunk.Manifest{}, nil, operr.Errorf("find manifest", "", "manifest %s has not been read", d)
 }
 
 // Chunk reads a chunk from the origin and verifies its digest.
 func (s *Shelf) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
 	positions := s.positionsOf(ref.Digest)
 	if len(positions) == 0 {
-		return nil, fault.Wrap("read chunk", "origin", errUnknownChunk)
+		return nil, operr.Wrap("read chunk", "origin", errUnknownChunk)
 	}
 	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
 	p := positions[0]
 	b, err := s.Origin.Piece(ctx, p.model, p.version, p.num, ref.Size, progress)
 	if err != nil {
-		return nil, fault.Wrap("read chunk", "origin", err)
+		return nil, operr.Wrap("read chunk", "origin", err)
 	}
 	if got := chunk.DigestOf(b); got != ref.Digest {
 		s.mu.Lock()
 		s.corruptChunks++
 		s.mu.Unlock()
-		return nil, fault.Errorf("verify chunk", "origin", "digest %s, want %s", got, ref.Digest)
+		return nil, operr.Errorf("verify chunk", "origin", "digest %s, want %s", got, ref.Digest)
 	}
 	return b, nil
 }
--- a/io/version/stage/client.go
+++ b/io/version/stage/client.go
@@ -15,7 +15,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
 )
 
@@ -45,11 +45,11 @@
 	}
 	var l stagingList
 	if err := json.Unmarshal(b, &l); err != nil {
-		return nil, fault.Wrap("list staging", c.Engine.String(), err)
+		return nil, operr.Wrap("list staging", c.Engine.String(), err)
 	}
 	for _, d := range l.Chunks {
 		if err := d.Check(); err != nil {
-			return nil, fault.Wrap("list staging", c.Engine.String(), err)
+			return nil, operr.Wrap("list staging", c.Engine.String(), err)
 		}
 	}
 	return l.Chunks, nil
@@ -81,22 +81,22 @@
 	url := "http://" + c.Engine.String() + path
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, fault.Wrap(op, c.Engine.String(), err)
+		return nil, operr.Wrap(op, c.Engine.String(), err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return nil, fault.Wrap(op, c.Engine.String(), err)
+		return nil, operr.Wrap(op, c.Engine.String(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != want {
-		return nil, fault.Errorf(op, c.Engine.String(), "status %d, want %d", resp.StatusCode, want)
+		return nil, operr.Errorf(op, c.Engine.String(), "status %d, want %d", resp.StatusCode, want)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err != nil {
-		return nil, fault.Wrap(op, c.Engine.String(), err)
+		return nil, operr.Wrap(op, c.Engine.String(), err)
 	}
 	if int64(len(b)) > maxBytes {
-		return nil, fault.Wrap(op, c.Engine.String(), errors.Newf("answer is longer than %d bytes", maxBytes))
+		return nil, operr.Wrap(op, c.Engine.String(), errors.Newf("answer is longer than %d bytes", maxBytes))
 	}
 	return b, nil
 }
--- a/io/version/swarm/actions.go
+++ b/io/version/swarm/actions.go
@@ -2,38 +2,38 @@
 
 import (
 	"hawthornferry/core/process/trail"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 )
 
 // perform carries out one action of the distribution. The caller holds n.mu.
-func (n *Node) perform(s *state, a burst.Action) {
+func (n *Node) perform(s *state, a spread.Action) {
 	switch a := a.(type) {
-	case burst.Fetch:
+	case spread.Fetch:
 		n.logDecision("fetch", a.Chunk.Digest, peerOrOrigin(a.Peer), string(a.Via), a.Reason)
 		n.startTransfer(s, a)
-	case burst.StopTransfer:
+	case spread.StopTransfer:
 		n.stopTransfer(s, a)
-	case burst.DiscardChunk:
+	case spread.DiscardChunk:
 		n.logDecision("discard", a.Chunk, "", "", "no longer wanted")
 		n.discardChunk(s, a.Chunk)
-	case burst.Connect:
+	case spread.Connect:
 		n.dial(s, a.Peer)
-	case burst.Disconnect:
+	case spread.Disconnect:
 		n.withConn(s, a.Peer, func(c *conn) { c.Close() })
-	case burst.SendChunkSets:
+	case spread.SendChunkSets:
 		n.withConn(s, a.Peer, func(c *conn) {
 			c.queueControl(&chunkSets{Manifest: a.Manifest, Have: a.Have, HeldInRegion: a.HeldInRegion})
 		})
-	case burst.Announce:
+	case spread.Announce:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueUpdate(a) })
-	case burst.ReportDown:
+	case spread.ReportDown:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&downSides{Sides: a.Sides[:min(len(a.Sides), maxDownSides)]}) })
-	case burst.Offer:
+	case spread.Offer:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&offer{}) })
-	case burst.RefuseOffer:
+	case spread.RefuseOffer:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&refuseOffer{}) })
-	case burst.AcceptOffers:
+	case spread.AcceptOffers:
 		n.withConn(s, a.Peer, func(c *conn) { c.queueControl(&acceptOffers{}) })
 	}
 }
@@ -47,14 +47,14 @@
 }
 
 // stopTransfer cancels the transfer of a chunk. The caller holds n.mu.
-func (n *Node) stopTransfer(s *state, a burst.StopTransfer) {
+func (n *Node) stopTransfer(s *state, a spread.StopTransfer) {
 	in, ok := s.incoming[a.Chunk]
 	if !ok {
 		return
 	}
 	n.logDecision("stop", a.Chunk, peerOrOrigin(a.Peer), "", a.Reason)
-	if a.Reason == string(burst.FailStalled) {
-		n.counters.failure(burst.FailStalled)
+	if a.Reason == string(spread.FailStalled) {
+		n.counters.failure(spread.FailStalled)
 		n.logWarning("transfer chunk", peerOrOrigin(a.Peer), "stalled", a.Chunk)
 	}
 	delete(s.incoming, a.Chunk)
--- a/io/version/swarm/conn.go
+++ b/io/version/swarm/conn.go
@@ -7,9 +7,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
-	"hawthornferry/core/version/burst"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
 )
@@ -68,7 +68,7 @@
 // queueUpdate queues an announcement, merged with a queued one of the same
 // manifest. The connection is closed if the result is too large for one
 // message.
-func (c *conn) queueUpdate(a burst.Announce) {
+func (c *conn) queueUpdate(a spread.Announce) {
 	c.mu.Lock()
 	n, ok := c.updates[a.Manifest]
 	if !ok {
@@ -145,7 +145,7 @@
 // writeMessages writes messages with a common deadline.
 func (n *Node) writeMessages(c *conn, msgs []frame.Message) error {
 	if err := c.SetWriteDeadline(n.Clock.Now().Add(writeTimeout)); err != nil {
-		return fault.Wrap("send", c.peerName(), err)
+		return operr.Wrap("send", c.peerName(), err)
 	}
 	for _, m := range msgs {
 		if err := c.Send(m); err != nil {
@@ -167,7 +167,7 @@
 func (n *Node) readLoop(c *conn) error {
 	for {
 		if err := c.SetReadDeadline(n.Clock.Now().Add(readTimeout)); err != nil {
-			return fault.Wrap("receive", c.peerName(), err)
+			return operr.Wrap("receive", c.peerName(), err)
 		}
 		m, err := c.Receive()
 		if err != nil {
@@ -215,7 +215,7 @@
 		n.addManifestPart(c, m)
 	case *ping:
 	default:
-		return fault.Wrap("receive", c.peerName(), errors.Newf("unexpected message %s", m.Kind()))
+		return operr.Wrap("receive", c.peerName(), errors.Newf("unexpected message %s", m.Kind()))
 	}
 	return nil
 }
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -6,9 +6,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
-	"hawthornferry/core/version/burst"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/version/pace"
 )
 
@@ -31,7 +31,7 @@
 // incoming is the transfer of one chunk to this side.
 type incoming struct {
 	id     transferID
-	fetch  burst.Fetch
+	fetch  spread.Fetch
 	cancel context.CancelCauseFunc
 	blocks chan *block
 	// deferred signals that the peer wants the chunk too but does not hold it
@@ -48,7 +48,7 @@
 
 // startTransfer starts the transfer of a chunk in the background. The caller
 // holds n.mu.
-func (n *Node) startTransfer(s *state, f burst.Fetch) {
+func (n *Node) startTransfer(s *state, f spread.Fetch) {
 	ctx, cancel := context.WithCancelCause(n.ctx)
 	s.transfersStarted++
 	id := transferID{Chunk: f.Chunk.Digest, Number: s.transfersStarted}
@@ -64,7 +64,7 @@
 func (n *Node) runTransfer(ctx context.Context, in *incoming) {
 	b, err := n.download(ctx, in)
 	if err == nil {
-		err = fault.Wrap("stage chunk", "engine", n.Staging.Put(ctx, in.fetch.Chunk.Digest, b))
+		err = operr.Wrap("stage chunk", "engine", n.Staging.Put(ctx, in.fetch.Chunk.Digest, b))
 	}
 	if cause := context.Cause(ctx); err != nil && cause != nil {
 		err = cause
@@ -74,7 +74,7 @@
 
 // download returns a verified chunk from the origin or a peer.
 func (n *Node) download(ctx context.Context, in *incoming) ([]byte, error) {
-	if in.fetch.Via == burst.ViaOrigin {
+	if in.fetch.Via == spread.ViaOrigin {
 		return n.downloadFromOrigin(ctx, in)
 	}
 	c, err := n.connectTo(ctx, in.fetch.Peer)
@@ -88,7 +88,7 @@
 	}
 	if digest := chunk.DigestOf(b); digest != in.fetch.Chunk.Digest {
 		err := errors.Wrapf(errCorrupt, "digest %s, want %s", digest, in.fetch.Chunk.Digest)
-		return nil, fault.Wrap("verify chunk", in.fetch.Peer, err)
+		return nil, operr.Wrap("verify chunk", in.fetch.Peer, err)
 	}
 	return b, nil
 }
@@ -153,7 +153,7 @@
 		case b := <-in.blocks:
 			if b.Offset != received || b.Offset+int64(len(b.Data)) > requested {
 				err := errors.Wrapf(errCorrupt, "block at %d of %d bytes, want offset %d up to %d", b.Offset, len(b.Data), received, requested)
-				return nil, fault.Wrap("receive chunk", c.peerName(), err)
+				return nil, operr.Wrap("receive chunk", c.peerName(), err)
 			}
 			received += int64(copy(buf[received:], b.Data))
 			out.releaseOldest(int64(len(b.Data)))
@@ -167,10 +167,10 @@
 // requestSize returns the size of the blocks to request: as much as the link
 // carries in a few milliseconds, since a live call may have to wait for one
 // block of each transfer on that link.
-func (n *Node) requestSize(v burst.Via) int64 {
+func (n *Node) requestSize(v spread.Via) int64 {
 	rate := float64(n.pacer.Down.Rate)
 	maxTime := n.BlockTime
-	if v == burst.ViaImport {
+	if v == spread.ViaImport {
 		rate = n.pacer.RegionAvailable(n.sidesInRegion())
 		maxTime = regionBlockTime
 	}
@@ -202,7 +202,7 @@
 
 // waitForLinks waits until both the import's share of the region link and the
 // machine's own link allow k more bytes.
-func (n *Node) waitForLinks(ctx context.Context, importLimiter *pace.Limiter, v burst.Via, k int) error {
+func (n *Node) waitForLinks(ctx context.Context, importLimiter *pace.Limiter, v spread.Via, k int) error {
 	if err := importLimiter.Wait(ctx, k); err != nil {
 		return err
 	}
@@ -211,8 +211,8 @@
 
 // waitForDownlink waits until the machine's own link allows k more bytes.
 // Imports take precedence because the other sides of the region wait for them.
-func (n *Node) waitForDownlink(ctx context.Context, v burst.Via, k int) error {
-	if v == burst.ViaImport {
+func (n *Node) waitForDownlink(ctx context.Context, v spread.Via, k int) error {
+	if v == spread.ViaImport {
 		return n.pacer.Down.WaitPriority(ctx, k)
 	}
 	return n.pacer.Down.Wait(ctx, k)
--- a/io/version/swarm/faulty_peer_test.go
+++ b/io/version/swarm/faulty_peer_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"hawthornferry/core/process/fleet"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
 )
@@ -27,7 +27,7 @@
 // serve announces all chunks and then offers and answers until the connection
 // fails.
 func (l *faultyPeer) serve(c *link.Conn, nc net.Conn) {
-	all := burst.NewBits(l.chunks)
+	all := spread.NewBits(l.chunks)
 	for i := range l.chunks {
 		all.Set(i)
 	}
--- a/io/version/swarm/fuzz_test.go
+++ b/io/version/swarm/fuzz_test.go
@@ -4,8 +4,8 @@
 	"bytes"
 	"testing"
 
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/frame"
 )
 
@@ -15,7 +15,7 @@
 	d := chunk.DigestOf([]byte("a"))
 	id := transferID{Chunk: d, Number: 3}
 	seeds := []frame.Message{
-		&chunkSets{Manifest: d, Have: burst.Bits{1}, HeldInRegion: burst.Bits{3}},
+		&chunkSets{Manifest: d, Have: spread.Bits{1}, HeldInRegion: spread.Bits{3}},
 		&chunkUpdate{Manifest: d, Have: []int{1}, HeldInRegion: []int{2, 3}},
 		&offer{},
 		&blockRequest{transferID: id, Offset: 4, Length: 8},
--- a/io/version/swarm/incoming.go
+++ b/io/version/swarm/incoming.go
@@ -5,8 +5,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
-	"hawthornferry/core/version/burst"
+	"hawthornferry/core/process/operr"
+	"hawthornferry/core/version/spread"
 )
 
 // handleBlock passes a received block to its transfer. A block of no current
@@ -21,7 +21,7 @@
 	case in.blocks <- b:
 	default:
 		err := errors.Wrapf(errCorrupt, "more blocks of %s than requested", b.Chunk)
-		in.cancel(fault.Wrap("receive chunk", c.peerName(), err))
+		in.cancel(operr.Wrap("receive chunk", c.peerName(), err))
 	}
 }
 
@@ -62,7 +62,7 @@
 // handleRefusal ends a transfer whose request the peer refused.
 func (n *Node) handleRefusal(c *conn, id transferID) {
 	if in := n.transferOf(c, id); in != nil {
-		in.cancel(fault.Wrap("ask for chunk", c.peerName(), errNotHeld))
+		in.cancel(operr.Wrap("ask for chunk", c.peerName(), errNotHeld))
 	}
 }
 
@@ -99,16 +99,16 @@
 
 // classifyFailure maps an error to a failure of the distribution and the delay
 // that the server asked for, zero if none.
-func classifyFailure(err error) (burst.Failure, time.Duration) {
+func classifyFailure(err error) (spread.Failure, time.Duration) {
 	var status *statusError
 	switch {
 	case errors.As(err, &status):
-		return burst.FailRefused, status.RetryAfter
+		return spread.FailRefused, status.RetryAfter
 	case errors.Is(err, errCorrupt):
-		return burst.FailCorrupt, 0
+		return spread.FailCorrupt, 0
 	case errors.Is(err, errNotHeld):
-		return burst.FailNotHeld, 0
+		return spread.FailNotHeld, 0
 	default:
-		return burst.FailDisconnected, 0
+		return spread.FailDisconnected, 0
 	}
 }
--- a/io/version/swarm/manifest.go
+++ b/io/version/swarm/manifest.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/rank"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/frame"
@@ -137,10 +137,10 @@
 	select {
 	case <-pending.done:
 	case <-ctx.Done():
-		return chunk.Manifest{}, nil, fault.Wrap("ask for manifest", peer, ctx.Err())
+		return chunk.Manifest{}, nil, operr.Wrap("ask for manifest", peer, ctx.Err())
 	}
 	m, err := chunk.Decode(pending.data, d)
-	return m, pending.data, fault.Wrap("check manifest", peer, err)
+	return m, pending.data, operr.Wrap("check manifest", peer, err)
 }
 
 // setPendingManifest records a manifest request; nil removes it.
--- a/io/version/swarm/messages.go
+++ b/io/version/swarm/messages.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/frame"
 )
 
@@ -21,8 +21,8 @@
 // sent when a connection starts to exchange chunks of the manifest.
 type chunkSets struct {
 	Manifest     chunk.Digest `msgpack:"manifest"`
-	Have         burst.Bits   `msgpack:"have"`
-	HeldInRegion burst.Bits   `msgpack:"seen"`
+	Have         spread.Bits  `msgpack:"have"`
+	HeldInRegion spread.Bits  `msgpack:"seen"`
 }
 
 // chunkUpdate announces changes to the sets of chunkSets.
--- a/io/version/swarm/node.go
+++ b/io/version/swarm/node.go
@@ -21,8 +21,8 @@
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/process/view"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/version/pace"
 )
@@ -107,7 +107,7 @@
 	OriginRegion string
 	LinkRates    pace.Config
 	Pacer        *pace.Pacer
-	Burst        burst.Config
+	Burst        spread.Config
 	BlockSize    int64
 	// BlockTime is the longest time that one block may occupy the machine's
 	// link. A live call may have to wait for one block of each transfer.
@@ -132,9 +132,9 @@
 
 // state holds the fields of Node that mu guards.
 type state struct {
-	distribution      *burst.State
+	distribution      *spread.State
 	now               time.Time
-	pendingActions    []burst.Action
+	pendingActions    []spread.Action
 	view              view.View
 	wanted            []Wanted
 	manifests         map[chunk.Digest]*manifestEntry
@@ -151,7 +151,7 @@
 }
 
 // addActions queues actions for withState to perform.
-func (s *state) addActions(a []burst.Action) { s.pendingActions = append(s.pendingActions, a...) }
+func (s *state) addActions(a []spread.Action) { s.pendingActions = append(s.pendingActions, a...) }
 
 // init sets defaults and creates the unexported fields on the first call.
 func (n *Node) init() {
@@ -179,10 +179,10 @@
 		n.counters = newCounters(n.Metrics)
 		n.changed = make(chan struct{})
 		cfg := n.Burst
-		cfg.Self = burst.Member{Name: n.Self.VM.Name, Region: n.Self.VM.Region}
+		cfg.Self = spread.Member{Name: n.Self.VM.Name, Region: n.Self.VM.Region}
 		cfg.OriginRegion = n.OriginRegion
 		n.state = state{
-			distribution:     burst.New(cfg),
+			distribution:     spread.New(cfg),
 			manifests:        map[chunk.Digest]*manifestEntry{},
 			conns:            map[string]*conn{},
 			dialing:          map[string]chan struct{}{},
--- a/io/version/swarm/peers.go
+++ b/io/version/swarm/peers.go
@@ -8,8 +8,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
-	"hawthornferry/core/version/burst"
+	"hawthornferry/core/process/operr"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 )
 
@@ -54,7 +54,7 @@
 	lc, err := link.Dial(ctx, n.Self, addr, link.PurposeWeights, messageKinds())
 	if err == nil && lc.Peer.VM.Name != name {
 		lc.Close()
-		err = fault.Errorf("dial", addr.String(), "answered as %s, want %s", lc.Peer.VM.Name, name)
+		err = operr.Errorf("dial", addr.String(), "answered as %s, want %s", lc.Peer.VM.Name, name)
 	}
 	if err != nil {
 		n.withState(func(s *state) {
@@ -137,7 +137,7 @@
 			s.endManifestRequests(c.peerName())
 			s.addActions(s.distribution.PeerDisconnected(s.now, c.peerName()))
 		}
-		s.addActions(s.distribution.PeerConnected(s.now, burst.Member{Name: c.peerName(), Region: c.Peer.VM.Region}))
+		s.addActions(s.distribution.PeerConnected(s.now, spread.Member{Name: c.peerName(), Region: c.Peer.VM.Region}))
 	})
 	if registered && old != nil {
 		old.Close()
@@ -192,7 +192,7 @@
 	defer n.mu.Unlock()
 	c, ok := n.state.conns[name]
 	if !ok {
-		return nil, fault.Errorf("connect", name, "no connection")
+		return nil, operr.Errorf("connect", name, "no connection")
 	}
 	return c, nil
 }
--- a/io/version/swarm/reconnect_test.go
+++ b/io/version/swarm/reconnect_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"hawthornferry/core/process/fleet"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 )
 
@@ -35,7 +35,7 @@
 	ref := chunk.Ref{Digest: chunk.DigestOf([]byte("chunk")), Size: 5}
 	var in *incoming
 	n.withState(func(s *state) {
-		n.startTransfer(s, burst.Fetch{Chunk: ref, Via: burst.ViaTrade, Peer: peer.Name})
+		n.startTransfer(s, spread.Fetch{Chunk: ref, Via: spread.ViaTrade, Peer: peer.Name})
 		in = s.incoming[ref.Digest]
 	})
 	second := connect("second")
--- a/io/version/swarm/report.go
+++ b/io/version/swarm/report.go
@@ -10,8 +10,8 @@
 	"github.com/uber-go/tally/v4"
 
 	"hawthornferry/core/process/trail"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 )
 
 // headerTimeout limits the wait for the response headers of the store and the
@@ -57,13 +57,13 @@
 }
 
 // failure counts a failed transfer.
-func (c counters) failure(why burst.Failure) {
+func (c counters) failure(why spread.Failure) {
 	c.scope.Tagged(map[string]string{"why": string(why)}).Counter("failures_total").Inc(1)
 }
 
 // countReceived counts k bytes received from a peer.
-func (n *Node) countReceived(v burst.Via, k int64) {
-	if v == burst.ViaImport {
+func (n *Node) countReceived(v spread.Via, k int64) {
+	if v == spread.ViaImport {
 		n.counters.imported.Inc(k)
 		return
 	}
--- a/io/version/swarm/restart_test.go
+++ b/io/version/swarm/restart_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"hawthornferry/core/process/fleet"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 )
 
@@ -57,7 +57,7 @@
 	peer := newConn(&link.Conn{Peer: link.Hello{VM: fleet.VM{Name: "peer", Region: "r2"}}})
 	id := transferID{Chunk: ref.Digest, Number: 2}
 	in := &incoming{
-		id: id, fetch: burst.Fetch{Chunk: ref, Via: burst.ViaImport, Peer: "peer"},
+		id: id, fetch: spread.Fetch{Chunk: ref, Via: spread.ViaImport, Peer: "peer"},
 		cancel: func(err error) { t.Errorf("transfer ended: %v", err) },
 		blocks: make(chan *block, 2), deferred: make(chan struct{}, 1),
 	}
--- a/io/version/swarm/source.go
+++ b/io/version/swarm/source.go
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/version/pace"
 )
@@ -50,18 +50,18 @@
 	peer := s.store.String()
 	resp, err := s.get(ctx, s.store, "/v1/manifests/"+string(d))
 	if err != nil {
-		return chunk.Manifest{}, nil, fault.Wrap("read manifest", peer, err)
+		return chunk.Manifest{}, nil, operr.Wrap("read manifest", peer, err)
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxManifest+1))
 	if err != nil {
-		return chunk.Manifest{}, nil, fault.Wrap("read manifest", peer, err)
+		return chunk.Manifest{}, nil, operr.Wrap("read manifest", peer, err)
 	}
 	if len(b) > maxManifest {
-		return chunk.Manifest{}, nil, fault.Errorf("read manifest", peer, "longer than %d bytes", maxManifest)
+		return chunk.Manifest{}, nil, operr.Errorf("read manifest", peer, "longer than %d bytes", maxManifest)
 	}
 	m, err := chunk.Decode(b, d)
-	return m, b, fault.Wrap("check manifest", peer, err)
+	return m, b, operr.Wrap("check manifest", peer, err)
 }
 
 // Chunk reads one chunk from the origin at the rate that the links allow and
@@ -71,27 +71,27 @@
 	peer := s.origin.String()
 	resp, err := s.get(ctx, s.origin, "/v1/chunks/"+string(ref.Digest))
 	if err != nil {
-		return nil, fault.Wrap("draw chunk", peer, err)
+		return nil, operr.Wrap("draw chunk", peer, err)
 	}
 	defer resp.Body.Close()
 	b := make([]byte, ref.Size)
 	for off := 0; off < len(b); {
 		n := min(readSize, len(b)-off)
 		if err := s.waitForLinks(ctx, n); err != nil {
-			return nil, fault.Wrap("draw chunk", peer, err)
+			return nil, operr.Wrap("draw chunk", peer, err)
 		}
 		if _, err := io.ReadFull(resp.Body, b[off:off+n]); err != nil {
-			return nil, fault.Wrap("draw chunk", peer, errors.Wrapf(err, "after %d of %d bytes", off, len(b)))
+			return nil, operr.Wrap("draw chunk", peer, errors.Wrapf(err, "after %d of %d bytes", off, len(b)))
 		}
 		off += n
 		progress(n)
 	}
 	var one [1]byte
 	if n, _ := resp.Body.Read(one[:]); n > 0 {
-		return nil, fault.Errorf("draw chunk", peer, "chunk %s is longer than %d bytes", ref.Digest, ref.Size)
+		return nil, operr.Errorf("draw chunk", peer, "chunk %s is longer than %d bytes", ref.Digest, ref.Size)
 	}
 	if got := chunk.DigestOf(b); got != ref.Digest {
-		return nil, fault.Wrap("verify chunk", peer, errors.Wrapf(errCorrupt, "digest %s, want %s", got, ref.Digest))
+		return nil, operr.Wrap("verify chunk", peer, errors.Wrapf(errCorrupt, "digest %s, want %s", got, ref.Digest))
 	}
 	return b, nil
 }
--- a/io/version/swarm/swarm_test.go
+++ b/io/version/swarm/swarm_test.go
@@ -23,8 +23,8 @@
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/process/view"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
+	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/version/stage"
 )
@@ -194,7 +194,7 @@
 		Store:        c.p.addr(),
 		OriginRegion: "r1",
 		BlockSize:    4 << 10,
-		Burst:        burst.Config{MinTimeout: c.minTimeout},
+		Burst:        spread.Config{MinTimeout: c.minTimeout},
 	}
 	if c.configure != nil {
 		c.configure(n)
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -9,9 +9,9 @@
 	"hawthornferry/core/process/envdoc"
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/view"
-	"hawthornferry/core/version/burst"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/core/version/roll"
+	"hawthornferry/core/version/spread"
 )
 
 // Delays between attempts to read a manifest; they double from the first to
@@ -155,13 +155,13 @@
 // holds n.mu.
 func (n *Node) updateDistribution(s *state) {
 	n.removeUnwantedManifests(s)
-	var sets []burst.WantedVersion
+	var sets []spread.WantedVersion
 	for _, d := range s.manifestsByPriority() {
 		k := s.manifests[d]
 		if k == nil || !k.ready {
 			continue
 		}
-		sets = append(sets, burst.WantedVersion{
+		sets = append(sets, spread.WantedVersion{
 			ID:       d,
 			KeepOnly: !s.isWanted(d),
 			Manifest: k.manifest,
@@ -189,17 +189,17 @@
 // at a time.
 func (n *Node) importSlots() int {
 	if n.pacer.RegionIsBottleneck() {
-		return burst.DefaultImportSlots
+		return spread.DefaultImportSlots
 	}
-	return burst.FastLinkImportSlots
+	return spread.FastLinkImportSlots
 }
 
 // regionFanout returns to how many other regions one region passes a chunk on.
 func (n *Node) regionFanout() int {
 	if n.pacer.RegionIsBottleneck() {
-		return burst.DefaultFanout
+		return spread.DefaultFanout
 	}
-	return burst.FastLinkFanout
+	return spread.FastLinkFanout
 }
 
 // originRegion returns the origin's region from the document, or from
@@ -236,8 +236,8 @@
 // members returns the sides that must hold a version according to Members or
 // the environment document, this one first. Spare VMs of a service are left
 // out: they fetch nothing, and other sides would wait for them in vain.
-func (n *Node) members(s *state, d chunk.Digest) []burst.Member {
-	out := []burst.Member{{Name: n.Self.VM.Name, Region: n.Self.VM.Region}}
+func (n *Node) members(s *state, d chunk.Digest) []spread.Member {
+	out := []spread.Member{{Name: n.Self.VM.Name, Region: n.Self.VM.Region}}
 	if n.Members != nil {
 		return n.appendOthers(out, n.Members(d))
 	}
@@ -257,10 +257,10 @@
 }
 
 // appendOthers appends vms without this side.
-func (n *Node) appendOthers(out []burst.Member, vms []fleet.VM) []burst.Member {
+func (n *Node) appendOthers(out []spread.Member, vms []fleet.VM) []spread.Member {
 	for _, vm := range vms {
 		if vm.Name != n.Self.VM.Name {
-			out = append(out, burst.Member{Name: vm.Name, Region: vm.Region})
+			out = append(out, spread.Member{Name: vm.Name, Region: vm.Region})
 		}
 	}
 	return out
--- a/io/version/swarm/upload.go
+++ b/io/version/swarm/upload.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync"
 
-	"hawthornferry/core/process/fault"
+	"hawthornferry/core/process/operr"
 	"hawthornferry/core/version/chunk"
 )
 
@@ -50,7 +50,7 @@
 func (u *uploads) handleRequest(c *conn, req *blockRequest) {
 	ref, ok := u.node.wantedChunk(req.Chunk)
 	if !ok || req.Offset+req.Length > ref.Size {
-		u.node.logError("serve chunk", c.peerName(), fault.Errorf("serve chunk", c.peerName(), "request for chunk %s at offset %d: no wanted version has these bytes", req.Chunk, req.Offset))
+		u.node.logError("serve chunk", c.peerName(), operr.Errorf("serve chunk", c.peerName(), "request for chunk %s at offset %d: no wanted version has these bytes", req.Chunk, req.Offset))
 		u.refuse(c, req.transferID)
 		return
 	}
