--- a/core/conn/fresh/lease.go
+++ b/core/conn/fresh/lease.go
@@ -1,4 +1,4 @@
-// Package lease decides whether the last message from another process is recent
+// Package fresh decides whether the last message from another process is recent
 // enough to rely on. Entries and sides use it: for calls (core/request/calls,
 // io/request/gate) and for the connections that carry them (io/conn/sessn). Each
 // process reads only its own clock; the clocks of two processes are never compared.
@@ -10,9 +10,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ClockReading is a reading of a side's clock. The side sends one with each heartbeat, and
-// the entry includes the latest one that it has received in each call. Tickets contain
-// the reading at which they were issued.
+// ClockReading is a reading of a side's clock. The side sends one with each heartbeat,
+// and the entry includes the latest one that it has received in each call. Tickets
+// contain the reading at which they were issued.
 type ClockReading struct {
 	// Boot identifies one run of the side.
 	Boot string `msgpack:"boot"`
@@ -34,16 +34,17 @@
 // Freshness is how a reading in a call compares with the side's clock.
 type Freshness string
 
-// The results of Judge. OtherBoot is for a reading from another run of the side.
+// The results of CheckFreshness. OtherBoot is for a reading from another run of the
+// side.
 const (
 	Fresh     Freshness = "fresh"
 	Stale     Freshness = "stale"
 	OtherBoot Freshness = "otherBoot"
 )
 
-// CheckFreshness compares the reading echo of a call with now, the current reading of the
-// side that received the call. Only a call with a fresh reading may start. A reading
-// older than maxAge, or from the future, is stale.
+// CheckFreshness compares the reading echo of a call with now, the current reading of
+// the side that received the call. Only a call with a fresh reading may start. A
+// reading older than maxAge, or from the future, is stale.
 //
 // Without this check, a call that was delayed in an unresponsive connection or a
 // paused entry could start long after its caller was told to try elsewhere. Readings
@@ -68,7 +69,7 @@
 // connection must be replaced.
 type SilenceDetector struct {
 	// Timeout is the time without a message after which the connection counts as
-	// silent.
+	// timed out.
 	Timeout   time.Duration
 	lastHeard time.Time
 }
@@ -76,6 +77,7 @@
 // MessageReceived records that a message was received at now.
 func (s *SilenceDetector) MessageReceived(now time.Time) { s.lastHeard = now }
 
-// TimedOut reports whether nothing was received for longer than After. Call Heard when
-// the connection is opened; without it, every connection counts as silent.
+// TimedOut reports whether nothing was received for longer than Timeout. Call
+// MessageReceived when the connection is opened; without it, every connection counts
+// as timed out.
 func (s *SilenceDetector) TimedOut(now time.Time) bool { return now.Sub(s.lastHeard) > s.Timeout }
--- a/core/process/audit/audit.go
+++ b/core/process/audit/audit.go
@@ -18,9 +18,9 @@
 
 // Settings are the limits used by the checks.
 type Settings struct {
-	// LeavingGrace is how long a target may still get new work after the first process
-	// recorded that it is leaving. It must exceed the difference between the
-	// processes' clocks, since their records are compared by time. 0 means
+	// LeavingGrace is how long a target may still get new work after the first
+	// process recorded that it is leaving. It must exceed the difference between
+	// the processes' clocks, since their records are compared by time. 0 means
 	// DefaultLeavingGrace.
 	LeavingGrace time.Duration
 }
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("%s %s: %s", m.Record.Time.Format(time.RFC3339Nano), m.Record.Process, m.Detail)
 }
 
-// Result is the result of checking one guarantee. Checked is the number of cases
+// Result is the result of checking one guarantee. Cases is the number of cases
 // found in the records; if it is 0, the check says nothing.
 type Result struct {
 	Guarantee  Guarantee
--- a/core/process/audit/explain.go
+++ b/core/process/audit/explain.go
@@ -7,7 +7,7 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Line is one record of an explanation. Belief is set for a record of what a
+// Line is one record of an explanation. Background is set for a record of what a
 // process knew when it decided, as opposed to a decision on the request itself.
 type Line struct {
 	Decision   trail.Decision
--- a/core/process/audit/read.go
+++ b/core/process/audit/read.go
@@ -14,9 +14,9 @@
 // line.
 const maxLineBytes = 1 << 20
 
-// ParsedLog is the content of one log. Broken is the number of lines that could not be
-// parsed: a killed process can leave an incomplete line, and if it is restarted
-// with the same file, its first record is appended to that line.
+// ParsedLog is the content of one log. Malformed is the number of lines that
+// could not be parsed: a killed process can leave an incomplete line, and if it
+// is restarted with the same file, its first record is appended to that line.
 type ParsedLog struct {
 	Decisions []trail.Decision
 	Malformed int
--- a/core/process/audit/versions.go
+++ b/core/process/audit/versions.go
@@ -34,8 +34,8 @@
 	return r
 }
 
-// checkLeaving checks that no entry chooses a target later than set.LeavingGrace after
-// any process first recorded that it is leaving, unless a process has since
+// checkLeaving checks that no entry chooses a target later than set.LeavingGrace
+// after any process first recorded that it is leaving, unless a process has since
 // recorded it as live again.
 func checkLeaving(set Settings, records []trail.Decision) Result {
 	r := Result{Guarantee: GuaranteeLeaving}
--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -76,7 +76,7 @@
 }
 
 // Result is the result for one measure on one scale. Value is the value of the last
-// finished window, Usual the median of the windows before it, and Trend the average
+// finished window, Median the median of the windows before it, and Trend the average
 // of the newest quarter of the windows divided by that of the oldest quarter, so 1
 // means no change. Declined is set if Value or Trend is above the tracker's limit.
 type Result struct {
@@ -104,7 +104,7 @@
 	t.seriesFor(now, Name{KindSize, name}).add(now, float64(n))
 }
 
-// Results returns a line for each measure and scale with at least two finished
+// Results returns a result for each measure and scale with at least two finished
 // windows, sorted by kind, name and window length.
 func (t *Tracker) Results(now time.Time) []Result {
 	t.prepare()
--- a/core/process/envdoc/doc.go
+++ b/core/process/envdoc/doc.go
@@ -40,7 +40,7 @@
 // Goal is what a rollout optimizes for.
 type Goal string
 
-// The values of Weigh. GoalOriginBytes downloads as few bytes from the origin as
+// The goals. GoalOriginBytes downloads as few bytes from the origin as
 // possible. GoalTime minimizes the time until all replicas serve the new version,
 // and may download up to Origin.MaxCopies copies from the origin to that end.
 const (
@@ -49,15 +49,15 @@
 )
 
 // Origin is the server from which model weights are downloaded. Region is empty if
-// the origin is outside all of the document's regions. Copies is how many complete
-// copies of a new version may be downloaded from it during one rollout.
+// the origin is outside all of the document's regions. MaxCopies is how many
+// complete copies of a new version may be downloaded from it during one rollout.
 type Origin struct {
 	Region    string
 	MaxCopies int
 }
 
-// Region is a set of zones that share one link to other regions. Link is the rate
-// of that link in bytes per second in each direction.
+// Region is a set of zones that share one link to other regions. LinkRate is the
+// rate of that link in bytes per second in each direction.
 type Region struct {
 	Name     string
 	LinkRate int64
--- a/core/process/envdoc/plan.go
+++ b/core/process/envdoc/plan.go
@@ -16,8 +16,8 @@
 }
 
 // VersionChange is a change of the model or version that a service serves. From is
-// empty if the service is new or had no model. Bytes is nil if the manifest of the
-// new version is not known.
+// empty if the service is new or had no model. Transfer is nil if the manifest of
+// the new version is not known.
 type VersionChange struct {
 	Service  string         `json:"service"`
 	Model    string         `json:"model"`
@@ -28,12 +28,12 @@
 	Transfer *TransferBytes `json:"bytes,omitempty"`
 }
 
-// Bytes is the amount of data that the rollout of a new version transfers. Whole
-// is the size of the version, and New the size of its chunks that the previous
-// version does not have; if the manifest of the previous version is not known, all
-// chunks count. Origin and OriginMax are the minimum and the maximum downloaded
-// from the origin. Regions has the minimum that crosses the link of each region
-// with replicas, except the origin's region.
+// TransferBytes is the amount of data that the rollout of a new version transfers.
+// Total is the size of the version, and New the size of its chunks that the
+// previous version does not have; if the manifest of the previous version is not
+// known, all chunks count. Origin and OriginMax are the minimum and the maximum
+// downloaded from the origin. Regions has the minimum that crosses the link of each
+// region with replicas, except the origin's region.
 type TransferBytes struct {
 	Total     int64        `json:"whole"`
 	New       int64        `json:"new"`
--- a/core/process/explor/explor.go
+++ b/core/process/explor/explor.go
@@ -1,8 +1,8 @@
 // Package explor is an explicit-state model checker. Tests use it to check every
 // state that a small model of a protocol can reach. A model runs the code of the
-// protocol itself with a few processes and messages. Its moves are all events that
-// may happen next: steps of the protocol, crashes, lost and repeated messages, and
-// the passing of time.
+// protocol itself with a few processes and messages. Its transitions are all events
+// that may happen next: steps of the protocol, crashes, lost and repeated messages,
+// and the passing of time.
 //
 // The search is breadth first, so the trace to a state that violates the model's
 // check is the shortest one, which is the easiest to read.
@@ -35,11 +35,11 @@
 	MaxStates int
 }
 
-// Result is the result of an exploration. States and Moves are the numbers of
-// states found and of moves tried, and Depth is the number of moves from the initial
-// state to the last state expanded. Whole is set if every reachable state was
-// checked without an error. Err is the error of the check and Trace the moves from
-// the initial state to the state that it is about.
+// Result is the result of an exploration. States and Transitions are the numbers of
+// states found and of transitions tried, and Depth is the number of transitions from
+// the initial state to the last state expanded. Complete is set if every reachable
+// state was checked without an error. Err is the error of the check and Trace the
+// transitions from the initial state to the state that it is about.
 type Result struct {
 	States      int
 	Transitions int
@@ -49,8 +49,8 @@
 	Trace       []string
 }
 
-// String returns a summary in one line, followed by one line for each move of the
-// trace.
+// String returns a summary in one line, followed by one line for each transition of
+// the trace.
 func (r Result) String() string {
 	if r.Err != nil {
 		return fmt.Sprintf("%v after %d moves (%d states found):\n  %s",
@@ -63,7 +63,8 @@
 }
 
 // node is the position of a state in the search tree: the index of the state before
-// it, the move between them, and the number of moves from the initial state.
+// it, the transition between them, and the number of transitions from the initial
+// state.
 type node struct {
 	parent int
 	move   string
@@ -111,7 +112,7 @@
 	return r
 }
 
-// trace returns the moves from the initial state to the last node.
+// trace returns the transitions from the initial state to the last node.
 func trace(nodes []node) []string {
 	var names []string
 	for i := len(nodes) - 1; nodes[i].parent >= 0; i = nodes[i].parent {
--- a/core/process/facts/facts.go
+++ b/core/process/facts/facts.go
@@ -24,8 +24,8 @@
 	Zone    string
 	Slots   int
 	Leaving bool
-	// StartedAt is when this run of the target started, by its own clock; zero if it
-	// does not report that.
+	// StartedAt is when this run of the target started, by its own clock; zero
+	// if it does not report that.
 	StartedAt time.Time
 	// WarmupLeft is for how much longer the target is expected to be slow after
 	// its start.
@@ -33,13 +33,14 @@
 	// Serving is the version of each model that the target last reported; 0
 	// means none.
 	Serving map[string]uint64
-	// WeightsComplete is false while an engine lacks some of the layers of its weights.
+	// WeightsComplete is false while an engine lacks some of the layers of its
+	// weights.
 	WeightsComplete bool
 }
 
-// Named is a version of a model that the operator announced. Since is when that
-// was or, if this process does not know, the earliest time at which it can have
-// been.
+// ModelVersion is a version of a model that the operator announced. Since is
+// when that was or, if this process does not know, the earliest time at which
+// it can have been.
 type ModelVersion struct {
 	Model   string
 	Version uint64
@@ -49,7 +50,7 @@
 	Read bool
 }
 
-// Origin is the server from which model weights are downloaded. Rate is the
+// Origin is the server from which model weights are downloaded. LinkRate is the
 // bandwidth of its link in bytes per second.
 type Origin struct {
 	Address  netip.AddrPort
@@ -102,7 +103,7 @@
 	return first, !first.IsZero()
 }
 
-// Named returns the announced versions of a model, newest first.
+// VersionsOf returns the announced versions of a model, newest first.
 func (f *Facts) VersionsOf(model string) []ModelVersion {
 	var out []ModelVersion
 	for _, v := range f.Versions {
--- a/core/process/gossip/action.go
+++ b/core/process/gossip/action.go
@@ -25,8 +25,8 @@
 	State State
 }
 
-// Ignored reports a state that was read from the platform but does not supersede
-// the held one.
+// Ignored reports a state that was read from the platform but does not
+// supersede the held one.
 type Ignored struct {
 	Topic Topic
 	Mark  Mark
--- a/core/process/gossip/elect.go
+++ b/core/process/gossip/elect.go
@@ -11,8 +11,8 @@
 // ReadersPerZone is how many processes of each zone read from the platform.
 const ReadersPerZone = 3
 
-// ReaderTurn is how long the same processes stay readers. Rotating them keeps each
-// process's average cost of reading whole documents and lists low, however
+// ReaderTurn is how long the same processes stay readers. Rotating them keeps
+// each process's average cost of reading whole documents and lists low, however
 // large they are.
 const ReaderTurn = 30 * time.Second
 
@@ -57,11 +57,11 @@
 }
 
 // readerRank returns the rank of self among the candidates for reader at now;
-// the first Readers of them read. A process that is not in the list ranks last
-// and never among the readers. If the zone is not in the list at all, self
-// ranks first: the list lags behind a starting zone, and otherwise its
-// processes would keep the empty list for failoverDelay and each take itself
-// for the only one.
+// the first ReadersPerZone of them read. A process that is not in the list ranks
+// last and never among the readers. If the zone is not in the list at all, self
+// ranks first: the list lags behind a starting zone, and otherwise its processes
+// would keep the empty list for failoverDelay and each take itself for the only
+// one.
 func readerRank(self string, members []string, zone string, now time.Time) int {
 	if len(members) == 0 {
 		return 0
@@ -96,7 +96,8 @@
 )
 
 // Candidates are the processes to connect to, in order of preference. A process
-// connects to the first PeersInZone and PeersInOtherZones of them that it can reach.
+// connects to the first PeersInZone and PeersInOtherZones of them that it can
+// reach.
 type Candidates struct {
 	Zone  []fleet.VM
 	Other []fleet.VM
--- a/core/process/gossip/mark.go
+++ b/core/process/gossip/mark.go
@@ -32,11 +32,11 @@
 	return nil
 }
 
-// digestSize is the length of a Sum in bytes, long enough that two states over
-// the lifetime of a fleet don't collide by chance.
+// digestSize is the length of a Digest in bytes, long enough that two states
+// over the lifetime of a fleet don't collide by chance.
 const digestSize = 16
 
-// Digest is the digest of an item or of a whole state.
+// Digest identifies the content of an item or of a whole state.
 type Digest [digestSize]byte
 
 // String returns the first 8 hex digits of the digest, for logs.
--- a/core/process/gossip/node.go
+++ b/core/process/gossip/node.go
@@ -81,8 +81,8 @@
 	return []Action{n.sendMarks(id, now)}
 }
 
-// Disconnected removes a disconnected peer. A pull that it has not answered is sent to
-// another peer.
+// Disconnected removes a disconnected peer. A pull that it has not answered is
+// sent to another peer.
 func (n *Node) Disconnected(id PeerID, now time.Time) []Action {
 	delete(n.peers, id)
 	if len(n.peers) == 0 {
--- a/core/process/inidoc/file.go
+++ b/core/process/inidoc/file.go
@@ -18,8 +18,8 @@
 // Processes send each other sections one by one, each in a single message.
 const MaxSectionBytes = 32 << 10
 
-// File is a parsed text. Flaws lists its faults; reading the values of its sections
-// adds to it.
+// File is a parsed text. Problems lists its faults; reading the values of its
+// sections adds to it.
 type File struct {
 	Name     string
 	Sections []*Section
@@ -60,8 +60,8 @@
 	return n
 }
 
-// FromSections makes a file from sections that were received separately. name is the
-// file's name in flaws.
+// FromSections makes a file from sections that were received separately. name is
+// the file's name in problems.
 func FromSections(name string, contents []RawSection) *File {
 	f := newFile(name)
 	for _, c := range contents {
@@ -96,8 +96,8 @@
 	return &File{Name: name, byName: map[string]*Section{}}
 }
 
-// Parse parses an INI text. name is the file's name in flaws. If the text is too
-// long or not INI at all, the File has no sections and one flaw.
+// Parse parses an INI text. name is the file's name in problems. If the text is too
+// long or not INI at all, the File has no sections and one problem.
 func Parse(name string, b []byte) *File {
 	f := newFile(name)
 	if len(b) > MaxBytes {
@@ -152,13 +152,13 @@
 	f.Problems = append(f.Problems, flaw)
 }
 
-// Reject records a flaw of the whole file.
+// Reject records a problem of the whole file.
 func (f *File) Reject(reason string) { f.addFlaw(Problem{Reason: reason}) }
 
 // Section returns the section with the given name, or nil if there is none.
 func (f *File) Section(name string) *Section { return f.byName[name] }
 
-// Reject records a flaw of one key of the section; key and value may be empty.
+// Reject records a problem of one key of the section; key and value may be empty.
 func (s *Section) Reject(key, value, reason string) {
 	s.file.addFlaw(Problem{Section: s.Name, Key: key, Value: value, Reason: reason})
 }
@@ -187,8 +187,8 @@
 	return out
 }
 
-// RejectUnknownKeys records a flaw for each unknown key, that is each key for which Take was
-// not called. Call it after reading all known keys.
+// RejectUnknownKeys records a problem for each unknown key, that is each key for
+// which Take was not called. Call it after reading all known keys.
 func (s *Section) RejectUnknownKeys() {
 	for _, p := range s.keys {
 		if !s.used[p.Key] {
@@ -198,7 +198,7 @@
 }
 
 // Optional returns the parsed value of key, or def if the key is missing or its
-// value is invalid. An invalid value is recorded as a flaw.
+// value is invalid. An invalid value is recorded as a problem.
 func Optional[T any](s *Section, key string, def T, parse func(string) (T, error)) T {
 	text, ok := s.Take(key)
 	if !ok {
@@ -212,8 +212,8 @@
 	return v
 }
 
-// Required is like Optional with the zero value as default, but records a flaw if
-// the key is missing.
+// Required is like Optional with the zero value as default, but records a problem
+// if the key is missing.
 func Required[T any](s *Section, key string, parse func(string) (T, error)) T {
 	var zero T
 	if _, ok := s.Take(key); !ok {
--- a/core/process/inidoc/flaw.go
+++ b/core/process/inidoc/flaw.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Problem is a fault in an INI text: its location and the reason. Key and Value are
-// empty if the fault concerns a whole section, and Section is empty if it concerns
-// the whole file.
+// Problem is a fault in an INI text: its location and the reason. Key and Value
+// are empty if the fault concerns a whole section, and Section is empty if it
+// concerns the whole file.
 type Problem struct {
 	File    string
 	Section string
@@ -16,7 +16,7 @@
 	Reason  string
 }
 
-// Error returns the flaw as one line.
+// Error returns the problem as one line.
 func (f Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(f.File)
@@ -39,7 +39,7 @@
 // Problems lists the faults of a text in the order in which they were found.
 type Problems []Problem
 
-// Error returns one line for each flaw.
+// Error returns one line for each problem.
 func (f Problems) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, flaw := range f {
--- a/core/process/operr/fault.go
+++ b/core/process/operr/fault.go
@@ -1,4 +1,4 @@
-// Package fault wraps errors with the operation that failed and the process, address
+// Package operr wraps errors with the operation that failed and the process, address
 // or file that it involved. The packages that do I/O use it, so that their messages
 // have the same form.
 package operr
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is the error of an operation. Step describes the operation, such as "read
+// Error is the error of an operation. Op describes the operation, such as "read
 // answer". Peer is what it involved: a process name, an address or a file name. Peer
 // is empty if there is nothing to name.
 type Error struct {
@@ -30,7 +30,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Wrap wraps err with a step and a peer. It returns nil if err is nil.
+// Wrap returns err with an operation and a peer. It returns nil if err is nil.
 func Wrap(step, peer string, err error) error {
 	if err == nil {
 		return nil
--- a/core/process/opt/opt.go
+++ b/core/process/opt/opt.go
@@ -30,7 +30,7 @@
 )
 
 // Field is an option declared by a struct field. Its fields are the tags that the
-// package comment describes.
+// package comment describes; Required is the tag need.
 type Field struct {
 	Key      string
 	Help     string
@@ -41,7 +41,7 @@
 	OneOf    string
 	Role     string
 	Required bool
-	// Position is the position among the arguments, or 0 for a flag.
+	// Position is the tag arg: the position among the arguments, or 0 for a flag.
 	Position int
 
 	value reflect.Value
--- a/core/process/trail/state.go
+++ b/core/process/trail/state.go
@@ -1,8 +1,8 @@
 package trail
 
-// CandidateCounts counts the targets of a service at the time a request was refused:
-// how many there are, how many could take the request, and why the others could
-// not. A target that cannot is counted once, under the first reason that
+// CandidateCounts counts the targets of a service at the time a request was
+// refused: how many there are, how many could take the request, and why the others
+// could not. A target that cannot is counted once, under the first reason that
 // applies.
 type CandidateCounts struct {
 	Targets int `json:"targets"`
@@ -18,11 +18,12 @@
 	// Leaving counts targets that are about to be removed.
 	Leaving int `json:"leaving,omitempty"`
 	// Paused counts targets that get no requests for a while because they failed
-	// recently, Tried those that already failed this request.
+	// recently, FailedThisRequest those that already failed this request.
 	Paused            int `json:"paused,omitempty"`
 	FailedThisRequest int `json:"tried,omitempty"`
 	// Silent counts targets whose engine does not respond, Loading those whose
-	// engine is loading weights, and Unheard those whose side no longer reports.
+	// engine is loading weights, and NotReporting those whose side no longer
+	// reports.
 	Silent       int `json:"silent,omitempty"`
 	Loading      int `json:"loading,omitempty"`
 	NotReporting int `json:"unheard,omitempty"`
@@ -42,9 +43,9 @@
 	AttemptEnds    []AttemptEndCount `json:"ends,omitempty"`
 }
 
-// AttemptEndCount counts, for one cause and since the process started, the attempts that
-// the process itself ended (Abandoned) and the responses that it cut off
-// (BrokenOff).
+// AttemptEndCount counts, for one cause and since the process started, the
+// attempts that the process itself ended (Abandoned) and the responses that it cut
+// off (BrokenOff).
 type AttemptEndCount struct {
 	Cause     string `json:"cause"`
 	Abandoned int    `json:"abandoned,omitempty"`
@@ -59,8 +60,8 @@
 	Leaving int    `json:"leaving,omitempty"`
 }
 
-// NewestVersion is the newest version announced for a model. AgeMS is the process's
-// estimate of how long ago it was announced.
+// NewestVersion is the newest version announced for a model. AgeMS is the
+// process's estimate of how long ago it was announced.
 type NewestVersion struct {
 	Model   string `json:"model"`
 	Version uint64 `json:"version"`
--- a/core/process/trail/trail.go
+++ b/core/process/trail/trail.go
@@ -20,7 +20,7 @@
 	AreaMember    Area = "member"
 )
 
-// Left is a candidate that was not chosen, and the reason.
+// Exclusion is a candidate that was not chosen, and the reason.
 type Exclusion struct {
 	Name   string `json:"name"`
 	Reason string `json:"reason"`
@@ -71,16 +71,16 @@
 	// LastEvent is the last event of the stream that the caller had received when
 	// an attempt ended. The next attempt resumes after it.
 	LastEvent string `json:"lastEvent,omitempty"`
-	// SinceFirstRequestMS is set for a request that its caller repeats: the estimated time
-	// between the first request and the arrival of this one.
+	// SinceFirstRequestMS is set for a request that its caller repeats: the
+	// estimated time between the first request and the arrival of this one.
 	SinceFirstRequestMS int64 `json:"askedMs,omitempty"`
 	// WaitedMS is how long the request waited for a free place at a target.
 	WaitedMS int64 `json:"waitedMs,omitempty"`
 	// ObjectiveMS is the time that the route allows until the first event. It is
 	// set for requests that were refused or answered late.
 	ObjectiveMS int64 `json:"objectiveMs,omitempty"`
-	// ExpectedMS is the predicted and FirstEventMS the measured time until the first
-	// event.
+	// ExpectedMS is the predicted and FirstEventMS the measured time until the
+	// first event.
 	ExpectedMS   int64 `json:"expectedMs,omitempty"`
 	FirstEventMS int64 `json:"firstMs,omitempty"`
 	// TookMS is the duration of what the record is about, such as an attempt or a
@@ -90,7 +90,7 @@
 	// confirmed. For the record of a version or a load order it is the age of that
 	// version or order.
 	AgeMS int64 `json:"ageMs,omitempty"`
-	// CandidateCounts is set when a request was refused because no target could take
+	// Candidates is set when a request was refused because no target could take
 	// it.
 	Candidates *CandidateCounts `json:"candidates,omitempty"`
 	// State is set for the periodic snapshots of what a process knows.
--- a/core/process/ttlmap/table.go
+++ b/core/process/ttlmap/table.go
@@ -1,5 +1,5 @@
-// Package aged implements a map that limits the number and the age of its entries.
-// Packages such as core/request/route and core/request/admit use it for what they
+// Package ttlmap implements a map that limits the number and the age of its entries.
+// Packages such as core/request/picker and core/request/admit use it for what they
 // learn from and about other processes. In a plain map, entries for targets, keys and
 // customers that no longer exist would accumulate over weeks.
 package ttlmap
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// Map maps keys to values. Set the exported fields before the first use. It is
-// not safe for concurrent use.
+// Map is a map whose entries expire. Set the exported fields before the first use. It
+// is not safe for concurrent use.
 type Map[K comparable, V any] struct {
-	// MaxEntries is the maximum number of entries. When a new one would exceed it, the
-	// entry whose last Put is the longest ago is removed.
+	// MaxEntries is the maximum number of entries. When a new one would exceed it,
+	// the entry whose last Put is the longest ago is removed.
 	MaxEntries int
 	// TTL is how long an entry is kept after its last Put.
 	TTL time.Duration
@@ -67,7 +67,7 @@
 	}
 }
 
-// Expire removes the entries that have expired at now or exceed Max.
+// Expire removes the entries that have expired at now or exceed MaxEntries.
 func (t *Map[K, V]) Expire(now time.Time) {
 	for e := t.order.Back(); e != nil; e = t.order.Back() {
 		if len(t.items) <= t.MaxEntries && !t.expired(now, e.Value.(*item[K, V])) {
--- a/core/process/verlog/contact.go
+++ b/core/process/verlog/contact.go
@@ -18,8 +18,8 @@
 	catchUpWait = time.Millisecond
 )
 
-// RanSince reports whether this process has run without being suspended since the
-// given time.
+// RanSince reports whether this process has run without being suspended since
+// the given time.
 type RanSince func(since time.Duration) bool
 
 // Contact records when a process was last in contact with the store, directly
@@ -39,14 +39,14 @@
 	Failed   time.Duration
 }
 
-// StoreUnreachable reports whether the store has been unreachable since the state was last
-// confirmed, with this process running all the while.
+// StoreUnreachable reports whether the store has been unreachable since the
+// state was last confirmed, with this process running all the while.
 func (c Contact) StoreUnreachable(ran RanSince) bool {
 	return c.Known && c.Failed > c.Confirmed && ran(c.Confirmed)
 }
 
-// StoreCall is a finished watch or list request to the store: when it was sent and
-// when the answer was read.
+// StoreCall is a finished watch or list request to the store: when it was sent
+// and when the answer was read.
 type StoreCall struct {
 	Asked time.Duration
 	Got   time.Duration
@@ -60,8 +60,8 @@
 	Known bool
 }
 
-// WatchWait returns how long a watch that begins at asked should wait, given the
-// longest wait allowed.
+// WatchWait returns how long a watch that begins at asked should wait, given
+// the longest wait allowed.
 func (c Contact) WatchWait(asked, most time.Duration) time.Duration {
 	if asked-c.Answered > MaxGap {
 		return catchUpWait
@@ -69,18 +69,18 @@
 	return most
 }
 
-// ChangesMadeAt returns when the changes in a watch's answer were made, if the watch
-// received them as they were made. That is so if it began within MaxGap of the
-// store's last answer, ended within MaxGap of its wait, and the process was
-// not suspended meanwhile.
+// ChangesMadeAt returns when the changes in a watch's answer were made, if the
+// watch received them as they were made. That is so if it began within MaxGap
+// of the store's last answer, ended within MaxGap of its wait, and the process
+// was not suspended meanwhile.
 func (c Contact) ChangesMadeAt(w StoreCall, ran RanSince) OptionalTime {
 	live := c.Known && w.Asked-c.Answered <= MaxGap && w.Got-w.Asked <= w.Wait+MaxGap
 	return OptionalTime{At: w.Got, Known: live && ran(c.Answered)}
 }
 
-// RecordAnswer records that the store answered a call. An answer that may have waited
-// unread while the process was suspended counts only as of the time the call
-// was sent. Counted from when it was read, the next watch would look live,
+// RecordAnswer records that the store answered a call. An answer that may have
+// waited unread while the process was suspended counts only as of the time the
+// call was sent. Counted from when it was read, the next watch would look live,
 // return at once what was announced during the suspension, and date it as
 // announced just now.
 func (c *Contact) RecordAnswer(w StoreCall, ran RanSince) {
@@ -90,13 +90,13 @@
 	}
 }
 
-// EntryFor returns the entry for a version that a process has read from the store.
-// live is when the version was written, if it was received as it was written.
-// Otherwise the process was disconnected or suspended, and the earliest
-// possible time is used, which is the last confirmation (ageAtStart ago if
-// there is none): counted from the time of reading, the limit on older versions
-// would end later here than on other processes, by as long as this one was
-// disconnected.
+// EntryFor returns the entry for a version that a process has read from the
+// store. live is when the version was written, if it was received as it was
+// written. Otherwise the process was disconnected or suspended, and the
+// earliest possible time is used, which is the last confirmation (ageAtStart
+// ago if there is none): counted from the time of reading, the limit on older
+// versions would end later here than on other processes, by as long as this one
+// was disconnected.
 func (c Contact) EntryFor(model string, version uint64, live OptionalTime, now time.Duration) Entry {
 	e := Entry{Model: model, Version: version, Since: c.Confirmed, Read: true, ReadAt: now}
 	switch {
@@ -115,12 +115,12 @@
 	c.Confirmed = max(c.Confirmed, since)
 }
 
-// ShouldAdopt reports whether state received from a peer, confirmed at since with
-// revision at, replaces the current state. A newer revision does even if its
-// confirmation is older: the peer got the change from a watch that began before
-// another peer's latest one. Peers are asked in parallel, so another answer may
-// have arrived since the question was sent; a newer revision includes
-// everything that the other answer contained.
+// ShouldAdopt reports whether state received from a peer, confirmed at since
+// with revision at, replaces the current state. A newer revision does even if
+// its confirmation is older: the peer got the change from a watch that began
+// before another peer's latest one. Peers are asked in parallel, so another
+// answer may have arrived since the question was sent; a newer revision
+// includes everything that the other answer contained.
 func (c Contact) ShouldAdopt(since time.Duration, at uint64) bool {
 	return at > c.Revision || at == c.Revision && (!c.Known || since > c.Confirmed)
 }
--- a/core/process/verlog/naming.go
+++ b/core/process/verlog/naming.go
@@ -1,4 +1,4 @@
-// Package naming records when the operator announced each version of a model,
+// Package verlog records when the operator announced each version of a model,
 // as precisely as a process can know it. Package feed in io/process uses it:
 // limits on how long an older version may still be served count from the
 // announcement, and a process that was disconnected learns of the announcement
@@ -16,7 +16,7 @@
 	Model   string
 	Version uint64
 	// Since is when it was announced, on a clock that keeps counting while the
-	// machine is suspended. When neither Heard nor Returned is set, it is the
+	// machine is suspended. When neither Exact nor FromReturn is set, it is the
 	// earliest time at which it can have been announced.
 	Since time.Duration
 	// Exact is set when this process, or the peer that reported the version,
@@ -25,10 +25,10 @@
 	// FromReturn is set when no process that could have seen the announcement
 	// reached the store; Since is then when the store became reachable again.
 	FromReturn bool
-	// EntryFor is set when this process has read the version from the store itself.
-	// ReadAt is when it did. Away reports whether the store was unreachable,
-	// although this process was running, from the last confirmation of its
-	// state until then.
+	// Read is set when this process has read the version from the store itself.
+	// ReadAt is when it did. StoreUnreachable reports whether the store was
+	// unreachable, although this process was running, from the last
+	// confirmation of its state until then.
 	Read             bool
 	ReadAt           time.Duration
 	StoreUnreachable bool
@@ -57,7 +57,7 @@
 	entries []Entry
 }
 
-// Add merges n into the ledger. It reports whether the ledger changed.
+// Add merges n into the log. It reports whether the log changed.
 func (l *Log) Add(n Entry) bool {
 	n.FromReturn = n.FromReturn && !n.Exact
 	for i, old := range l.entries {
--- a/core/process/verlog/statement.go
+++ b/core/process/verlog/statement.go
@@ -21,17 +21,18 @@
 	MaxQuestions = 6
 )
 
-// VersionReport is what a process reports to its peers about one version. Age is
-// how long ago it was announced. It is exact if Heard (some process saw the
-// announcement) or Returned (no process could reach the store then, and the age
-// counts from its return) is set, otherwise an upper bound. Away reports that
-// the store was unreachable for the sender until it read the version.
+// VersionReport is what a process reports to its peers about one version. Age
+// is how long ago it was announced. It is exact if Exact (some process saw the
+// announcement) or FromReturn (no process could reach the store then, and the
+// age counts from its return) is set, otherwise an upper bound.
+// StoreUnreachable reports that the store was unreachable for the sender until
+// it read the version.
 type VersionReport struct {
 	Model   string        `msgpack:"model"`
 	Version uint64        `msgpack:"version"`
 	Age     time.Duration `msgpack:"age"`
 	Exact   bool          `msgpack:"heard"`
-	// FromReturn qualifies Age in the same way as Heard.
+	// FromReturn qualifies Age in the same way as Exact.
 	FromReturn       bool `msgpack:"returned"`
 	StoreUnreachable bool `msgpack:"away"`
 }
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// VersionReports returns the ledger's entries in the form sent to peers.
+// VersionReports returns the log's entries in the form sent to peers.
 func (l *Log) VersionReports(now time.Duration) []VersionReport {
 	var out []VersionReport
 	for _, n := range l.entries {
@@ -56,15 +57,15 @@
 	return out
 }
 
-// Reply describes a peer's answer to a question. Waited is set for a long poll,
-// which the peer answers only once it has a change to report or the wait is
-// over.
+// Reply describes a peer's answer to a question. LongPoll is set for a long
+// poll, which the peer answers only once it has a change to report or the wait
+// is over.
 type Reply struct {
 	Asked    time.Duration
 	Got      time.Duration
 	LongPoll bool
-	// StoreUnreachable is set when the store has become unreachable for the peer and still
-	// is.
+	// StoreUnreachable is set when the store has become unreachable for the
+	// peer and still is.
 	StoreUnreachable bool
 }
 
@@ -73,16 +74,16 @@
 // sent, so this is a lower bound.
 func (r Reply) Since(age time.Duration) time.Duration { return r.Asked - age }
 
-// ReadPromptly reports whether the reply was read shortly after it was given, so that
-// ages in it count from its arrival. The reply to a long poll is assumed to be
-// if this process was not suspended meanwhile.
+// ReadPromptly reports whether the reply was read shortly after it was given,
+// so that ages in it count from its arrival. The reply to a long poll is
+// assumed to be if this process was not suspended meanwhile.
 func (r Reply) ReadPromptly(ran RanSince) bool {
 	return r.Got-r.Asked <= MaxRoundTrip || r.LongPoll && ran(r.Asked)
 }
 
-// Merge merges the statements of a peer, whatever revision the peer holds: a
+// Merge adds the reports of a peer, whatever revision the peer holds: a
 // process that resumes may have read the store before its peers answer. It
-// reports whether the ledger changed.
+// reports whether the log changed.
 func (l *Log) Merge(r Reply, told []VersionReport, ran RanSince) bool {
 	prompt := r.ReadPromptly(ran)
 	news := false
@@ -105,7 +106,7 @@
 // store's return. Counted from before the outage, engines would have to serve
 // it by a time at which no process could have told them of it. If some process
 // did see the announcement after all, its time takes precedence. It reports
-// whether the ledger changed.
+// whether the log changed.
 func (l *Log) countFromReturn(r Reply, told []VersionReport) bool {
 	news := false
 	for i, e := range l.entries {
--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -129,8 +129,8 @@
 	IdleAge time.Duration
 	// MaxReportAge is how old a load report may be and still count.
 	MaxReportAge time.Duration
-	// MaxCallAge is the time without a Done after which an admitted call is taken to have
-	// ended.
+	// MaxCallAge is the time without a Done after which an admitted call is taken to
+	// have ended.
 	MaxCallAge time.Duration
 	// Limit configures the adaptive limit of calls in flight.
 	Limit LimitSettings
@@ -253,8 +253,8 @@
 	return out
 }
 
-// endStuckCalls ends admitted calls for which Done was not called within MaxCallAge. Each
-// would otherwise hold a slot forever, and after weeks the service would have none
+// endStuckCalls ends admitted calls for which Done was not called within MaxCallAge.
+// Each would otherwise hold a slot forever, and after weeks the service would have none
 // left.
 func (a *Admitter) endStuckCalls(now time.Time) []Verdict {
 	var stuck []string
--- a/core/request/budget/spend.go
+++ b/core/request/budget/spend.go
@@ -1,4 +1,4 @@
-// Package spend limits how many requests an entry (the process that accepts callers'
+// Package budget limits how many requests an entry (the process that accepts callers'
 // requests) repeats. Package direct calls it. The limit holds over all entries of the
 // system without messages between them: each entry repeats only a share of its own
 // requests, and together they repeat the same share of all.
--- a/core/request/calls/attempt.go
+++ b/core/request/calls/attempt.go
@@ -18,9 +18,9 @@
 // The events.
 //
 // Sent: the call may have left the entry. Unsent: it certainly has not. Answered: the
-// whole answer arrived. Lost: the connection failed or went silent. Gone: the side no
-// longer exists or has restarted. GiveUp: the caller's deadline passed or the caller
-// disconnected.
+// whole answer arrived. ConnectionLost: the connection failed or went silent.
+// SideGone: the side no longer exists or has restarted. GiveUp: the caller's deadline
+// passed or the caller disconnected.
 const (
 	EventSent           Event = "sent"
 	EventUnsent         Event = "unsent"
@@ -33,8 +33,8 @@
 // Step is the next action of the entry.
 type Step string
 
-// The steps. Wait: keep waiting. Ask: send the side a query with Mark set over a new
-// connection. Settle: report the outcome.
+// The steps. Wait: keep waiting. Query: send the side a query with MarkNever set over
+// a new connection. Settle: report the outcome.
 const (
 	StepWait   Step = "wait"
 	StepQuery  Step = "ask"
@@ -42,8 +42,8 @@
 )
 
 // Attempt is an entry's view of one attempt to run a once-call at one side. Values
-// are comparable. Outcome is set once Phase is settled. If it is then OutcomeNotRun and the
-// call is free, the call may be sent to another replica under a new ID.
+// are comparable. Outcome is set once Phase is settled. If it is then OutcomeNotRun
+// and the call is free, the call may be sent to another replica under a new ID.
 type Attempt struct {
 	Phase   Phase
 	Outcome Outcome
@@ -102,8 +102,8 @@
 	return a.settle(o)
 }
 
-// ApplyQueryResult applies the side's answer to a query with Mark set. If the call is
-// absent, the side could not mark it, and it may still run.
+// ApplyQueryResult applies the side's answer to a query with MarkNever set. If the
+// call is absent, the side could not mark it, and it may still run.
 func (a *Attempt) ApplyQueryResult(s State) Step {
 	if a.Phase == PhaseSettled {
 		return StepSettle
--- a/core/request/calls/ledger.go
+++ b/core/request/calls/ledger.go
@@ -10,12 +10,13 @@
 
 // Limits are the settings of a ledger.
 //
-// MaxReadingAge is the greatest age of the clock reading of a new call. Keep is how long a
-// record is kept after its last change; it must exceed MaxReadingAge, as otherwise a call
-// could still start after its mark was dropped. KeyWindow is how long a side runs no
-// calls bound to a key after its boot, or after a change of the members among which
-// the keys are distributed. Records is the number of records from which new calls are
-// refused; marks may exceed it by the share that extraMarksDivisor sets.
+// MaxReadingAge is the greatest age of the clock reading of a new call. RecordMaxAge
+// is how long a record is kept after its last change; it must exceed MaxReadingAge,
+// as otherwise a call could still start after its mark was dropped. KeyWindow is how
+// long a side runs no calls bound to a key after its boot, or after a change of the
+// members among which the keys are distributed. MaxRecords is the number of records
+// from which new calls are refused; marks may exceed it by the share that
+// extraMarksDivisor sets.
 type Limits struct {
 	MaxReadingAge time.Duration
 	RecordMaxAge  time.Duration
@@ -33,9 +34,9 @@
 	}
 }
 
-// Record is what a side holds of one call. Print identifies the request, to detect a
-// key or ticket that is reused for another request. At is the side's clock at the
-// last change.
+// Record is what a side holds of one call. Fingerprint identifies the request, to
+// detect a key or ticket that is reused for another request. At is the side's clock
+// at the last change.
 type Record struct {
 	State       State
 	Fingerprint string
@@ -43,7 +44,7 @@
 }
 
 // Ledger is a side's record of once-calls. It is a plain value: Clone copies it, and
-// MaxRecords lists it in a fixed order. It isn't safe for concurrent use.
+// Records lists it in a fixed order. It isn't safe for concurrent use.
 type Ledger struct {
 	Boot   string
 	Limits Limits
@@ -69,10 +70,10 @@
 
 // StartRequest is a request to run a call.
 //
-// EchoedReading is the clock reading that the call carries. Print is the request's
-// fingerprint. Refuse, if set, is the side's own reason to refuse new calls, such as
-// leaving. Unsure is set if the sender and the side have different members, and so
-// may disagree about the owners of keys.
+// EchoedReading is the clock reading that the call carries. Fingerprint is the
+// request's fingerprint. RefuseReason, if set, is the side's own reason to refuse new
+// calls, such as leaving. MembersDiffer is set if the sender and the side have
+// different members, and so may disagree about the owners of keys.
 type StartRequest struct {
 	Ticket        Ticket
 	EchoedReading fresh.ClockReading
@@ -81,11 +82,12 @@
 	MembersDiffer bool
 }
 
-// Act is what the side must do with a call.
+// ActionKind is what the side must do with a call.
 type ActionKind string
 
-// The acts. Run: pass the call to the target. Join: send the answer of the running
-// call when it arrives. Replay: send the stored answer. Refuse: refuse the call.
+// The kinds of action. Run: pass the call to the target. Join: send the answer of the
+// running call when it arrives. Replay: send the stored answer. Refuse: refuse the
+// call.
 const (
 	ActionRun    ActionKind = "run"
 	ActionJoin   ActionKind = "join"
@@ -101,7 +103,7 @@
 	Reason  Reason
 }
 
-// StartRequest decides about a call at time now of the side's clock.
+// Start decides about a call at time now of the side's clock.
 //
 // A call whose ID is recorded never runs again, whichever entry it comes through;
 // otherwise a payment could be made twice. Only a call with an unknown ID and a fresh
@@ -205,15 +207,15 @@
 	l.settled = append(l.settled, settledCall{id: id, at: now})
 }
 
-// QueryRequest asks what became of a call. With Mark set, a call without a record is marked
-// so that it never runs. Unsure is as in Start.
+// QueryRequest asks what became of a call. With MarkNever set, a call without a
+// record is marked so that it never runs. MembersDiffer is as in StartRequest.
 type QueryRequest struct {
 	Ticket        Ticket
 	MarkNever     bool
 	MembersDiffer bool
 }
 
-// QueryRequest returns the state of a call at time now of the side's clock.
+// Query returns the state of a call at time now of the side's clock.
 //
 // Without the mark a call that is still on its way on an earlier connection could run
 // after the entry has sent it to another replica, and so run twice. The look-up and
@@ -243,7 +245,7 @@
 }
 
 // extraMarksDivisor sets how many records beyond Limits.MaxRecords may be held for
-// marks: Records/extraMarksDivisor + 1. A full ledger can thus still mark calls as
+// marks: MaxRecords/extraMarksDivisor + 1. A full ledger can thus still mark calls as
 // never to run.
 const extraMarksDivisor = 8
 
@@ -258,13 +260,14 @@
 	return true
 }
 
-// RestartKeyWindow restarts the key window. The side calls it when the members among which keys
-// are distributed change: a key that another side owned until now may have run there.
+// RestartKeyWindow restarts the key window. The side calls it when the members among
+// which keys are distributed change: a key that another side owned until now may have
+// run there.
 func (l *Ledger) RestartKeyWindow(now time.Duration) { l.keyWindowEnd = now + l.Limits.KeyWindow }
 
-// Expire drops the records whose last change is over Limits.RecordMaxAge ago, and returns
-// their IDs. Running calls are kept. Records outlive the readings with which their
-// calls could still start, so dropping a mark lets no late call run.
+// Expire drops the records whose last change is over Limits.RecordMaxAge ago, and
+// returns their IDs. Running calls are kept. Records outlive the readings with which
+// their calls could still start, so dropping a mark lets no late call run.
 func (l *Ledger) Expire(now time.Duration) []ID {
 	var gone []ID
 	n := 0
@@ -286,7 +289,7 @@
 	Record Record
 }
 
-// MaxRecords returns all records sorted by ID.
+// Records returns all records sorted by ID.
 func (l *Ledger) Records() []CallRecord {
 	out := make([]CallRecord, 0, len(l.records))
 	for _, id := range slices.Sorted(maps.Keys(l.records)) {
--- a/core/request/calls/outcome.go
+++ b/core/request/calls/outcome.go
@@ -17,7 +17,7 @@
 // Outcome is what a caller is told about its call. No other values exist.
 type Outcome string
 
-// The outcomes. Done: the call ran and was answered. OutcomeNotRun: the call has not run and
+// The outcomes. Done: the call ran and was answered. NotRun: the call has not run and
 // never will under its ID. Unknown: the call may or may not have run.
 const (
 	OutcomeDone    Outcome = "done"
--- a/core/request/picker/choose.go
+++ b/core/request/picker/choose.go
@@ -67,7 +67,8 @@
 	SpillThreshold float64
 	// ReportMaxAge is the age up to which a load report is used.
 	ReportMaxAge time.Duration
-	// TokenIntervalMaxAge is how long a target's speed is remembered without a new sample.
+	// TokenIntervalMaxAge is how long a target's time between tokens is remembered
+	// without a new sample.
 	TokenIntervalMaxAge time.Duration
 	// PrefixMaxAge is how long a target is assumed to hold a prefix after it was last
 	// stored there.
@@ -91,8 +92,8 @@
 	TokenIntervals int
 }
 
-// NoTargetError is the error of Choose when every candidate is excluded. Left holds the
-// reason for each.
+// NoTargetError is the error of Choose when every candidate is excluded. Excluded holds
+// the reason for each.
 type NoTargetError struct {
 	Service  string
 	Excluded []trail.Exclusion
@@ -127,13 +128,15 @@
 	c.prefixes.stored(now, target, prefix)
 }
 
-// PrefixEvicted records an engine's event that target has dropped prefix from its cache.
+// PrefixEvicted records an engine's event that target has dropped prefix from its
+// cache.
 func (c *Chooser) PrefixEvicted(now time.Time, target string, prefix uint64) {
 	c.init()
 	c.prefixes.evicted(now, target, prefix)
 }
 
-// ObserveTokenInterval records a sample of a target's time between tokens, measured over one answer.
+// ObserveTokenInterval records a sample of a target's time between tokens, measured
+// over one answer.
 func (c *Chooser) ObserveTokenInterval(now time.Time, target string, pace time.Duration) {
 	c.init()
 	c.paces.observe(now, target, pace)
--- a/core/request/picker/choose_test.go
+++ b/core/request/picker/choose_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// If all targets are leaving, Choose must return NoTargetError with the reason for each,
-// and not a target that is about to stop.
+// If all targets are leaving, Choose must return NoTargetError with the reason for
+// each, and not a target that is about to stop.
 func TestChooseNoTarget(t *testing.T) {
 	c := newCandidate("t1", "a1")
 	c.Availability = AvailabilityLeaving
--- a/core/request/picker/types.go
+++ b/core/request/picker/types.go
@@ -1,6 +1,6 @@
-// Package route is the load balancer of an entry: it chooses the target of each call,
-// by prompt prefix affinity, load, speed and zone, and the subset of targets to which
-// an entry keeps sessions.
+// Package picker is the load balancer of an entry: it chooses the target of each
+// call, by prompt prefix affinity, load, speed and zone, and the subset of targets to
+// which an entry keeps sessions.
 //
 // The entry's front calls it with what it knows of its targets. The package does no
 // I/O and reads no clock; callers pass the time in.
@@ -25,9 +25,9 @@
 
 // Request describes a call before a target is chosen.
 //
-// PrefixHashes holds hashes of the prompt's leading blocks, the shortest prefix first.
-// Version, if set, is the only version that may run the call, such as for a resumed
-// stream. Avoid lists targets that have already failed this call.
+// PrefixHashes holds hashes of the prompt's leading blocks, the shortest prefix
+// first. Version, if set, is the only version that may run the call, such as for a
+// resumed stream. FailedTargets lists targets that have already failed this call.
 type Request struct {
 	ID            string
 	Customer      string
@@ -40,8 +40,8 @@
 	FailedTargets []string
 }
 
-// LoadReport is the load that a target has reported. Reports lag behind the actual load;
-// ReceivedAt is the entry's time at which the report arrived.
+// LoadReport is the load that a target has reported. Reports lag behind the actual
+// load; ReceivedAt is the entry's time at which the report arrived.
 type LoadReport struct {
 	ReceivedAt time.Time
 	Running    int
@@ -49,10 +49,10 @@
 	Capacity   int
 }
 
-// Availability is a target's availability for new calls.
+// Availability says whether a target may get new calls.
 type Availability string
 
-// The standings of a target. Any other than ready excludes the target, and its value
+// The values of Availability. Any other than ready excludes the target, and its value
 // is logged as the reason.
 const (
 	AvailabilityReady    Availability = "ready"
--- a/core/request/place/candidates.go
+++ b/core/request/place/candidates.go
@@ -91,14 +91,14 @@
 	return slotsOf(t.Target)
 }
 
-// Served is the model version that a target serves, 0 for none.
+// TargetVersion is the model version that a target serves, 0 for none.
 type TargetVersion struct {
 	Service string
 	Address netip.AddrPort
 	Version uint64
 }
 
-// Served returns the versions that the targets of engine services serve.
+// TargetVersions returns the versions that the targets of engine services serve.
 func (p *Placer) TargetVersions(now time.Time) []TargetVersion {
 	var out []TargetVersion
 	for _, s := range p.services {
--- a/core/request/place/choose.go
+++ b/core/request/place/choose.go
@@ -250,7 +250,8 @@
 	return load < slots && !s.isLate(now, w, expected)
 }
 
-// HasRoomElsewhere reports whether a target of the service other than the given one has room.
+// HasRoomElsewhere reports whether a target of the service other than the given one has
+// room.
 func (p *Placer) HasRoomElsewhere(now time.Time, serviceName, target string) bool {
 	p.initMaps()
 	s := p.service(serviceName)
--- a/core/request/place/entrycount.go
+++ b/core/request/place/entrycount.go
@@ -5,18 +5,18 @@
 	"net/netip"
 )
 
-// EntryEstimator estimates the number of entries in the system, for which there is no central
-// list. Each side (the process beside a target) reports how many entries listen to it.
-// An entry listens only to the sides of the targets in its subset, so the estimate
-// scales up what those report. It is not safe for concurrent use; the zero value is
-// ready.
+// EntryEstimator estimates the number of entries in the system, for which there is no
+// central list. Each side (the process beside a target) reports how many entries
+// listen to it. An entry listens only to the sides of the targets in its subset, so
+// the estimate scales up what those report. It is not safe for concurrent use; the
+// zero value is ready.
 type EntryEstimator struct {
 	estimates map[netip.Addr]float64
 	sum       float64
 	maxSeen   int
 }
 
-// Record records the report of one side: how many entries of its own zone and of other
+// Record adds the report of one side: how many entries of its own zone and of other
 // zones listen to it. targets is the number of targets in the side's zone, zones the
 // number of zones.
 func (c *EntryEstimator) Record(side netip.Addr, own, other, targets, zones int) {
@@ -36,7 +36,7 @@
 	delete(c.estimates, side)
 }
 
-// Listeners returns the estimate. It is never below the highest count that one side has
+// Entries returns the estimate. It is never below the highest count that one side has
 // reported, and 0 before the first report.
 func (c *EntryEstimator) Entries() int {
 	if len(c.estimates) == 0 {
--- a/core/request/place/place.go
+++ b/core/request/place/place.go
@@ -10,8 +10,9 @@
 // One Placer serves an entry; package direct calls it. It has no clock and starts no
 // goroutines. Each method takes the current time and returns the resulting verdicts,
 // both for the request that it is called for and for waiting requests that the event
-// placed or refused. Package hosted uses Subset and Census to choose which sides (the
-// processes beside the targets) an entry listens to, and to count the entries.
+// placed or refused. Package hosted uses Subset and EntryEstimator to choose which
+// sides (the processes beside the targets) an entry listens to, and to count the
+// entries.
 package place
 
 import (
@@ -27,8 +28,8 @@
 // pointless is refused within that time.
 const TickEvery = 20 * time.Millisecond
 
-// Request is a request to be placed. Objective is the time from Asked, when its caller
-// first asked, to when the first answer is due. Prompt and Answer are in tokens.
+// Request is a request to be placed. Objective is the time from FirstRequestedAt, when
+// its caller first sent it, to when the first answer is due.
 type Request struct {
 	ID      string
 	Service string
@@ -43,12 +44,13 @@
 	Priority  int
 	// Limits bound until when older versions of the model may begin the request.
 	Limits []VersionLimit
-	// NewestVersion is the newest version named for the service's model, 0 without an engine.
+	// NewestVersion is the newest version announced for the service's model, 0 without
+	// an engine.
 	NewestVersion uint64
 	// FailedTargets lists the targets that have failed this request.
 	FailedTargets []string
-	// Resumed is set if the caller already has a part of the answer. Such a request goes
-	// before all others, and waits until its deadline rather than being refused.
+	// Resumed is set if the caller already has a part of the answer. Such a request
+	// goes before all others, and waits until its deadline rather than being refused.
 	Resumed bool
 }
 
@@ -87,8 +89,8 @@
 	ReasonNoTarget Reason = "noTarget"
 	ReasonLate     Reason = "objectiveCannotBeMet"
 	ReasonFull     Reason = "full"
-	// ReasonNoRoomForLate is for a caller that came back after its objective had passed.
-	// Such requests may use only part of the slots.
+	// ReasonNoRoomForLate is for a caller that came back after its objective had
+	// passed. Such requests may use only part of the slots.
 	ReasonNoRoomForLate Reason = "noRoomForLate"
 )
 
@@ -101,8 +103,8 @@
 	Reason     Reason
 	RetryAfter time.Duration
 	Waited     time.Duration
-	// ExpectedFirstAnswer is the estimated time to the first answer. For a request refused with
-	// ReasonLate it is that at an engine with a single slot left.
+	// ExpectedFirstAnswer is the estimated time to the first answer. For a request
+	// refused with ReasonLate it is that at an engine with a single slot left.
 	ExpectedFirstAnswer time.Duration
 	// ServedVersion is the version of the model that the target is known to serve.
 	ServedVersion uint64
@@ -116,7 +118,8 @@
 type Result string
 
 // The results. ResultUnreached means that the request never reached its target,
-// ResultRejected that the target rejected it, and ResultCallerGone that the caller went away.
+// ResultRejected that the target rejected it, and ResultCallerGone that the caller went
+// away.
 const (
 	ResultDone       Result = "done"
 	ResultFailed     Result = "failed"
@@ -251,8 +254,8 @@
 	}
 }
 
-// AnswerBegan records that the target has sent the first part of an answer, which means that
-// it has read the prompt.
+// AnswerBegan records that the target has sent the first part of an answer, which means
+// that it has read the prompt.
 func (p *Placer) AnswerBegan(now time.Time, id string) []Verdict {
 	r, ok := p.active[id]
 	if !ok || r.answering {
@@ -288,7 +291,7 @@
 	return p.placeAt(now, s, r.target)
 }
 
-// LoadReport records a load report of a target.
+// Report records a load report of a target.
 func (p *Placer) Report(now time.Time, id string, r LoadReport) []Verdict {
 	t, ok := p.targets[id]
 	if !ok {
--- a/core/request/place/relocate.go
+++ b/core/request/place/relocate.go
@@ -9,9 +9,9 @@
 // count as few.
 const fewRequestsShare = 0.2
 
-// NearlyDrained reports whether a target that waits to load a version has few requests left.
-// Its other slots stay empty until the last of them has ended. Moving them to another
-// target costs only one prompt to read for each.
+// NearlyDrained reports whether a target that waits to load a version has few requests
+// left. Its other slots stay empty until the last of them has ended. Moving them to
+// another target costs only one prompt to read for each.
 func (p *Placer) NearlyDrained(target string, r LoadReport) bool {
 	t, ok := p.targets[target]
 	if !ok || !r.Alive || !r.Loading || r.Active == 0 {
--- a/core/request/place/roundtrip.go
+++ b/core/request/place/roundtrip.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SetRoundTrip sets the shortest time measured for connecting to the targets of a zone, which is
-// one round trip.
+// SetRoundTrip sets the shortest time measured for connecting to the targets of a zone,
+// which is one round trip.
 func (p *Placer) SetRoundTrip(zone string, roundTrip time.Duration) {
 	p.initMaps()
 	if p.roundTrips == nil {
--- a/core/request/place/target.go
+++ b/core/request/place/target.go
@@ -8,10 +8,10 @@
 )
 
 // LoadReport is what the side, the process beside an engine, reports of it. Active and
-// Queued count the requests of all entries; Serving is the version of the model that it
-// serves, 0 for none. Alive is false once the engine does not answer. Pace is how many
-// times longer than declared the engine's steps take, and Busy is set while it loads a
-// version or waits to.
+// Queued count the requests of all entries; ServedVersion is the version of the model
+// that it serves, 0 for none. Alive is false once the engine does not answer. Slowness
+// is how many times longer than declared the engine's steps take, and Loading is set
+// while it loads a version or waits to.
 type LoadReport struct {
 	Alive         bool
 	Active        int
@@ -19,8 +19,8 @@
 	Slowness      float64
 	ServedVersion uint64
 	Loading       bool
-	// Listeners is how many entries listen to the same reports, and Fleet the estimated
-	// number of all entries.
+	// Listeners is how many entries listen to the same reports, and TotalEntries the
+	// estimated number of all entries.
 	Listeners    int
 	TotalEntries int
 	// StartedAt is when the engine started, zero if unknown.
--- a/core/request/poison/key.go
+++ b/core/request/poison/key.go
@@ -16,10 +16,10 @@
 	"io"
 )
 
-// Fingerprint is the fingerprint of a request.
+// Fingerprint identifies a request.
 type Fingerprint [16]byte
 
-// String returns the key in hexadecimal digits.
+// String returns the fingerprint in hexadecimal digits.
 func (k Fingerprint) String() string { return hex.EncodeToString(k[:]) }
 
 // Request holds the parts that are equal in all repeats of a request. The service is
--- a/core/request/poison/ledger.go
+++ b/core/request/poison/ledger.go
@@ -68,9 +68,9 @@
 	maxAnswerTime   = time.Minute
 )
 
-// Incarnation identifies one start of a target, so that a target that restarts under the
-// same name counts as a different one. Born is the start time in Unix milliseconds,
-// or zero if the target does not report it.
+// Incarnation identifies one start of a target, so that a target that restarts under
+// the same name counts as a different one. StartedAtMillis is the start time in Unix
+// milliseconds, or zero if the target does not report it.
 type Incarnation struct {
 	Target          string `msgpack:"target"`
 	StartedAtMillis int64  `msgpack:"born"`
@@ -188,8 +188,8 @@
 	return r
 }
 
-// RecordFailure records that an attempt broke off at a target start after its answer had
-// been going on for ran. It reports whether the failure counts.
+// RecordFailure records that an attempt broke off at a target start after its answer
+// had been going on for ran. It reports whether the failure counts.
 func (l *Ledger) RecordFailure(now time.Time, k Fingerprint, at Incarnation, ran time.Duration) bool {
 	if ran >= minInnocentRun {
 		return false
@@ -213,8 +213,8 @@
 	}
 }
 
-// RecordSuccess records that a request completed successfully, and reports whether that
-// clears it of failures.
+// RecordSuccess records that a request completed successfully, and reports whether
+// that clears it of failures.
 func (l *Ledger) RecordSuccess(now time.Time, k Fingerprint) bool {
 	r := l.record(now, k)
 	if r == nil {
@@ -235,8 +235,8 @@
 	return keys
 }
 
-// RecordAnswer records that a target start has answered a request that was sent to it at
-// sentAt. It returns the requests whose failures at that start the target is now
+// RecordAnswer records that a target start has answered a request that was sent to it
+// at sentAt. It returns the requests whose failures at that start the target is now
 // known to have survived.
 func (l *Ledger) RecordAnswer(now, sentAt time.Time, at Incarnation) []Fingerprint {
 	var out []Fingerprint
@@ -261,9 +261,9 @@
 	return out
 }
 
-// RecordListing applies a current listing of target starts, and reports whether it shows
-// that any of them has survived a failure of the request. A start without a start
-// time proves nothing, as the target may have restarted.
+// RecordListing applies a current listing of target starts, and reports whether it
+// shows that any of them has survived a failure of the request. A start without a
+// start time proves nothing, as the target may have restarted.
 func (l *Ledger) RecordListing(now time.Time, k Fingerprint, starts map[Incarnation]bool) bool {
 	r := l.record(now, k)
 	if r == nil {
--- a/core/request/poison/note.go
+++ b/core/request/poison/note.go
@@ -13,8 +13,8 @@
 type Note struct {
 	Fingerprint Fingerprint `msgpack:"key"`
 	Failures    []Failure   `msgpack:"strikes"`
-	// Succeeded is set if the request has completed successfully, and SuccessAge is how
-	// long ago.
+	// Succeeded is set if the request has completed successfully, and SuccessAge is
+	// how long ago.
 	Succeeded  bool          `msgpack:"cleared"`
 	SuccessAge time.Duration `msgpack:"clearedAgo"`
 }
--- a/core/request/proof/doc.go
+++ b/core/request/proof/doc.go
@@ -7,6 +7,6 @@
 // delayed for as long as the bounds allow. Each safeguard of the code is also removed
 // once; the checker must then find a sequence of events that breaks a rule.
 //
-// The soak test runs package route, package admit and the ledger of package calls for
-// weeks of virtual time, and checks that no table or rate drifts.
+// The soak test runs package picker, package admit and the ledger of package calls
+// for weeks of virtual time, and checks that no table or rate drifts.
 package proof
--- a/core/request/resend/explore_test.go
+++ b/core/request/resend/explore_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// attempts is the type under test: Tries, or a variant without a safeguard.
+// attempts is the type under test: AttemptTracker, or a variant without a safeguard.
 type attempts interface {
 	Sent()
 	Ended(o Outcome) bool
@@ -36,7 +36,8 @@
 	{CallerGone, true, false},
 }
 
-// maxAttempts bounds the length of a sequence. Unsent attempts end after maxUnreached.
+// maxAttempts bounds the length of a sequence. Unreached attempts end after
+// maxUnreached.
 const maxAttempts = 8
 
 // explore tries every sequence of attempt results and returns the first that breaks a
@@ -91,7 +92,7 @@
 	}
 }
 
-// Variants of Tries, each without one safeguard.
+// Variants of AttemptTracker, each without one safeguard.
 type (
 	alwaysRepeats     struct{ AttemptTracker }
 	alwaysRefuses     struct{ AttemptTracker }
--- a/core/request/resend/resend.go
+++ b/core/request/resend/resend.go
@@ -7,12 +7,12 @@
 type Outcome string
 
 // The outcomes of an attempt. Relayed means that the caller has the whole answer,
-// NotRun that the target rejected the request before running it, and Unsent that the
+// NotRun that the target rejected the request before running it, and Unreached that the
 // target was not reached. Broken means that the answer ended early or never came, after
-// the request may have run. Failure is an error that the target itself answered, Caller
-// means that the caller went away, and MismatchedReply is an answer to another request. Moved
-// is an attempt whose answer goes on at another target, Dropped one that the entry no
-// longer needs.
+// the request may have run. TargetFailure is an error that the target itself answered,
+// CallerGone means that the caller went away, and MismatchedReply is an answer to
+// another request. Moved is an attempt whose answer goes on at another target, Dropped
+// one that the entry no longer needs.
 const (
 	Relayed         Outcome = "relayed"
 	TargetFailure   Outcome = "failureOfTarget"
@@ -29,8 +29,8 @@
 // the caller does not have.
 const maxUnreached = 4
 
-// AttemptTracker tracks the attempts at one request. Set the exported fields before the first
-// call.
+// AttemptTracker tracks the attempts at one request. Set the exported fields before the
+// first call.
 type AttemptTracker struct {
 	// Repeatable is set for a request that may run more than once.
 	Repeatable bool
--- a/core/request/table/table.go
+++ b/core/request/table/table.go
@@ -13,7 +13,7 @@
 	"hawthornferry/core/process/envdoc"
 )
 
-// Repeat says whether a route's requests may run more than once.
+// RouteKind says whether a route's requests may run more than once.
 type RouteKind string
 
 // The kinds of route. Requests of an idempotent route may be repeated, those of a
@@ -28,8 +28,8 @@
 // Route configures the requests of one host and path prefix.
 //
 // Timeout bounds the whole answer. Objective is the promised time to the answer, or
-// to the first event of a stream, and Gap the longest promised pause between two
-// events of a stream. Attempts is the most targets to which a request is sent.
+// to the first event of a stream, and MaxEventGap the longest promised pause between
+// two events of a stream. MaxAttempts is the most targets to which a request is sent.
 // AllowAnonymous routes need no API key.
 type Route struct {
 	Name           string
@@ -46,7 +46,8 @@
 	AllowResume    bool
 }
 
-// WeightedService is a service that gets part of a route's requests, in proportion to Weight.
+// WeightedService is a service that gets part of a route's requests, in proportion to
+// Weight.
 type WeightedService struct {
 	Service string
 	Weight  int
@@ -59,8 +60,8 @@
 // Repeatable reports whether a request may run more than once.
 func (r Route) Repeatable() bool { return r.Kind == KindIdempotent || r.Resumable() }
 
-// Service is a group of targets. MaxConnsPerTarget is the most connections that each target
-// accepts from all callers together. Engine is nil for a plain service.
+// Service is a group of targets. MaxConnsPerTarget is the most connections that each
+// target accepts from all callers together. Engine is nil for a plain service.
 type Service struct {
 	Name              string
 	MaxConnsPerTarget int
@@ -72,22 +73,23 @@
 type Engine struct {
 	Model string
 	// Slots is the number of requests that an engine generates answers for at the
-	// same time. Memory is the number of tokens that these and their prompts may
-	// occupy.
+	// same time. KVCacheTokens is the number of tokens that these and their prompts
+	// may occupy.
 	Slots         int
 	KVCacheTokens int
-	// A pass generates Stride tokens for each active request, one step per token. A
-	// step takes Step, and StepTimePerSequence more for each active request.
+	// A pass generates TokensPerPass tokens for each active request, one step per
+	// token. A step takes StepTime, and StepTimePerSequence more for each active
+	// request.
 	TokensPerPass       int
 	StepTime            time.Duration
 	StepTimePerSequence time.Duration
-	// StepTimePerThousandTokens is the time added to a step for each thousand tokens of context of
-	// the active requests.
+	// StepTimePerThousandTokens is the time added to a step for each thousand tokens
+	// of context of the active requests.
 	StepTimePerThousandTokens time.Duration
 	// PrefillTokensPerSecond is the number of prompt tokens read per second.
 	PrefillTokensPerSecond float64
-	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens of a request's
-	// prompt and answer.
+	// MeanPromptTokens and MeanAnswerTokens are the mean numbers of tokens of a
+	// request's prompt and answer.
 	MeanPromptTokens int
 	MeanAnswerTokens int
 }
@@ -119,7 +121,8 @@
 	servicesByName map[string]int
 }
 
-// BuildIndex builds the look-up maps. It must be called once before the table is shared.
+// BuildIndex builds the look-up maps. It must be called once before the table is
+// shared.
 func (t *Table) BuildIndex() {
 	t.routesByHost = make(map[string][]int, len(t.Routes))
 	for i, r := range t.Routes {
@@ -152,8 +155,8 @@
 	return t.Routes[best], true
 }
 
-// RequiresKey reports whether requests must have an API key. They need none if no customers
-// are configured.
+// RequiresKey reports whether requests must have an API key. They need none if no
+// customers are configured.
 func (t *Table) RequiresKey() bool { return len(t.Customers) > 0 }
 
 // CustomerByKey returns the customer to which an API key belongs.
--- a/core/version/chunk/manifest.go
+++ b/core/version/chunk/manifest.go
@@ -55,7 +55,7 @@
 }
 
 // Manifest lists the chunks of a version in the order of its bytes. Size is
-// the sum of the chunks' sizes; Whole is the digest of all bytes.
+// the sum of the chunks' sizes; ContentDigest is the digest of all bytes.
 type Manifest struct {
 	Model         string `json:"model" msgpack:"model"`
 	Version       string `json:"version" msgpack:"version"`
--- a/core/version/roll/machine.go
+++ b/core/version/roll/machine.go
@@ -26,7 +26,7 @@
 	LastOrder uint64
 }
 
-// Facts is what a side knows when it decides. Verified means that every chunk
+// Facts is what a side knows when it decides. WeightsVerified means that every chunk
 // of the wanted manifest is staged and has its digest. TargetKnown is false
 // while the engine does not answer.
 type Facts struct {
@@ -131,7 +131,7 @@
 }
 
 // Step decides on the facts f. After ActionAsk the caller asks all of Want.Peers and
-// passes their answers to Answered.
+// passes their answers to AnswersReceived.
 func (m *Machine) Step(now time.Time, f Facts) Action {
 	m.trackLoad(now, f)
 	if r, ok := blockedReason(f); ok {
@@ -236,9 +236,9 @@
 	}
 }
 
-// StepDelay is how long the next Step may be delayed after now, at most longest. If steps
-// were rounded up to a common tick, sides whose delays differ by rank would ask at
-// the same moment again.
+// StepDelay is how long the next Step may be delayed after now, at most longest. If
+// steps were rounded up to a common tick, sides whose delays differ by rank would ask
+// at the same moment again.
 func (m *Machine) StepDelay(now time.Time, longest time.Duration) time.Duration {
 	until := m.retryAt.Sub(now)
 	if until <= 0 {
--- a/core/version/roll/place.go
+++ b/core/version/roll/place.go
@@ -3,7 +3,8 @@
 // It needs no coordinator: the replicas are the first VMs by rendezvous hash, and a
 // side (the process beside one target) asks the other replicas of its availability
 // zone before it orders its target to load. io/version/order calls Machine and does
-// the network work; io/process/side calls Place and io/version/swarm calls Placed.
+// the network work; io/process/side calls WantOf and io/version/swarm calls
+// PlacedVMs.
 package roll
 
 import (
@@ -58,10 +59,10 @@
 	return w, true
 }
 
-// PlacedVMs returns the VMs that serve svc in the zone of self: the first live VMs by
-// rendezvous hash, as many as the document asks for. self is counted even when the
-// VM list, which lags behind, does not contain it yet; otherwise a new VM would wait
-// for the list before it fetches its first byte.
+// PlacedVMs returns the VMs that serve svc in the zone of self: the first live VMs
+// by rendezvous hash, as many as the document asks for. self is counted even when
+// the VM list, which lags behind, does not contain it yet; otherwise a new VM would
+// wait for the list before it fetches its first byte.
 func PlacedVMs(v view.View, svc envdoc.Service, self fleet.VM) []fleet.VM {
 	var live []fleet.VM
 	seen := false
--- a/core/version/spread/acquire.go
+++ b/core/version/spread/acquire.go
@@ -289,7 +289,8 @@
 // anyAvoided reports whether any peer is avoided now.
 func (s *State) anyAvoided(now time.Time) bool { return now.Before(s.avoidEnd) }
 
-// fetchAllFromOrigin is startDue for Config.OriginOnly: it fetches every chunk from the origin.
+// fetchAllFromOrigin is startDue for Config.OriginOnly: it fetches every chunk from the
+// origin.
 func (s *State) fetchAllFromOrigin(now time.Time, v *version) {
 	for _, c := range v.chunks {
 		if c.held || c.pending() || now.Before(c.retryAt) {
--- a/core/version/spread/action.go
+++ b/core/version/spread/action.go
@@ -27,8 +27,8 @@
 	Reason string
 }
 
-// StopTransfer ends a transfer that was started: it timed out, it need not wait for the peer to
-// get the chunk, or the chunk is no longer wanted.
+// StopTransfer ends a transfer that was started: it timed out, it need not wait for the
+// peer to get the chunk, or the chunk is no longer wanted.
 type StopTransfer struct {
 	Chunk  chunk.Digest
 	Peer   string
@@ -44,9 +44,9 @@
 // AcceptOffers tells a peer whose offer was refused that it may offer again.
 type AcceptOffers struct{ Peer string }
 
-// Announce tells a peer about chunks of one manifest: Have are held by this side, Seen
-// by some side of the region, and Tried are those that some side keeps trying to fetch
-// for the region.
+// Announce tells a peer about chunks of one manifest: Have are held by this side,
+// HeldInRegion by some side of the region, and Retrying are those that some side keeps
+// trying to fetch for the region.
 type Announce struct {
 	Peer         string
 	Manifest     chunk.Digest
--- a/core/version/spread/bits.go
+++ b/core/version/spread/bits.go
@@ -18,7 +18,7 @@
 	return i >= 0 && i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0
 }
 
-// WantedVersion adds i.
+// Set adds i.
 func (b Bits) Set(i int) { b[i/8] |= 1 << (i % 8) }
 
 // withIndexes returns b with the given indexes added, grown as needed. Indexes
--- a/core/version/spread/burst.go
+++ b/core/version/spread/burst.go
@@ -1,4 +1,4 @@
-// Package burst decides how the chunks of wanted model versions reach every
+// Package spread decides how the chunks of wanted model versions reach every
 // side, the process that runs beside one target. It is called by
 // io/version/swarm, which does the network and disk work. A State is given
 // events with the time at which they happened and returns the actions to take;
@@ -27,13 +27,14 @@
 	DefaultDegree = 6
 	// DefaultUploadSlots is how many chunks a side sends at a time.
 	DefaultUploadSlots = 3
-	// DefaultDownloadSlots is how many chunks a side takes from its neighbours at a time.
+	// DefaultDownloadSlots is how many chunks a side takes from its neighbours at a
+	// time.
 	DefaultDownloadSlots = 4
 	// DefaultImportSlots is how many chunks are transferred at a time between each
 	// pair of regions.
 	DefaultImportSlots = 2
-	// FastLinkImportSlots is the same for a region link that carries more than the sides
-	// can receive: starting the next chunk without delay then matters more than
+	// FastLinkImportSlots is the same for a region link that carries more than the
+	// sides can receive: starting the next chunk without delay then matters more than
 	// how soon a single chunk has passed all regions.
 	FastLinkImportSlots = 4
 	// DefaultFanout makes each region pass a chunk on to one other region, so
@@ -61,7 +62,7 @@
 	Region string
 }
 
-// WantedVersion is one wanted version and the sides that want it, this one included.
+// WantedVersion is a version and the sides that want it, this one included.
 type WantedVersion struct {
 	ID       chunk.Digest
 	Manifest chunk.Manifest
@@ -73,7 +74,7 @@
 	Staged []chunk.Digest
 }
 
-// Config tunes a State. Zero values are replaced by the defaults. Direct makes
+// Config tunes a State. Zero values are replaced by the defaults. OriginOnly makes
 // every side fetch everything from the origin; the load tool (bench/burst) uses
 // it as its baseline.
 type Config struct {
@@ -220,7 +221,7 @@
 	refusing      bool
 	refusingUntil time.Time
 	// owedReady is set while this side has refused the peer's offer and not yet
-	// sent it a Ready.
+	// sent it an AcceptOffers.
 	owedReady bool
 	// uploads counts the upload slots in use for the peer.
 	uploads        int
@@ -304,7 +305,7 @@
 	Bytes int64
 }
 
-// Progress returns the progress of the wanted version id.
+// Progress returns how much of the wanted version id this side holds.
 func (s *State) Progress(id chunk.Digest) (Progress, bool) {
 	for _, v := range s.versions {
 		if v.id != id {
--- a/core/version/spread/retry.go
+++ b/core/version/spread/retry.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Tried handles a peer's notice that some side of the region keeps trying to fetch
-// chunks.
+// RetriesReported handles a peer's notice that some side of the region keeps trying to
+// fetch chunks.
 func (s *State) RetriesReported(now time.Time, name string, id chunk.Digest, tried []int) []Action {
 	v := s.version(id)
 	p, ok := s.peers[name]
--- a/core/version/spread/suspect.go
+++ b/core/version/spread/suspect.go
@@ -27,8 +27,9 @@
 	s.resetRanks()
 }
 
-// ConnectionRefused is called when a connection to a side was refused because no process listens:
-// the side has stopped. The sides after it need not wait until its chunks are overdue.
+// ConnectionRefused is called when a connection to a side was refused because no
+// process listens: the side has stopped. The sides after it need not wait until its
+// chunks are overdue.
 func (s *State) ConnectionRefused(now time.Time, name string) []Action {
 	s.markDown(now, []string{name}, "")
 	return s.decide(now)
--- a/core/version/spread/trade.go
+++ b/core/version/spread/trade.go
@@ -4,7 +4,7 @@
 
 // Limits of offers and refusals.
 const (
-	// refusalLifetime bounds how long a refused offer is respected: if the Ready
+	// refusalLifetime bounds how long a refused offer is respected: if the AcceptOffers
 	// was lost, the two sides would otherwise never trade again.
 	refusalLifetime = time.Second
 	// readyPerFreeSlot is how many peers are told of one free download slot.
@@ -99,8 +99,8 @@
 	return n
 }
 
-// OfferReceived handles a peer's offer of one chunk: of the chunks the peer holds, this side
-// requests the one that the fewest neighbours hold, at random among equals.
+// OfferReceived handles a peer's offer of one chunk: of the chunks the peer holds, this
+// side requests the one that the fewest neighbours hold, at random among equals.
 func (s *State) OfferReceived(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok || !s.near(p) {
@@ -192,8 +192,8 @@
 	}
 }
 
-// UploadEnded is called when the chunk that a peer requested on an offer has been sent, or
-// will not be.
+// UploadEnded is called when the chunk that a peer requested on an offer has been sent,
+// or will not be.
 func (s *State) UploadEnded(now time.Time, name string) []Action {
 	p, ok := s.peers[name]
 	if !ok {
--- a/core/version/spread/transfer.go
+++ b/core/version/spread/transfer.go
@@ -18,9 +18,9 @@
 	c.deadline = now.Add(s.startTimeout(c.via))
 }
 
-// BytesReceived is called when bytes of a transfer came in. From then on a pause as long as
-// a mean transfer takes means that it has stalled. A transfer from a peer also has a limit
-// of its total time, so that it cannot go on for ever at a trickle.
+// BytesReceived is called when bytes of a transfer came in. From then on a pause as
+// long as a mean transfer takes means that it has stalled. A transfer from a peer also
+// has a limit of its total time, so that it cannot go on for ever at a trickle.
 func (s *State) BytesReceived(now time.Time, d chunk.Digest) []Action {
 	c, ok := s.chunks[d]
 	if !ok || !c.pending() {
@@ -49,10 +49,10 @@
 	return s.decide(now)
 }
 
-// ImportDeferred is called when the peer of an import wants the chunk too but does not hold it
-// yet. That is a fault neither of the peer nor of the sides of this region that rank
-// before this one. Only the first in rank waits at that peer, or the chunk would cross
-// the region link once for each side that waits.
+// ImportDeferred is called when the peer of an import wants the chunk too but does not
+// hold it yet. That is a fault neither of the peer nor of the sides of this region that
+// rank before this one. Only the first in rank waits at that peer, or the chunk would
+// cross the region link once for each side that waits.
 func (s *State) ImportDeferred(now time.Time, d chunk.Digest, from string) []Action {
 	c, ok := s.chunks[d]
 	if !ok || c.via != ViaImport || c.source != from || c.receiving || c.awaitingPeer {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TransferFailed is called when a transfer ended without the chunk. after is the Retry-After of
-// the origin, zero otherwise.
+// TransferFailed is called when a transfer ended without the chunk. after is the
+// Retry-After of the origin, zero otherwise.
 func (s *State) TransferFailed(now time.Time, d chunk.Digest, from string, why Failure, after time.Duration) []Action {
 	c, ok := s.chunks[d]
 	if !ok || !c.pending() || c.source != from {
--- a/core/version/tree/tree.go
+++ b/core/version/tree/tree.go
@@ -15,8 +15,8 @@
 
 // Sizes of the tree.
 const (
-	// RootsPerRegion is how many sides of a region read from the origin at once. With a single
-	// one that is dead, the region would wait for the next in rank.
+	// RootsPerRegion is how many sides of a region read from the origin at once. With a
+	// single one that is dead, the region would wait for the next in rank.
 	RootsPerRegion = 2
 	// Fanout is how many sides read from the same side.
 	Fanout = 4
@@ -35,12 +35,12 @@
 
 // Plan says whom a side asks in one attempt.
 type Plan struct {
-	// OriginFirst is set for a side that asks the origin before its peers, and Origin
-	// for one that asks it at all.
+	// OriginFirst is set for a side that asks the origin before its peers, and
+	// AskOrigin for one that asks it at all.
 	OriginFirst bool
 	AskOrigin   bool
 	// Parent is a side of the region: the one above this one in the tree or, after a
-	// failure, one of the roots. Other is a side of any region, since all sides near
+	// failure, one of the roots. Fallback is a side of any region, since all sides near
 	// the top of a region's tree may be dead or cut off.
 	Parent   []fleet.VM
 	Fallback []fleet.VM
