--- a/io/conn/frame/frame.go
+++ b/io/conn/frame/frame.go
@@ -1,6 +1,8 @@
-// Package frame carries typed messages over a TCP connection between two
+// Package frame encodes typed messages for a TCP connection between two
 // processes of the system. A frame is a four-byte big-endian length, then a
-// msgpack header and a msgpack body.
+// msgpack header and a msgpack body. Package link reads and writes the frames;
+// the packages that define messages implement Message and register them in
+// Kinds.
 package frame
 
 import (
@@ -14,57 +16,60 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// MaxFrame is the most bytes that a frame may hold after its length. It
-// bounds what a peer can make this process allocate.
+// MaxFrame is the maximum size in bytes of a frame without its length prefix.
+// It limits how much memory a peer can make this process allocate.
 const MaxFrame = 1 << 20
 
-// readBuffer is the size in bytes of a reader's buffer; what is longer is read past
-// it. An entry has a connection to each of a hundred targets.
+// readBuffer is the size in bytes of a reader's buffer. It is small because an
+// entry has a connection to each of a hundred targets; the remainder of a longer
+// frame is read directly into the frame's own buffer.
 const readBuffer = 8 << 10
 
-// lengthSize is the size in bytes of the length before each frame.
+// lengthSize is the size in bytes of the length prefix of each frame.
 const lengthSize = 4
 
-// ErrTooLong is returned for a frame over MaxFrame.
-var ErrTooLong = errors.New("frame is longer than the bound")
+// ErrTooLong is returned for a frame longer than MaxFrame.
+var ErrTooLong = errors.New("frame exceeds the maximum size")
 
-// Kind names a message type on the wire.
+// Kind identifies a message type on the wire.
 type Kind string
 
-// Message is a typed message. Check is called on every decoded message.
+// Message is a typed message. Check validates it; Reader calls Check on every
+// message that it decodes.
 type Message interface {
 	Kind() Kind
 	Check() error
 }
 
-// Header goes before each message. Revision is the highest configuration
-// revision that the sender holds, so that one that is behind finds out at
-// first contact.
+// Header precedes each message. Revision is the highest configuration revision
+// that the sender has, so that a receiver with an older one learns of it from
+// the first message.
 type Header struct {
 	Kind     Kind   `msgpack:"k"`
 	Revision uint64 `msgpack:"r"`
 }
 
-// Kinds makes an empty message of each kind that a connection may carry.
+// Kinds maps each message kind that a connection accepts to a function that
+// returns an empty message to decode into.
 type Kinds map[Kind]func() Message
 
-// Register adds the kind of the message that makeNew makes.
+// Register adds the kind of the message that makeNew returns.
 func (k Kinds) Register(makeNew func() Message) {
 	k[makeNew().Kind()] = makeNew
 }
 
-// Writer writes frames; it is safe for concurrent use. Each frame is handed
-// to the connection whole.
+// Writer writes frames; it is safe for concurrent use. Each frame is written
+// with a single call of Write on the underlying writer.
 type Writer struct {
 	mu  sync.Mutex
 	w   io.Writer
 	buf bytes.Buffer
 }
 
-// NewWriter returns a Writer on w.
+// NewWriter returns a Writer that writes to w.
 func NewWriter(w io.Writer) *Writer { return &Writer{w: w} }
 
-// Write writes one message with the revision of the sender.
+// Write writes m as one frame. revision goes into its Header.
 func (w *Writer) Write(m Message, revision uint64) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,20 +93,21 @@
 	return err
 }
 
-// Reader reads frames; it is for one goroutine.
+// Reader reads frames; it is not safe for concurrent use.
 type Reader struct {
 	r     *bufio.Reader
 	kinds Kinds
 	buf   []byte
 }
 
-// NewReader returns a Reader on r that accepts the given kinds.
+// NewReader returns a Reader that reads from r and accepts the given kinds.
 func NewReader(r io.Reader, kinds Kinds) *Reader {
 	return &Reader{r: bufio.NewReaderSize(r, readBuffer), kinds: kinds}
 }
 
-// Read returns the next message, decoded and checked. Byte slices in the
-// message are its own. At the end of the stream it returns io.EOF.
+// Read returns the next message after decoding and checking it. Byte slices in
+// the message are copies and stay valid after the next Read. At the end of the
+// stream it returns io.EOF.
 func (r *Reader) Read() (Message, Header, error) {
 	var length [lengthSize]byte
 	if _, err := io.ReadFull(r.r, length[:]); err != nil {
--- a/io/conn/frame/fuzz_test.go
+++ b/io/conn/frame/fuzz_test.go
@@ -8,26 +8,26 @@
 	"github.com/cockroachdb/errors"
 )
 
-type fuzzed struct {
+type checkedMessage struct {
 	Text string `msgpack:"text"`
 	Data []byte `msgpack:"data"`
 }
 
-func (*fuzzed) Kind() Kind { return "fuzzed" }
+func (*checkedMessage) Kind() Kind { return "fuzzed" }
 
-func (f *fuzzed) Check() error {
+func (f *checkedMessage) Check() error {
 	if len(f.Text) > 10 {
 		return errors.New("text is too long")
 	}
 	return nil
 }
 
-// FuzzRead feeds a Reader with whatever a peer may send: it must return
-// messages that pass their check, or an error, and never panic.
+// FuzzRead passes arbitrary bytes to a Reader: it must return only messages that
+// pass Check, or an error, and never panic.
 func FuzzRead(f *testing.F) {
 	var buf bytes.Buffer
 	w := NewWriter(&buf)
-	for _, m := range []*fuzzed{{Text: "a"}, {Data: []byte{1, 2}}} {
+	for _, m := range []*checkedMessage{{Text: "a"}, {Data: []byte{1, 2}}} {
 		if err := w.Write(m, 3); err != nil {
 			f.Fatal(err)
 		}
@@ -37,7 +37,7 @@
 	f.Add([]byte{0, 0, 0, 3, 0xc1, 0xff, 0xdf})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		kinds := Kinds{}
-		kinds.Register(func() Message { return &fuzzed{} })
+		kinds.Register(func() Message { return &checkedMessage{} })
 		r := NewReader(bytes.NewReader(b), kinds)
 		for {
 			m, _, err := r.Read()
@@ -45,14 +45,15 @@
 				return
 			}
 			if err := m.Check(); err != nil {
-				t.Fatalf("message that fails its check was returned: %v", err)
+				t.Fatalf("Read returned a message that fails its check: %v", err)
 			}
 		}
 	})
 }
 
-// A frame over the bound is refused before anything is allocated for it.
-func TestFrameOverBoundIsRefused(t *testing.T) {
+// Guards against allocating a buffer for a frame longer than MaxFrame: Read must
+// fail as soon as it has the length. The test gives it only the length.
+func TestReadRejectsTooLongFrame(t *testing.T) {
 	b := binary.BigEndian.AppendUint32(nil, MaxFrame+1)
 	_, _, err := NewReader(bytes.NewReader(b), Kinds{}).Read()
 	if !errors.Is(err, ErrTooLong) {
