--- a/io/conn/link/link.go
+++ b/io/conn/link/link.go
@@ -1,7 +1,8 @@
-// Package link opens and accepts connections between processes of the
-// system. The first message each way is a Hello; its purpose selects who
-// handles the connection, so that bulk transfers never share a connection
-// with calls.
+// Package link opens and accepts connections between the entries and sides of the
+// system. Each end first sends a Hello. Its Purpose selects the handler at the
+// accepting process; bulk transfers have their own purpose, so that calls never
+// wait behind them on a connection. Every package that talks to peers uses Dial
+// or Ask and provides a Handler for the process's Listener.
 package link
 
 import (
@@ -19,38 +20,47 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Purpose says what a connection is for.
+// Purpose selects the handler of a connection and the messages that it carries.
 type Purpose string
 
 // The purposes of a connection.
 const (
-	PurposeCalls   Purpose = "calls"
+	// PurposeCalls carries callers' requests from entries to sides (package sessn).
+	PurposeCalls Purpose = "calls"
+	// PurposeWeights carries chunks of model weights between sides.
 	PurposeWeights Purpose = "weights"
-	PurposeConfig  Purpose = "config"
-	PurposeOrders  Purpose = "orders"
-	// PurposeLoad carries an engine's load from its side to the entries, and
-	// PurposeEditions the manifests of versions between sides.
-	PurposeLoad     Purpose = "load"
+	// PurposeConfig carries configuration documents and lists of VMs (package watch)
+	// or facts about the platform's state (package feed).
+	PurposeConfig Purpose = "config"
+	// PurposeOrders carries the question of a side that is to load weights, and the
+	// answering side's own load status (package order).
+	PurposeOrders Purpose = "orders"
+	// PurposeLoad carries an engine's load from its side to the entries.
+	PurposeLoad Purpose = "load"
+	// PurposeEditions carries the manifests of versions between sides.
 	PurposeEditions Purpose = "editions"
 	// PurposeAlerts carries which requests crash targets.
 	PurposeAlerts Purpose = "alerts"
 )
 
-// HelloTimeout bounds the wait for the peer's Hello.
+// HelloTimeout is how long either end waits for the peer's Hello. Without it, a
+// peer that connects and sends nothing would occupy a goroutine and a socket for
+// ever.
 const HelloTimeout = 5 * time.Second
 
-// Hello is the first message each way. Boot is drawn anew by each start of a
-// process, so that a replaced process is never taken for the old one.
+// Hello is the first message in each direction. Boot is a new random value at each
+// start of a process, so that a restarted process is not mistaken for its
+// predecessor.
 type Hello struct {
 	Purpose Purpose  `msgpack:"purpose"`
 	Boot    string   `msgpack:"boot"`
 	VM      fleet.VM `msgpack:"vm"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Hello) Kind() frame.Kind { return "hello" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (h *Hello) Check() error {
 	if !slices.Contains(Purposes(), h.Purpose) {
 		return errors.Newf("hello: unknown purpose %q", h.Purpose)
@@ -61,45 +71,47 @@
 	return h.VM.Check()
 }
 
-// Self is what a process tells its peers of itself. Revision is the highest
-// configuration revision held; it is raised as documents arrive.
+// Self describes this process to its peers and holds its traffic totals. Revision
+// is the highest configuration revision that the process has; packages watch and
+// feed raise it.
 type Self struct {
 	VM       fleet.VM
 	Boot     string
 	Revision atomic.Uint64
 	Totals   Totals
 
-	ahead atomic.Pointer[AheadFunc]
+	peerAhead atomic.Pointer[AheadFunc]
 }
 
-// AheadFunc is told of a peer that has shown a revision above the one held
-// here. It must not block.
+// AheadFunc is called with a peer that has sent a higher configuration revision
+// than Self.Revision. It must not block.
 type AheadFunc func(peer fleet.VM, revision uint64)
 
-// NotifyAhead sets who is told of peers that are ahead, on connections of
-// every purpose.
-func (s *Self) NotifyAhead(f AheadFunc) { s.ahead.Store(&f) }
+// NotifyAhead sets the function to call when a peer has a higher revision, on
+// connections of every purpose.
+func (s *Self) NotifyAhead(f AheadFunc) { s.peerAhead.Store(&f) }
 
-// see compares the revision of a frame with the one held here.
-func (s *Self) see(peer fleet.VM, revision uint64) {
+// compareRevision calls the AheadFunc when a peer's frame has a higher revision than
+// this process.
+func (s *Self) compareRevision(peer fleet.VM, revision uint64) {
 	if revision <= s.Revision.Load() {
 		return
 	}
-	if f := s.ahead.Load(); f != nil {
+	if f := s.peerAhead.Load(); f != nil {
 		(*f)(peer, revision)
 	}
 }
 
-// Conn is one connection after both Hellos. Send is safe for concurrent use,
-// Receive is for one goroutine.
+// Conn is a connection on which both Hellos have been exchanged. Send is safe for
+// concurrent use, Receive is not.
 type Conn struct {
 	Peer Hello
 
 	self *Self
-	nc   *counted
+	nc   *countingConn
 	w    *frame.Writer
 	r    *frame.Reader
-	// PeerRevision is the highest revision that the peer has shown.
+	// PeerRevision is the highest configuration revision that the peer has sent.
 	PeerRevision atomic.Uint64
 }
 
@@ -118,21 +130,21 @@
 	if h.Revision > c.PeerRevision.Load() {
 		c.PeerRevision.Store(h.Revision)
 	}
-	c.self.see(c.Peer.VM, h.Revision)
+	c.self.compareRevision(c.Peer.VM, h.Revision)
 	return m, nil
 }
 
-// SetReadDeadline bounds the next Receive; the zero time removes the bound.
+// SetReadDeadline sets the deadline of Receive; the zero time removes it.
 func (c *Conn) SetReadDeadline(t time.Time) error { return c.nc.SetReadDeadline(t) }
 
-// SetWriteDeadline bounds the next Send; the zero time removes the bound.
+// SetWriteDeadline sets the deadline of Send; the zero time removes it.
 func (c *Conn) SetWriteDeadline(t time.Time) error { return c.nc.SetWriteDeadline(t) }
 
-// Close closes the connection; a blocked Receive returns.
+// Close closes the connection; a blocked Receive returns an error.
 func (c *Conn) Close() error { return c.nc.Close() }
 
-// Dial connects to the process at addr for purpose and exchanges Hellos.
-// kinds are the messages that the caller accepts.
+// Dial connects to the process at addr for purpose and exchanges Hellos. kinds are
+// the messages that the caller accepts. ctx applies only until Dial returns.
 func Dial(ctx context.Context, self *Self, addr netip.AddrPort, purpose Purpose, kinds frame.Kinds) (*Conn, error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", addr.String())
@@ -142,15 +154,15 @@
 	c := newConn(self, nc, kinds)
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
-	if err := c.greet(purpose); err != nil {
+	if err := c.sendHello(purpose); err != nil {
 		nc.Close()
 		return nil, fault.At("greet", addr.String(), err)
 	}
-	if err := c.awaitHello(); err != nil {
+	if err := c.receiveHello(); err != nil {
 		nc.Close()
 		return nil, fault.At("await hello", addr.String(), err)
 	}
-	c.nc.belong(self, purpose, c.Peer.VM)
+	c.nc.addToTotals(self, purpose, c.Peer.VM)
 	return c, nil
 }
 
@@ -160,15 +172,15 @@
 		all[k] = f
 	}
 	all.Register(func() frame.Message { return &Hello{} })
-	cc := &counted{Conn: nc}
+	cc := &countingConn{Conn: nc}
 	return &Conn{self: self, nc: cc, w: frame.NewWriter(cc), r: frame.NewReader(cc, all)}
 }
 
-func (c *Conn) greet(p Purpose) error {
+func (c *Conn) sendHello(p Purpose) error {
 	return c.w.Write(&Hello{Purpose: p, Boot: c.self.Boot, VM: c.self.VM}, c.self.Revision.Load())
 }
 
-func (c *Conn) awaitHello() error {
+func (c *Conn) receiveHello() error {
 	if err := c.nc.SetReadDeadline(time.Now().Add(HelloTimeout)); err != nil {
 		return err
 	}
@@ -182,6 +194,6 @@
 	}
 	c.Peer = *hello
 	c.PeerRevision.Store(h.Revision)
-	c.self.see(c.Peer.VM, h.Revision)
+	c.self.compareRevision(c.Peer.VM, h.Revision)
 	return c.nc.SetReadDeadline(time.Time{})
 }
--- a/io/conn/link/link_test.go
+++ b/io/conn/link/link_test.go
@@ -12,12 +12,12 @@
 	"hawthornferry/io/conn/frame"
 )
 
-type note struct {
+type textMessage struct {
 	Text string `msgpack:"text"`
 }
 
-func (*note) Kind() frame.Kind { return "note" }
-func (*note) Check() error     { return nil }
+func (*textMessage) Kind() frame.Kind { return "note" }
+func (*textMessage) Check() error     { return nil }
 
 func testSelf(name string) *Self {
 	s := &Self{Boot: name + "-boot"}
@@ -32,15 +32,15 @@
 	return s
 }
 
-// A caller of Dial sees the peer's Hello and gets its message back: the
-// listener hands the connection to the handler of its purpose.
-func TestDialReachesHandlerOfPurpose(t *testing.T) {
+// Dial exchanges Hellos with a Listener, which passes the connection to the handler
+// of its purpose. The handler echoes a message.
+func TestListenerSelectsHandlerByPurpose(t *testing.T) {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	kinds := frame.Kinds{}
-	kinds.Register(func() frame.Message { return &note{} })
+	kinds.Register(func() frame.Message { return &textMessage{} })
 	echo := Handler{Kinds: kinds, Serve: func(_ context.Context, c *Conn) {
 		m, err := c.Receive()
 		if err == nil {
@@ -64,14 +64,14 @@
 	if diff := cmp.Diff("b-boot", c.Peer.Boot); diff != "" {
 		t.Errorf("peer boot (-want +got):\n%s", diff)
 	}
-	if err := c.Send(&note{Text: "hello"}); err != nil {
+	if err := c.Send(&textMessage{Text: "hello"}); err != nil {
 		t.Fatal(err)
 	}
 	got, err := c.Receive()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(&note{Text: "hello"}, got); diff != "" {
+	if diff := cmp.Diff(&textMessage{Text: "hello"}, got); diff != "" {
 		t.Errorf("echo (-want +got):\n%s", diff)
 	}
 	c.Close()
--- a/io/conn/link/listen.go
+++ b/io/conn/link/listen.go
@@ -11,32 +11,34 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Handler serves one accepted connection and returns when it is done with
-// it; the listener then closes the connection.
+// Handler serves the accepted connections of one purpose. Kinds are the messages
+// that it accepts. Serve is called for each connection in its own goroutine; when
+// it returns, the listener closes the connection.
 type Handler struct {
 	Kinds frame.Kinds
 	Serve func(ctx context.Context, c *Conn)
 }
 
-// Listener accepts peers and hands each connection to the handler of its
+// Listener accepts connections from peers and passes each to the handler of its
 // purpose. Set the exported fields before Run.
 type Listener struct {
 	Self     *Self
 	Net      net.Listener
 	Handlers map[Purpose]Handler
-	// Rejected is told of each connection that ended before its handler.
+	// Rejected, when set, is called with the reason for each connection that was
+	// closed before it reached a handler.
 	Rejected func(error)
 }
 
-// Run accepts until ctx ends, then waits for the handlers to return.
+// Run accepts connections until ctx ends, then waits for the handlers to return.
 func (l *Listener) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer l.closeOn(ctx)()
+	defer l.closeWhenDone(ctx)()
 	for {
 		nc, err := l.Net.Accept()
 		if ctx.Err() != nil {
-			closeLate(nc)
+			closeUnserved(nc)
 			return nil
 		}
 		if err != nil {
@@ -46,10 +48,11 @@
 	}
 }
 
-// closeOn closes the listener when ctx ends. The function returned makes sure
-// that it is closed, and waits for a close under way: a process that is
-// replaced would find its port in use.
-func (l *Listener) closeOn(ctx context.Context) func() {
+// closeWhenDone closes the listener when ctx ends. The function that it returns
+// closes the listener if that has not happened, and waits for a close in progress.
+// If Run returned earlier, the process that replaces this one could find its port
+// in use.
+func (l *Listener) closeWhenDone(ctx context.Context) func() {
 	closed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		l.Net.Close()
@@ -64,9 +67,9 @@
 	}
 }
 
-// closeLate closes a connection that was accepted while the listener ended.
-// Left open, it would be silent for its peer, which would wait for a Hello.
-func closeLate(nc net.Conn) {
+// closeUnserved closes a connection that was accepted after ctx ended. If it stayed
+// open, the peer would wait for a Hello until its timeout.
+func closeUnserved(nc net.Conn) {
 	if nc != nil {
 		nc.Close()
 	}
@@ -77,7 +80,7 @@
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
 	c := newConn(l.Self, nc, l.allKinds())
-	if err := c.awaitHello(); err != nil {
+	if err := c.receiveHello(); err != nil {
 		l.reject(fault.At("await hello", nc.RemoteAddr().String(), err))
 		return
 	}
@@ -86,11 +89,11 @@
 		l.reject(fault.At("accept", c.Peer.VM.Name, errors.Newf("no handler for %s", c.Peer.Purpose)))
 		return
 	}
-	if err := c.greet(c.Peer.Purpose); err != nil {
+	if err := c.sendHello(c.Peer.Purpose); err != nil {
 		l.reject(fault.At("greet", c.Peer.VM.Name, err))
 		return
 	}
-	c.nc.belong(l.Self, c.Peer.Purpose, c.Peer.VM)
+	c.nc.addToTotals(l.Self, c.Peer.Purpose, c.Peer.VM)
 	h.Serve(ctx, c)
 }
 
--- a/io/conn/link/listen_test.go
+++ b/io/conn/link/listen_test.go
@@ -9,40 +9,41 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// ledger counts the connections that a listener hands out and that are then
-// closed.
-type ledger struct {
+// openCounter wraps a listener and counts the accepted connections that are still
+// open.
+type openCounter struct {
 	net.Listener
 	open atomic.Int64
 }
 
-func (l *ledger) Accept() (net.Conn, error) {
+func (l *openCounter) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	l.open.Add(1)
-	return &entered{Conn: nc, ledger: l}, nil
+	return &openConn{Conn: nc, openCounter: l}, nil
 }
 
-type entered struct {
+// openConn is a connection that openCounter has accepted.
+type openConn struct {
 	net.Conn
-	ledger *ledger
-	closed atomic.Bool
+	openCounter *openCounter
+	closed      atomic.Bool
 }
 
-func (e *entered) Close() error {
+func (e *openConn) Close() error {
 	if !e.closed.Swap(true) {
-		e.ledger.open.Add(-1)
+		e.openCounter.open.Add(-1)
 	}
 	return e.Conn.Close()
 }
 
-// A side that is replaced finds its port in use, and a peer that connected
-// at that moment hears nothing: the listener's context ends while Accept
-// hands out one more connection, and Run returned before the listener was
-// closed, leaving that connection open. Each round races the two.
-func TestListenerLeavesNothingOpen(t *testing.T) {
+// Guards against a Run that returns before the listener is closed, or that leaves
+// a connection open which Accept returned while ctx ended. The side that replaces
+// this one would find its port in use, and the peer would wait for a Hello. Each
+// round races the end of ctx against a new connection.
+func TestRunClosesListenerAndLateConnections(t *testing.T) {
 	const rounds = 300
 	addr := "127.0.0.3:0"
 	for range rounds {
@@ -52,7 +53,7 @@
 		}
 		addr = nl.Addr().String()
 		ctx, cancel := context.WithCancel(context.Background())
-		counted := &ledger{Listener: nl}
+		counted := &openCounter{Listener: nl}
 		l := &Listener{Self: testSelf("a"), Net: counted}
 		done := make(chan error, 1)
 		go func() { done <- l.Run(ctx) }()
