--- a/io/conn/sessn/beat.go
+++ b/io/conn/sessn/beat.go
@@ -8,8 +8,8 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Load is the target's own account of its load. Known is false until the
-// side has heard of it.
+// Load is the load that the target itself reports. Known is false until the side
+// has received a report.
 type Load struct {
 	Known    bool `msgpack:"k"`
 	Running  int  `msgpack:"r"`
@@ -17,8 +17,10 @@
 	Capacity int  `msgpack:"c"`
 }
 
-// Heartbeat is sent by the side at a steady rate, and at once when something
-// in it has changed. Kinds of service without weights have an empty Serving.
+// Heartbeat is sent by the side at a fixed interval, and at once when its content
+// has changed. Reading is the side's clock. Leaving means that the target takes no
+// new calls, Ready that it can serve calls. Serving is the manifest of the version
+// that the target serves; it is empty for a service without weights.
 type Heartbeat struct {
 	Reading lease.Reading `msgpack:"r"`
 	Leaving bool          `msgpack:"l"`
@@ -27,32 +29,32 @@
 	Load    Load          `msgpack:"o"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Heartbeat) Kind() frame.Kind { return "beat" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Heartbeat) Check() error { return m.Reading.Check() }
 
-// PrefixEvent says that the target now holds a prompt prefix in its cache, or
-// does so no longer.
+// PrefixEvent says that the target has stored a prompt prefix in its cache, or has
+// removed it.
 type PrefixEvent struct {
 	Prefix uint64 `msgpack:"p"`
 	Stored bool   `msgpack:"s"`
 }
 
-// MaxEvents bounds the events of one message.
+// MaxEvents is the maximum number of events in one message.
 const MaxEvents = 1024
 
-// Events carries the target's cache events on, in their order. They come
-// late and some are lost.
+// Events carries the target's cache events to an entry, in order. They arrive with
+// a delay, and some are lost.
 type Events struct {
 	Events []PrefixEvent `msgpack:"e"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Events) Kind() frame.Kind { return "events" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Events) Check() error {
 	if len(m.Events) > MaxEvents {
 		return errors.Newf("events: %d, want at most %d", len(m.Events), MaxEvents)
@@ -60,11 +62,12 @@
 	return nil
 }
 
-// Alive answers a Heartbeat, so that the side too finds a silent connection.
+// Alive is the entry's answer to a Heartbeat. With it the side too can detect a dead
+// connection.
 type Alive struct{}
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Alive) Kind() frame.Kind { return "alive" }
 
-// Check finds nothing to check.
+// Check returns nil, since the message has no fields.
 func (*Alive) Check() error { return nil }
--- a/io/conn/sessn/call.go
+++ b/io/conn/sessn/call.go
@@ -9,49 +9,50 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// ErrLost is returned for a call whose connection failed or went silent: it
-// says nothing of whether the call ran.
+// ErrLost is returned for a call whose connection failed or was closed because
+// nothing was received on it. The call may or may not have run.
 var ErrLost = errors.New("connection lost with the call outstanding")
 
-// ErrUnsent is returned for a call that certainly did not leave.
+// ErrUnsent is returned for a call of which nothing was sent, so that it has not run.
 var ErrUnsent = errors.New("no connection to the side")
 
-// ErrCrossed is returned when an answer's blocks do not follow each other.
-var ErrCrossed = errors.New("answer block out of place")
+// ErrCrossed is returned when a block of a body does not begin where the previous
+// one ended.
+var ErrCrossed = errors.New("block at an unexpected position")
 
-// Call is the entry's end of one call on one connection. Its methods are for
-// one goroutine.
+// Call is the entry's end of one call on one connection. Its exported methods are
+// not safe for concurrent use.
 type Call struct {
 	channel Channel
 
 	conn *entryConn
 
 	mu    sync.Mutex
-	parts []frame.Message
-	// held is the number of answer bytes in parts.
-	held int
-	err  error
-	wake chan struct{}
-
-	position int
-	owed     int
+	queue []frame.Message
+	// queuedBytes is the number of answer bytes in queue.
+	queuedBytes int
+	err         error
+	wake        chan struct{}
+
+	position   int
+	uncredited int
 }
 
 func newCall(id Channel, c *entryConn) *Call {
 	return &Call{channel: id, conn: c, wake: make(chan struct{}, 1)}
 }
 
-// Next returns the next message of the call: Verdict, Head, Data, End or
-// Refusal. It returns ErrLost once the connection is gone and what came
-// before has been returned.
+// Next returns the next message of the call: Verdict, Head, Data, End or Refusal.
+// When the connection has ended it returns the messages received before, then
+// ErrLost.
 func (c *Call) Next(ctx context.Context) (frame.Message, error) {
 	for {
-		m, err := c.take()
+		m, err := c.dequeue()
 		if err != nil {
 			return nil, err
 		}
 		if m != nil {
-			return m, c.follow(m)
+			return m, c.checkPosition(m)
 		}
 		select {
 		case <-c.wake:
@@ -61,28 +62,28 @@
 	}
 }
 
-func (c *Call) take() (frame.Message, error) {
+func (c *Call) dequeue() (frame.Message, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.parts) > 0 {
-		m := c.parts[0]
-		c.parts = c.parts[1:]
-		c.held -= sizeOf(m)
+	if len(c.queue) > 0 {
+		m := c.queue[0]
+		c.queue = c.queue[1:]
+		c.queuedBytes -= answerBytes(m)
 		return m, nil
 	}
 	return nil, c.err
 }
 
-// follow checks that the blocks of the answer follow each other and gives
-// credit for what has been taken.
-func (c *Call) follow(m frame.Message) error {
+// checkPosition checks that m continues the answer where the previous block ended,
+// and gives the side credit for the bytes that the caller has taken.
+func (c *Call) checkPosition(m frame.Message) error {
 	switch m := m.(type) {
 	case *Data:
 		if m.Position != c.position {
 			return errors.Wrapf(ErrCrossed, "at %d, want %d", m.Position, c.position)
 		}
 		c.position += len(m.Data)
-		return c.credit(len(m.Data))
+		return c.sendCredit(len(m.Data))
 	case *End:
 		if m.Size != c.position {
 			return errors.Wrapf(ErrCrossed, "end at %d, want %d", m.Size, c.position)
@@ -91,35 +92,36 @@
 	return nil
 }
 
-func (c *Call) credit(n int) error {
-	c.owed += n
-	if c.owed < Window/2 {
+func (c *Call) sendCredit(n int) error {
+	c.uncredited += n
+	if c.uncredited < Window/2 {
 		return nil
 	}
-	m := &Credit{Channel: c.channel, Bytes: c.owed}
-	c.owed = 0
-	// A failed send is seen by the connection's reader, which ends the call.
+	m := &Credit{Channel: c.channel, Bytes: c.uncredited}
+	c.uncredited = 0
+	// A failed send closes the connection, whose reader then fails the call.
 	_ = c.conn.send(m)
 	return nil
 }
 
-// put hands messages to the call. The side sends no more than its credit,
-// so a call that holds more than the window is ended rather than let grow.
-func (c *Call) put(ms ...frame.Message) {
+// enqueue adds received messages to the call's queue. A side that keeps to its
+// credit never has more than Window bytes queued, so the call fails beyond that
+// instead of using more memory.
+func (c *Call) enqueue(ms ...frame.Message) {
 	c.mu.Lock()
 	for _, m := range ms {
-		c.held += sizeOf(m)
+		c.queuedBytes += answerBytes(m)
 	}
-	if c.held > Window || len(c.parts) > Window {
-		c.parts, c.err = nil, errors.Wrap(ErrLost, "side sent beyond its credit")
+	if c.queuedBytes > Window || len(c.queue) > Window {
+		c.queue, c.err = nil, errors.Wrap(ErrLost, "side sent more than its credit allows")
 	} else {
-		c.parts = append(c.parts, ms...)
+		c.queue = append(c.queue, ms...)
 	}
 	c.mu.Unlock()
-	c.signal()
+	c.wakeReader()
 }
 
-func sizeOf(m frame.Message) int {
+func answerBytes(m frame.Message) int {
 	if d, ok := m.(*Data); ok {
 		return len(d.Data)
 	}
@@ -132,19 +134,20 @@
 		c.err = err
 	}
 	c.mu.Unlock()
-	c.signal()
+	c.wakeReader()
 }
 
-func (c *Call) signal() {
+func (c *Call) wakeReader() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Close forgets the call. The side is told when its answer has not ended.
+// Close removes the call from the connection. ended says that the answer is
+// complete; otherwise the side gets a Cancel.
 func (c *Call) Close(ended bool) {
-	if c.conn.forget(c) && !ended {
+	if c.conn.removeCall(c) && !ended {
 		_ = c.conn.send(&Cancel{Channel: c.channel})
 	}
 }
--- a/io/conn/sessn/client.go
+++ b/io/conn/sessn/client.go
@@ -15,28 +15,29 @@
 )
 
 // Client is an entry's session with one side. It keeps one connection open,
-// replaces it when it fails or goes silent, and carries calls over it. Set
-// the exported fields before Run.
+// replaces it when it fails or nothing is received on it, and sends calls over it.
+// Set the exported fields before Run.
 type Client struct {
 	Self   *link.Self
 	Clock  clockwork.Clock
 	VM     fleet.VM
 	Timing Timing
-	// Changed, when set, is called after each heartbeat and when the
-	// connection comes or goes. It must not block.
+	// Changed, when set, is called after each heartbeat, when the connection ends,
+	// and when an attempt to connect fails. It must not block.
 	Changed func()
-	// Events, when set, takes the target's cache events. It must not block.
+	// Events, when set, is called with the target's cache events. It must not block.
 	Events func([]PrefixEvent)
 
-	mu      sync.Mutex
-	conn    *entryConn
-	refused bool
-	up      chan struct{}
+	mu            sync.Mutex
+	conn          *entryConn
+	refused       bool
+	statusChanged chan struct{}
 }
 
-// Status is what an entry knows of a side. Connected is false while there is
-// no connection that has shown a heartbeat. Refused means that the last
-// attempt found nothing listening at the side's address.
+// Status is what an entry knows about a side. Connected means that a heartbeat has
+// been received on the current connection; Beat is the latest one and At when it
+// was received. Refused means that the latest attempt to connect found nothing
+// listening at the side's address.
 type Status struct {
 	Connected bool
 	Refused   bool
@@ -44,7 +45,7 @@
 	Beat      Heartbeat
 }
 
-// Status returns what the latest heartbeat said.
+// Status returns the state of the connection and the latest heartbeat.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	conn, refused := c.conn, c.refused
@@ -54,17 +55,17 @@
 	}
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if conn.closed || conn.beat == nil {
+	if conn.closed || conn.lastHeartbeat == nil {
 		return Status{}
 	}
-	return Status{Connected: true, At: conn.beatAt, Beat: *conn.beat}
+	return Status{Connected: true, At: conn.lastHeartbeatAt, Beat: *conn.lastHeartbeat}
 }
 
-// Run keeps the session until ctx ends.
+// Run maintains the session until ctx ends.
 func (c *Client) Run(ctx context.Context) error {
-	t := c.Timing.orDefault()
+	t := c.Timing.orDefaults()
 	for ctx.Err() == nil {
-		if !c.once(ctx, t) {
+		if !c.runConnection(ctx, t) {
 			c.pause(ctx, t.Redial)
 		}
 	}
@@ -80,33 +81,34 @@
 	}
 }
 
-// once dials and serves one connection to its end. It reports whether the
-// connection worked at all.
-func (c *Client) once(ctx context.Context, t Timing) bool {
+// runConnection dials the side and serves the connection until it ends. It reports
+// whether a heartbeat was received on it; if not, Run waits before the next attempt.
+func (c *Client) runConnection(ctx context.Context, t Timing) bool {
 	dialCtx, cancel := context.WithTimeout(ctx, t.Silent)
 	l, err := link.Dial(dialCtx, c.Self, c.VM.Address, link.PurposeCalls, entryKinds())
 	cancel()
 	if err != nil {
-		c.noteRefused(errors.Is(err, syscall.ECONNREFUSED))
+		c.setRefused(errors.Is(err, syscall.ECONNREFUSED))
 		return false
 	}
-	conn := &entryConn{link: l, told: c.told, events: c.onEvents, calls: map[Channel]*Call{}}
+	conn := &entryConn{link: l, notifyChange: c.notifyChange, handleEvents: c.onEvents, calls: map[Channel]*Call{}}
 	conn.silence.After = t.Silent
-	conn.heard(c.Clock.Now())
-	c.set(conn)
-	watched, stop := context.WithCancel(ctx)
+	conn.recordReceived(c.Clock.Now())
+	c.setConn(conn)
+	watchCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { c.watch(watched, conn, t) })
+	wg.Go(func() { c.closeWhenSilent(watchCtx, conn, t) })
 	_ = conn.receive(c.Clock.Now)
 	stop()
-	conn.end()
+	conn.closeAndFailCalls()
 	wg.Wait()
-	c.unset(conn)
-	return conn.beat != nil
+	c.clearConn(conn)
+	return conn.lastHeartbeat != nil
 }
 
-// watch closes a connection that has gone silent.
-func (c *Client) watch(ctx context.Context, conn *entryConn, t Timing) {
+// closeWhenSilent closes a connection on which nothing was received for Timing.Silent,
+// or when ctx ends.
+func (c *Client) closeWhenSilent(ctx context.Context, conn *entryConn, t Timing) {
 	tick := c.Clock.NewTicker(t.Beat)
 	defer tick.Stop()
 	for {
@@ -116,41 +118,41 @@
 			return
 		case <-tick.Chan():
 		}
-		if conn.silent(c.Clock.Now()) {
+		if conn.isSilent(c.Clock.Now()) {
 			conn.link.Close()
 			return
 		}
 	}
 }
 
-func (c *Client) noteRefused(refused bool) {
+func (c *Client) setRefused(refused bool) {
 	c.mu.Lock()
 	c.refused = refused
 	c.mu.Unlock()
-	c.told()
+	c.notifyChange()
 }
 
-func (c *Client) set(conn *entryConn) {
+func (c *Client) setConn(conn *entryConn) {
 	c.mu.Lock()
 	c.conn, c.refused = conn, false
 	c.mu.Unlock()
 }
 
-func (c *Client) unset(conn *entryConn) {
+func (c *Client) clearConn(conn *entryConn) {
 	c.mu.Lock()
 	if c.conn == conn {
 		c.conn = nil
 	}
 	c.mu.Unlock()
-	c.told()
+	c.notifyChange()
 }
 
-// told wakes those who wait for a change.
-func (c *Client) told() {
+// notifyChange closes the channel that Next returned and calls Changed.
+func (c *Client) notifyChange() {
 	c.mu.Lock()
-	if c.up != nil {
-		close(c.up)
-		c.up = nil
+	if c.statusChanged != nil {
+		close(c.statusChanged)
+		c.statusChanged = nil
 	}
 	c.mu.Unlock()
 	if c.Changed != nil {
@@ -168,22 +170,23 @@
 func (c *Client) Next() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.up == nil {
-		c.up = make(chan struct{})
+	if c.statusChanged == nil {
+		c.statusChanged = make(chan struct{})
 	}
-	return c.up
+	return c.statusChanged
 }
 
-// Reading returns the side's latest reading, for the calls to echo.
+// Reading returns the latest reading of the side's clock, which calls send back in
+// Start.Echo. It returns false when the client is not connected.
 func (c *Client) Reading() (lease.Reading, bool) {
 	s := c.Status()
 	return s.Beat.Reading, s.Connected
 }
 
-// Start sends a call. body is the whole request body. ErrUnsent means that
-// it certainly did not leave; any other error that it may have.
+// Start sends a call. body is the whole request body. ErrUnsent means that nothing
+// was sent; after any other error the side may have received the call.
 func (c *Client) Start(m *Start, body []byte) (*Call, error) {
-	conn, call, err := c.open()
+	conn, call, err := c.openCall()
 	if err != nil {
 		return nil, err
 	}
@@ -205,9 +208,10 @@
 	return call, nil
 }
 
-// Query asks what became of a call; the first message is a Verdict.
+// Query asks for the state of a once-call; the first message of the returned Call
+// is a Verdict.
 func (c *Client) Query(m *Query) (*Call, error) {
-	conn, call, err := c.open()
+	conn, call, err := c.openCall()
 	if err != nil {
 		return nil, err
 	}
@@ -219,14 +223,14 @@
 	return call, nil
 }
 
-func (c *Client) open() (*entryConn, *Call, error) {
+func (c *Client) openCall() (*entryConn, *Call, error) {
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
 	if conn == nil {
 		return nil, nil, ErrUnsent
 	}
-	call, ok := conn.open()
+	call, ok := conn.openCall()
 	if !ok {
 		return nil, nil, ErrUnsent
 	}
--- a/io/conn/sessn/entryconn.go
+++ b/io/conn/sessn/entryconn.go
@@ -12,43 +12,45 @@
 // entryConn is one connection of an entry to a side.
 type entryConn struct {
 	link *link.Conn
-	// told is called after each heartbeat, events for cache events.
-	told   func()
-	events func([]PrefixEvent)
+	// notifyChange is called after each heartbeat, handleEvents for cache events.
+	notifyChange func()
+	handleEvents func([]PrefixEvent)
 
-	mu      sync.Mutex
-	calls   map[Channel]*Call
-	last    Channel
-	closed  bool
-	silence lease.Silence
-	beat    *Heartbeat
-	beatAt  time.Time
+	mu              sync.Mutex
+	calls           map[Channel]*Call
+	lastChannel     Channel
+	closed          bool
+	silence         lease.Silence
+	lastHeartbeat   *Heartbeat
+	lastHeartbeatAt time.Time
 }
 
 func (c *entryConn) send(m frame.Message) error {
 	err := c.link.Send(m)
 	if err != nil {
-		// The reader ends with the connection and tells all its calls.
+		// The reader then gets an error, and all calls of the connection fail.
 		c.link.Close()
 	}
 	return err
 }
 
-// open registers a call; it fails once the connection has ended.
-func (c *entryConn) open() (*Call, bool) {
+// openCall registers a call. It returns false before the first heartbeat and once
+// the connection has ended.
+func (c *entryConn) openCall() (*Call, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || c.beat == nil {
+	if c.closed || c.lastHeartbeat == nil {
 		return nil, false
 	}
-	c.last++
-	call := newCall(c.last, c)
-	c.calls[c.last] = call
+	c.lastChannel++
+	call := newCall(c.lastChannel, c)
+	c.calls[c.lastChannel] = call
 	return call, true
 }
 
-// forget drops a call and reports whether its connection still works.
-func (c *entryConn) forget(call *Call) bool {
+// removeCall removes a call. It reports whether the call was registered and the
+// connection is still open.
+func (c *entryConn) removeCall(call *Call) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls[call.channel] != call {
@@ -58,49 +60,49 @@
 	return !c.closed
 }
 
-// receive reads until the connection ends.
+// receive reads and handles messages until the connection ends.
 func (c *entryConn) receive(now func() time.Time) error {
 	for {
 		m, err := c.link.Receive()
 		if err != nil {
 			return err
 		}
-		c.heard(now())
+		c.recordReceived(now())
 		switch m := m.(type) {
 		case *Heartbeat:
-			c.onBeat(m, now())
+			c.onHeartbeat(m, now())
 		case *Events:
-			c.events(m.Events)
+			c.handleEvents(m.Events)
 		default:
 			c.deliver(m)
 		}
 	}
 }
 
-func (c *entryConn) heard(now time.Time) {
+func (c *entryConn) recordReceived(now time.Time) {
 	c.mu.Lock()
 	c.silence.Heard(now)
 	c.mu.Unlock()
 }
 
-func (c *entryConn) silent(now time.Time) bool {
+func (c *entryConn) isSilent(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.silence.Silent(now)
 }
 
-func (c *entryConn) onBeat(hb *Heartbeat, now time.Time) {
+func (c *entryConn) onHeartbeat(hb *Heartbeat, now time.Time) {
 	c.mu.Lock()
-	c.beat, c.beatAt = hb, now
+	c.lastHeartbeat, c.lastHeartbeatAt = hb, now
 	c.mu.Unlock()
-	c.told()
+	c.notifyChange()
 	_ = c.send(&Alive{})
 }
 
-// deliver hands m to its call. An answer for a call that nobody waits for is
-// dropped: it came late, after a cancel.
+// deliver adds m to its call's queue. A message for an unknown call is dropped: the
+// call was cancelled before its answer arrived.
 func (c *entryConn) deliver(m frame.Message) {
-	id, ok := callOf(m)
+	id, ok := channelOf(m)
 	if !ok {
 		return
 	}
@@ -111,13 +113,13 @@
 		return
 	}
 	if a, ok := m.(*Answer); ok {
-		call.put(a.parts()...)
+		call.enqueue(a.split()...)
 		return
 	}
-	call.put(m)
+	call.enqueue(m)
 }
 
-func callOf(m frame.Message) (Channel, bool) {
+func channelOf(m frame.Message) (Channel, bool) {
 	switch m := m.(type) {
 	case *Verdict:
 		return m.Channel, true
@@ -135,15 +137,15 @@
 	return 0, false
 }
 
-// end closes the connection and tells every outstanding call.
-func (c *entryConn) end() {
+// closeAndFailCalls closes the connection and fails every outstanding call.
+func (c *entryConn) closeAndFailCalls() {
 	c.link.Close()
 	c.mu.Lock()
 	c.closed = true
-	left := c.calls
+	outstanding := c.calls
 	c.calls = map[Channel]*Call{}
 	c.mu.Unlock()
-	for _, call := range left {
+	for _, call := range outstanding {
 		call.fail(ErrLost)
 	}
 }
--- a/io/conn/sessn/message.go
+++ b/io/conn/sessn/message.go
@@ -1,6 +1,7 @@
-// Package sessn carries calls between an entry and a side: many calls at once
-// over one connection, each with its own flow control, under heartbeats that
-// show a silent connection.
+// Package sessn is the protocol by which an entry sends calls to a side and gets
+// their answers. It multiplexes concurrent calls over one connection, with flow
+// control for each answer and heartbeats that detect a dead connection. Package
+// front uses Client at the entry, package gate uses Server at the side.
 package sessn
 
 import (
@@ -15,8 +16,10 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Bounds of what one message or call may hold, in bytes. Window is how much
-// of a streamed answer may be on its way before the entry gives credit.
+// Limits in bytes. BlockSize limits the data of one message, MaxBody a request
+// body, MaxAnswer an answer that is buffered whole; MaxHeader is not used.
+// Window is how much of an answer the side may send before the entry gives it
+// further credit.
 const (
 	BlockSize = 64 << 10
 	MaxBody   = 8 << 20
@@ -25,15 +28,17 @@
 	Window    = 64 << 10
 )
 
-// Channel numbers a call on one connection, from 1. Another connection gives
-// the same call another number, so an answer cannot cross to another caller.
+// Channel identifies a call on one connection. Numbers start at 1 and are not used
+// again on that connection, so a late answer cannot reach another call.
 type Channel uint64
 
-// Start opens a call. Request names it in the logs. Body holds the first block of the request's body and
-// Size its whole length; Body messages carry the rest. Ticket is set for a
-// call that may run at most once. Version, when set, is the only manifest
-// that may answer. Timeout bounds the call at the side. Members is what the
-// entry believes of a key's possible owners.
+// Start opens a call. Request is the request's id in the logs. Echo is the latest
+// reading of the side's clock that the entry has received. Body is the first block
+// of the request's body and Size the length of the whole body; Body messages carry
+// the rest. Ticket is set for a call that may run at most once. Version, when set,
+// is the manifest of the only version that may answer. Timeout limits how long the
+// call runs at the side. Members encodes the possible owners of the call's key as
+// the entry knows them; the side compares it with its own (see calls.Members).
 type Start struct {
 	Channel Channel       `msgpack:"c"`
 	Request string        `msgpack:"q"`
@@ -49,10 +54,10 @@
 	Members string        `msgpack:"k,omitempty"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Start) Kind() frame.Kind { return "start" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Start) Check() error {
 	if m.Channel == 0 || m.Request == "" || m.Method == "" || m.Path == "" {
 		return errors.New("start: channel, request, method or path is empty")
@@ -71,7 +76,7 @@
 	return m.Echo.Check()
 }
 
-// Body is a further block of a request's body. Position is the number of
+// Body is a block of a request's body after the first. Position is the number of
 // bytes before it.
 type Body struct {
 	Channel  Channel `msgpack:"c"`
@@ -79,44 +84,44 @@
 	Data     []byte  `msgpack:"d"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Body) Kind() frame.Kind { return "body" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Body) Check() error { return checkBlock("body", m.Channel, m.Position, m.Data) }
 
-// Cancel says that nobody waits for the answer. A once-call that runs
-// goes on.
+// Cancel says that the caller no longer waits for the answer. A once-call that is
+// already running continues.
 type Cancel struct {
 	Channel Channel `msgpack:"c"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Cancel) Kind() frame.Kind { return "cancel" }
 
-// Check reports the first field that is out of its domain.
-func (m *Cancel) Check() error { return checkCall("cancel", m.Channel) }
+// Check returns an error for the first invalid field.
+func (m *Cancel) Check() error { return checkChannel("cancel", m.Channel) }
 
-// Credit allows the side to send Bytes more of a call's answer.
+// Credit allows the side to send Bytes more bytes of a call's answer.
 type Credit struct {
 	Channel Channel `msgpack:"c"`
 	Bytes   int     `msgpack:"n"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Credit) Kind() frame.Kind { return "credit" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Credit) Check() error {
 	if m.Bytes <= 0 || m.Bytes > Window {
 		return errors.Newf("credit: %d bytes, want 1 to %d", m.Bytes, Window)
 	}
-	return checkCall("credit", m.Channel)
+	return checkChannel("credit", m.Channel)
 }
 
-// Query asks what became of a once-call. With Mark the side marks a call
-// that it does not know, so that it never runs. The side answers with a
-// Verdict, and with the answer when there is or will be one.
+// Query asks for the state of a once-call. With Mark, a side that does not know the
+// call records that it must never run. The side replies with a Verdict, followed by
+// the answer if the call is running or done.
 type Query struct {
 	Channel Channel      `msgpack:"c"`
 	Ticket  calls.Ticket `msgpack:"t"`
@@ -125,36 +130,37 @@
 	Members string `msgpack:"k,omitempty"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Query) Kind() frame.Kind { return "query" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Query) Check() error {
 	if err := m.Ticket.Check(); err != nil {
 		return err
 	}
-	return checkCall("query", m.Channel)
+	return checkChannel("query", m.Channel)
 }
 
-// Verdict answers a Query.
+// Verdict answers a Query with the state of the once-call.
 type Verdict struct {
 	Channel Channel     `msgpack:"c"`
 	State   calls.State `msgpack:"s"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Verdict) Kind() frame.Kind { return "verdict" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Verdict) Check() error {
 	if err := m.State.Check(); err != nil {
 		return err
 	}
-	return checkCall("verdict", m.Channel)
+	return checkChannel("verdict", m.Channel)
 }
 
-// Head is the status and header of an answer. Again is set when the call had
-// come before and did not run again for this answer.
+// Head is the HTTP status and header of an answer. Again is set when the side has
+// received the call before and returns the stored answer instead of running it
+// again.
 type Head struct {
 	Channel Channel     `msgpack:"c"`
 	Status  int         `msgpack:"s"`
@@ -162,48 +168,49 @@
 	Again   bool        `msgpack:"a,omitempty"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Head) Kind() frame.Kind { return "head" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Head) Check() error {
 	if m.Status < 200 || m.Status > 999 {
 		return errors.Newf("head: status %d", m.Status)
 	}
-	return checkCall("head", m.Channel)
+	return checkChannel("head", m.Channel)
 }
 
-// Data is a block of an answer. Position is the number of bytes before it.
+// Data is a block of an answer's body. Position is the number of bytes before it.
 type Data struct {
 	Channel  Channel `msgpack:"c"`
 	Position int     `msgpack:"p"`
 	Data     []byte  `msgpack:"d"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Data) Kind() frame.Kind { return "data" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Data) Check() error { return checkBlock("data", m.Channel, m.Position, m.Data) }
 
-// End says that the answer is whole and how many bytes its body had.
+// End says that the answer is complete. Size is the length of its body.
 type End struct {
 	Channel Channel `msgpack:"c"`
 	Size    int     `msgpack:"z"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*End) Kind() frame.Kind { return "end" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *End) Check() error {
 	if m.Size < 0 {
 		return errors.Newf("end: %d bytes", m.Size)
 	}
-	return checkCall("end", m.Channel)
+	return checkChannel("end", m.Channel)
 }
 
-// Answer is a whole small answer: Head, Data and End in one.
+// Answer is a complete answer of at most BlockSize bytes: Head, Data and End in one
+// message.
 type Answer struct {
 	Channel Channel     `msgpack:"c"`
 	Status  int         `msgpack:"s"`
@@ -212,10 +219,10 @@
 	Data    []byte      `msgpack:"d"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Answer) Kind() frame.Kind { return "answer" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Answer) Check() error {
 	if err := checkBlock("answer", m.Channel, 0, m.Data); err != nil {
 		return err
@@ -223,8 +230,8 @@
 	return (&Head{Channel: m.Channel, Status: m.Status}).Check()
 }
 
-// parts returns the messages that m stands for.
-func (m *Answer) parts() []frame.Message {
+// split returns the Head, Data and End messages that m is equivalent to.
+func (m *Answer) split() []frame.Message {
 	head := &Head{Channel: m.Channel, Status: m.Status, Header: m.Header, Again: m.Again}
 	end := &End{Channel: m.Channel, Size: len(m.Data)}
 	if len(m.Data) == 0 {
@@ -233,8 +240,8 @@
 	return []frame.Message{head, &Data{Channel: m.Channel, Data: m.Data}, end}
 }
 
-// Refusal ends a call that has no whole answer. RetryAfter is set where
-// asking again is safe.
+// Refusal ends a call that gets no complete answer. RetryAfter is set when the
+// caller can safely repeat the call.
 type Refusal struct {
 	Channel    Channel       `msgpack:"c"`
 	Outcome    calls.Outcome `msgpack:"o"`
@@ -242,18 +249,18 @@
 	RetryAfter time.Duration `msgpack:"a,omitempty"`
 }
 
-// Kind names the message.
+// Kind returns the message's kind on the wire.
 func (*Refusal) Kind() frame.Kind { return "refusal" }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (m *Refusal) Check() error {
 	if err := m.Outcome.Check(); err != nil {
 		return err
 	}
-	return checkCall("refusal", m.Channel)
+	return checkChannel("refusal", m.Channel)
 }
 
-func checkCall(kind string, id Channel) error {
+func checkChannel(kind string, id Channel) error {
 	if id == 0 {
 		return errors.Newf("%s: channel is 0", kind)
 	}
@@ -264,10 +271,10 @@
 	if position < 0 || len(b) > BlockSize {
 		return errors.Newf("%s: %d bytes at %d, want at most %d", kind, len(b), position, BlockSize)
 	}
-	return checkCall(kind, id)
+	return checkChannel(kind, id)
 }
 
-// entryKinds are the messages that an entry accepts.
+// entryKinds returns the messages that an entry accepts.
 func entryKinds() frame.Kinds {
 	k := frame.Kinds{}
 	k.Register(func() frame.Message { return &Heartbeat{} })
@@ -281,7 +288,7 @@
 	return k
 }
 
-// sideKinds are the messages that a side accepts.
+// sideKinds returns the messages that a side accepts.
 func sideKinds() frame.Kinds {
 	k := frame.Kinds{}
 	k.Register(func() frame.Message { return &Start{} })
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -15,39 +15,41 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Service is what stands behind a side's sessions.
+// Service handles the calls of a side's sessions and provides its heartbeats;
+// gate.Gate implements it.
 type Service interface {
-	// Begin serves a call whose request has come in whole. It runs in its
-	// own goroutine.
+	// Begin handles a call whose request has been received completely. It is called
+	// in a goroutine of its own.
 	Begin(s *Stream)
-	// Ask serves a query in its own goroutine.
+	// Ask handles a query. It is called in a goroutine of its own.
 	Ask(s *Stream, q *Query)
-	// Beat returns what the next heartbeat says.
+	// Beat returns the content of the next heartbeat.
 	Beat() Heartbeat
-	// Changed returns a channel that is closed when Beat says something new.
+	// Changed returns a channel that is closed when the result of Beat changes.
 	Changed() <-chan struct{}
-	// Events returns the target's cache events after a position, at most
-	// MaxEvents of them, and the position of the last.
+	// Events returns the target's cache events after a position, at most MaxEvents
+	// of them, and the position of the last one returned.
 	Events(after uint64) ([]PrefixEvent, uint64)
 }
 
-// Server accepts the sessions of entries. Set the exported fields first.
+// Server is the side's end of all sessions with entries. Set the exported fields
+// before Handler is used.
 type Server struct {
 	Service Service
 	Clock   clockwork.Clock
 	Timing  Timing
-	// MaxCalls bounds the calls open on one connection.
+	// MaxCalls is the maximum number of open calls on one connection; 0 means
+	// DefaultMaxCalls.
 	MaxCalls int
 
-	// bodies is the number of bytes of the request bodies of open calls.
-	bodies atomic.Int64
+	// bodyBytes is the total size of the request bodies of open calls.
+	bodyBytes atomic.Int64
 
 	mu    sync.Mutex
 	conns map[*sideConn]bool
 }
 
-// DefaultMaxCalls bounds the calls open on one connection where nothing is
-// set.
+// DefaultMaxCalls is used when Server.MaxCalls is not set.
 const DefaultMaxCalls = 1024
 
 // Handler returns the handler for connections of purpose calls.
@@ -55,7 +57,7 @@
 	return link.Handler{Kinds: sideKinds(), Serve: s.serve}
 }
 
-// sideConn is one connection of an entry at the side.
+// sideConn is the side's end of one connection with an entry.
 type sideConn struct {
 	link   *link.Conn
 	server *Server
@@ -64,45 +66,49 @@
 	mu      sync.Mutex
 	streams map[Channel]*Stream
 	silence lease.Silence
-	// beaten counts heartbeats sent, alive those that the entry has answered;
-	// heardFrom is closed and renewed with each answer.
-	beaten    int
-	alive     int
-	heardFrom chan struct{}
+	// heartbeatsSent counts the heartbeats sent, heartbeatsAnswered those that the
+	// entry has answered. answerReceived is closed and replaced at each answer; it is
+	// nil once the connection has ended.
+	heartbeatsSent     int
+	heartbeatsAnswered int
+	answerReceived     chan struct{}
 }
 
-// maxBodies bounds the request bodies of open calls, over all connections.
-const maxBodies = 2 * MaxBody
+// maxBodyBytes limits the total size of the request bodies of open calls on all
+// connections, and so the memory that they use. Calls beyond it are refused as
+// busy.
+const maxBodyBytes = 2 * MaxBody
 
-// serve runs one connection. It returns when the connection has ended and
-// every call on it has returned.
+// serve handles one connection. It returns when the connection has ended and the
+// handlers of all its calls have returned.
 func (s *Server) serve(ctx context.Context, l *link.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
-	c := &sideConn{link: l, server: s, streams: map[Channel]*Stream{}, heardFrom: make(chan struct{})}
-	s.add(c)
-	defer s.remove(c)
-	c.silence.After = s.Timing.orDefault().Silent
-	c.heard(s.Clock.Now())
-	c.wg.Go(func() { c.beats(ctx) })
+	c := &sideConn{link: l, server: s, streams: map[Channel]*Stream{}, answerReceived: make(chan struct{})}
+	s.addConn(c)
+	defer s.removeConn(c)
+	c.silence.After = s.Timing.orDefaults().Silent
+	c.recordReceived(s.Clock.Now())
+	c.wg.Go(func() { c.sendHeartbeats(ctx) })
 	_ = c.receive(ctx)
-	c.gone()
-	c.dropUnfinished()
+	c.stopAwaiting()
+	c.releaseIncompleteBodies()
 	cancel()
 	l.Close()
 	c.wg.Wait()
 }
 
-// beats sends heartbeats, and closes the connection once it is silent: the
-// calls on it are then cancelled, since nobody reads their answers.
-func (c *sideConn) beats(ctx context.Context) {
-	tick := c.server.Clock.NewTicker(c.server.Timing.orDefault().Beat)
+// sendHeartbeats sends heartbeats and cache events. It closes the connection when
+// nothing was received for Timing.Silent; its calls are then cancelled, since nobody
+// reads their answers.
+func (c *sideConn) sendHeartbeats(ctx context.Context) {
+	tick := c.server.Clock.NewTicker(c.server.Timing.orDefaults().Beat)
 	defer tick.Stop()
 	var seen uint64
 	for {
 		changed := c.server.Service.Changed()
 		hb := c.server.Service.Beat()
 		c.mu.Lock()
-		c.beaten++
+		c.heartbeatsSent++
 		c.mu.Unlock()
 		if err := c.send(&hb); err != nil {
 			return
@@ -118,20 +124,20 @@
 		case <-changed:
 		case <-tick.Chan():
 		}
-		if c.silent(c.server.Clock.Now()) {
+		if c.isSilent(c.server.Clock.Now()) {
 			c.link.Close()
 			return
 		}
 	}
 }
 
-func (c *sideConn) heard(now time.Time) {
+func (c *sideConn) recordReceived(now time.Time) {
 	c.mu.Lock()
 	c.silence.Heard(now)
 	c.mu.Unlock()
 }
 
-func (c *sideConn) silent(now time.Time) bool {
+func (c *sideConn) isSilent(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.silence.Silent(now)
@@ -151,7 +157,7 @@
 		if err != nil {
 			return err
 		}
-		c.heard(c.server.Clock.Now())
+		c.recordReceived(c.server.Clock.Now())
 		if err := c.handle(ctx, m); err != nil {
 			return err
 		}
@@ -178,8 +184,8 @@
 	return nil
 }
 
-// open registers a channel. It returns nil when too many are open.
-func (c *sideConn) open(ctx context.Context, id Channel) (*Stream, error) {
+// openStream registers a channel. It returns nil when too many are open.
+func (c *sideConn) openStream(ctx context.Context, id Channel) (*Stream, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if _, ok := c.streams[id]; ok {
@@ -206,37 +212,38 @@
 	return c.streams[id]
 }
 
-func (c *sideConn) forget(id Channel) {
+func (c *sideConn) removeStream(id Channel) {
 	c.mu.Lock()
 	delete(c.streams, id)
 	c.mu.Unlock()
 }
 
 func (c *sideConn) onStart(ctx context.Context, m *Start) error {
-	if c.server.bodies.Add(int64(m.Size)) > maxBodies {
-		c.server.bodies.Add(-int64(m.Size))
-		return c.busy(m)
+	if c.server.bodyBytes.Add(int64(m.Size)) > maxBodyBytes {
+		c.server.bodyBytes.Add(-int64(m.Size))
+		return c.refuseBusy(m)
 	}
-	s, err := c.open(ctx, m.Channel)
+	s, err := c.openStream(ctx, m.Channel)
 	if err != nil || s == nil {
-		c.server.bodies.Add(-int64(m.Size))
+		c.server.bodyBytes.Add(-int64(m.Size))
 	}
 	if err != nil {
 		return err
 	}
 	if s == nil {
-		return c.busy(m)
+		return c.refuseBusy(m)
 	}
-	s.Start, s.want = m, m.Size
+	s.Start, s.bodySize = m, m.Size
 	s.Body = m.Body
 	m.Body = nil
-	c.beginWhole(s)
+	c.startIfComplete(s)
 	return nil
 }
 
-// busy refuses a call over the connection's bounds. The same ticket or key
-// may run through another connection, so nothing is said of it.
-func (c *sideConn) busy(m *Start) error {
+// refuseBusy refuses a call that exceeds a limit. A call with a ticket bound to a
+// ticket or key may be running through another connection, so its outcome is given
+// as unknown.
+func (c *sideConn) refuseBusy(m *Start) error {
 	r := &Refusal{Channel: m.Channel, Outcome: calls.NotRun, Reason: calls.ReasonBusy}
 	if m.Ticket != nil && m.Ticket.Bind != calls.BindFree {
 		r.Outcome = calls.Unknown
@@ -249,31 +256,32 @@
 	if s == nil {
 		return nil
 	}
-	if m.Position != len(s.Body) || len(s.Body)+len(m.Data) > s.want {
+	if m.Position != len(s.Body) || len(s.Body)+len(m.Data) > s.bodySize {
 		return errors.Wrapf(ErrCrossed, "body at %d, want %d", m.Position, len(s.Body))
 	}
 	s.Body = append(s.Body, m.Data...)
-	c.beginWhole(s)
+	c.startIfComplete(s)
 	return nil
 }
 
-// beginWhole hands a call on once its request is whole. A call is never
-// started on a part of its body: the rest might not come.
-func (c *sideConn) beginWhole(s *Stream) {
-	if len(s.Body) < s.want {
+// startIfComplete passes a call to the Service once its whole request body has been
+// received. A call never starts with a part of its body, because the rest might not
+// arrive.
+func (c *sideConn) startIfComplete(s *Stream) {
+	if len(s.Body) < s.bodySize {
 		return
 	}
-	s.begun = true
+	s.started = true
 	c.wg.Go(func() {
-		defer c.server.bodies.Add(-int64(s.want))
+		defer c.server.bodyBytes.Add(-int64(s.bodySize))
 		defer s.cancel()
-		defer c.forget(s.channel)
+		defer c.removeStream(s.channel)
 		c.server.Service.Begin(s)
 	})
 }
 
 func (c *sideConn) onQuery(ctx context.Context, m *Query) error {
-	s, err := c.open(ctx, m.Channel)
+	s, err := c.openStream(ctx, m.Channel)
 	if err != nil {
 		return err
 	}
@@ -282,7 +290,7 @@
 	}
 	c.wg.Go(func() {
 		defer s.cancel()
-		defer c.forget(s.channel)
+		defer c.removeStream(s.channel)
 		c.server.Service.Ask(s, m)
 	})
 	return nil
@@ -293,20 +301,21 @@
 	if s == nil {
 		return
 	}
-	if s.unfinished() {
-		c.server.bodies.Add(-int64(s.want))
-		c.forget(id)
+	if s.bodyIncomplete() {
+		c.server.bodyBytes.Add(-int64(s.bodySize))
+		c.removeStream(id)
 	}
 	s.cancel()
 }
 
-// dropUnfinished gives up the calls whose bodies never came whole.
-func (c *sideConn) dropUnfinished() {
+// releaseIncompleteBodies subtracts the calls whose bodies were never completed from
+// bodyBytes.
+func (c *sideConn) releaseIncompleteBodies() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.streams {
-		if s.unfinished() {
-			c.server.bodies.Add(-int64(s.want))
+		if s.bodyIncomplete() {
+			c.server.bodyBytes.Add(-int64(s.bodySize))
 		}
 	}
 }
--- a/io/conn/sessn/sessn_test.go
+++ b/io/conn/sessn/sessn_test.go
@@ -18,8 +18,9 @@
 	"hawthornferry/io/conn/link"
 )
 
-// fakeSide accepts one connection, sends a heartbeat, and hands each Start to
-// the test, which answers as it likes.
+// fakeSide is a side that sends one heartbeat on a connection, passes each Start to
+// the returned channel, and sends the messages that the test puts into the other
+// channel.
 func fakeSide(t *testing.T) (*Client, chan *Start, chan frame.Message) {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,7 +70,8 @@
 	return call, (<-starts).Channel
 }
 
-// collect returns the body of a call's answer, or the error that ended it.
+// collect returns the body of a call's answer as far as it was received, and the
+// error that ended it.
 func collect(call *Call) (string, error) {
 	body := ""
 	for {
@@ -86,9 +88,10 @@
 	}
 }
 
-// A block is missing from an answer, or the end comes too early. The call
-// fails rather than show a text with a hole as whole.
-func TestBlocksOutOfPlaceEndTheCall(t *testing.T) {
+// Guards against passing off an incomplete answer as complete: a block is missing or
+// repeated, or End has a size that differs from the bytes received. The call must
+// fail.
+func TestMisplacedBlockFailsCall(t *testing.T) {
 	tests := []struct {
 		name    string
 		answers func(ch Channel) []frame.Message
@@ -129,9 +132,9 @@
 	}
 }
 
-// The answer of a call that its caller has left comes late. It reaches no
-// other call: the next one on the connection has another channel.
-func TestLateAnswerReachesNobody(t *testing.T) {
+// Guards against delivering the answer of a cancelled call to another call: it
+// arrives late, when the next call on the connection, with another channel, is open.
+func TestLateAnswerIsDropped(t *testing.T) {
 	c, starts, answers := fakeSide(t)
 	left, old := startCall(t, c, starts)
 	left.Close(false)
--- a/io/conn/sessn/stream.go
+++ b/io/conn/sessn/stream.go
@@ -9,10 +9,10 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Stream is the side's end of one call on one connection. Write waits for
-// the entry's credit, so a slow caller holds up its own call alone.
+// Stream is the side's end of one call on one connection. Write waits for the
+// entry's credit, so a slow caller delays only its own call.
 type Stream struct {
-	// Start is what the entry asked for, nil for a Query.
+	// Start is the call's first message, nil for a Query.
 	Start *Start
 	// Body is the whole request body.
 	Body []byte
@@ -22,21 +22,21 @@
 	conn    *sideConn
 	channel Channel
 
-	mu     sync.Mutex
-	credit int
-	more   chan struct{}
+	mu          sync.Mutex
+	credit      int
+	creditAdded chan struct{}
 
 	position int
-	// want is the length of the body, begun is set once it is whole; both
-	// belong to the connection's reader.
-	want  int
-	begun bool
+	// bodySize is the length of the request body. started is set once the body is
+	// complete. Only the goroutine that reads the connection uses them.
+	bodySize int
+	started  bool
 }
 
-func (s *Stream) unfinished() bool { return s.Start != nil && !s.begun }
+func (s *Stream) bodyIncomplete() bool { return s.Start != nil && !s.started }
 
 func newStream(ctx context.Context, c *sideConn, id Channel) *Stream {
-	s := &Stream{conn: c, channel: id, credit: Window, more: make(chan struct{}, 1)}
+	s := &Stream{conn: c, channel: id, credit: Window, creditAdded: make(chan struct{}, 1)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	return s
 }
@@ -53,11 +53,12 @@
 	return s.conn.send(&h)
 }
 
-// Write sends a part of the answer's body. It waits for credit.
+// Write sends a part of the answer's body. It blocks until there is credit for all
+// of b or the call is cancelled.
 func (s *Stream) Write(b []byte) (int, error) {
 	sent := 0
 	for sent < len(b) {
-		n, err := s.take(min(len(b)-sent, BlockSize))
+		n, err := s.takeCredit(min(len(b)-sent, BlockSize))
 		if err != nil {
 			return sent, err
 		}
@@ -71,8 +72,8 @@
 	return sent, nil
 }
 
-// take waits until there is credit and takes up to want bytes of it.
-func (s *Stream) take(want int) (int, error) {
+// takeCredit waits until there is credit and takes up to want bytes of it.
+func (s *Stream) takeCredit(want int) (int, error) {
 	for {
 		s.mu.Lock()
 		n := min(want, s.credit)
@@ -82,7 +83,7 @@
 			return n, nil
 		}
 		select {
-		case <-s.more:
+		case <-s.creditAdded:
 		case <-s.ctx.Done():
 			return 0, errors.Wrap(s.ctx.Err(), "wait for credit")
 		}
@@ -94,16 +95,17 @@
 	s.credit = min(s.credit+n, Window)
 	s.mu.Unlock()
 	select {
-	case s.more <- struct{}{}:
+	case s.creditAdded <- struct{}{}:
 	default:
 	}
 }
 
-// Answer sends a whole answer. One of up to a block goes in one message,
-// which spares both ends two system calls and two wake-ups.
+// Answer sends a complete answer. One of at most BlockSize bytes is sent as one
+// message instead of three, which saves two system calls and two wake-ups at each
+// end.
 func (s *Stream) Answer(h Head, body []byte) error {
 	if len(body) <= BlockSize {
-		return s.last(&Answer{
+		return s.finish(&Answer{
 			Channel: s.channel, Status: h.Status, Header: h.Header, Again: h.Again, Data: body,
 		})
 	}
@@ -116,28 +118,28 @@
 	return s.End()
 }
 
-// End says that the answer is whole.
+// End marks the answer as complete.
 func (s *Stream) End() error {
-	return s.last(&End{Channel: s.channel, Size: s.position})
+	return s.finish(&End{Channel: s.channel, Size: s.position})
 }
 
-// Refuse ends the call without a whole answer.
+// Refuse ends the call without a complete answer.
 func (s *Stream) Refuse(r Refusal) error {
 	r.Channel = s.channel
-	return s.last(&r)
+	return s.finish(&r)
 }
 
-// Verdict answers a query. With an answer to come the call stays open.
+// Verdict answers a query. With open, the stream stays open for the answer.
 func (s *Stream) Verdict(v Verdict, open bool) error {
 	v.Channel = s.channel
 	if open {
 		return s.conn.send(&v)
 	}
-	return s.last(&v)
+	return s.finish(&v)
 }
 
-func (s *Stream) last(m frame.Message) error {
-	s.conn.forget(s.channel)
+func (s *Stream) finish(m frame.Message) error {
+	s.conn.removeStream(s.channel)
 	s.cancel()
 	return s.conn.send(m)
 }
--- a/io/conn/sessn/timing.go
+++ b/io/conn/sessn/timing.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// Timing sets the rates and waits of a session. Beat is the time between
-// heartbeats; a connection that is quiet for Silent is replaced; Redial is
-// the wait before the next try after a failed one.
+// Timing sets the intervals and timeouts of a session. Beat is the time between
+// heartbeats. A connection on which nothing is received for Silent is closed, and
+// the entry opens another; Silent must be longer than Beat, or healthy connections
+// are closed. Silent also limits an attempt to connect. Redial is the wait after a
+// failed attempt.
 type Timing struct {
 	Beat   time.Duration
 	Silent time.Duration
 	Redial time.Duration
 }
 
-// DefaultTiming returns the timing in force where none is set.
+// DefaultTiming returns the timing that is used when none is set.
 func DefaultTiming() Timing {
 	return Timing{
 		Beat:   500 * time.Millisecond,
@@ -20,7 +22,7 @@
 	}
 }
 
-func (t Timing) orDefault() Timing {
+func (t Timing) orDefaults() Timing {
 	if t == (Timing{}) {
 		return DefaultTiming()
 	}
