--- a/io/process/cmds/check.go
+++ b/io/process/cmds/check.go
@@ -15,16 +15,16 @@
 	register(command{
 		name: "check",
 		help: "checks an environment document and lists all its faults",
-		make: func() runner { return &check{} },
+		make: func() runner { return &checkCommand{} },
 	})
 }
 
-// check is the command check.
-type check struct {
+// checkCommand checks an environment document.
+type checkCommand struct {
 	Document string `key:"document" arg:"1" need:"true" help:"environment document to check"`
 }
 
-func (c *check) run(_ context.Context, out output) error {
+func (c *checkCommand) run(_ context.Context, out output) error {
 	d, err := readDocument(c.Document)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// readDocument reads and checks the document in the file at path.
+// readDocument reads the file at path, and parses and checks the document in it.
 func readDocument(path string) (*envdoc.Document, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/io/process/cmds/entry.go
+++ b/io/process/cmds/entry.go
@@ -11,13 +11,13 @@
 	register(command{
 		name: "entry",
 		help: "runs an entry process, which callers reach",
-		make: func() runner { return &entryCommand{process: newProcess(fleet.RoleEntry)} },
+		make: func() runner { return &entryCommand{processOptions: newProcessOptions(fleet.RoleEntry)} },
 	})
 }
 
-// entryCommand is the command entry.
+// entryCommand runs an entry process.
 type entryCommand struct {
-	*process
+	*processOptions
 }
 
 func (c *entryCommand) run(ctx context.Context, _ output) error {
--- a/io/process/cmds/explain.go
+++ b/io/process/cmds/explain.go
@@ -18,17 +18,18 @@
 	register(command{
 		name: "explain",
 		help: "shows from decision logs what became of a request, and what was believed meanwhile",
-		make: func() runner { return &explain{} },
+		make: func() runner { return &explainCommand{} },
 	})
 }
 
-// explain is the command explain.
-type explain struct {
+// explainCommand prints the records of decision logs that explain a request's
+// outcome.
+type explainCommand struct {
 	Request string `key:"request" arg:"1" need:"true" help:"the request's id"`
 	Logs    string `key:"logs" arg:"2" need:"true" help:"a log of JSON lines, or a directory of them"`
 }
 
-func (e *explain) run(_ context.Context, out output) error {
+func (e *explainCommand) run(_ context.Context, out output) error {
 	names, err := logNames(e.Logs)
 	if err != nil {
 		return err
@@ -43,7 +44,7 @@
 	}
 	lines := audit.Explain(records, e.Request)
 	if len(lines) == 0 {
-		return errors.Mark(errors.Newf("no record of request %q in %d logs: it was under way when its process ended, or its lines were left out", e.Request, len(names)), errInput)
+		return errors.Mark(errors.Newf("no record of request %q in %d logs: its process ended while it was in progress, or its lines were left out", e.Request, len(names)), errInput)
 	}
 	w := tabwriter.NewWriter(out.stdout, 0, 0, 2, ' ', 0)
 	for _, l := range lines {
@@ -51,13 +52,13 @@
 		if l.Belief {
 			mark = "believed"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", l.Decision.Time.Format(time.RFC3339Nano), l.Decision.Process, mark, describe(l.Decision))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", l.Decision.Time.Format(time.RFC3339Nano), l.Decision.Process, mark, formatDecision(l.Decision))
 	}
 	return w.Flush()
 }
 
-// describe writes the fields of a record that are set.
-func describe(d trail.Decision) string {
+// formatDecision formats the fields of a record that are not empty.
+func formatDecision(d trail.Decision) string {
 	var parts []string
 	add := func(name string, v any, set bool) {
 		if set {
@@ -87,19 +88,19 @@
 	add("ageMs", d.AgeMS, d.AgeMS != 0)
 	add("revision", d.Revision, d.Revision != 0)
 	if d.Candidates != nil {
-		parts = append(parts, "candidates="+compact(d.Candidates))
+		parts = append(parts, "candidates="+compactJSON(d.Candidates))
 	}
 	if d.State != nil {
-		parts = append(parts, compact(d.State))
+		parts = append(parts, compactJSON(d.State))
 	}
 	return strings.Join(parts, " ")
 }
 
-// compact writes the set fields of a nested record.
-func compact(v any) string {
+// compactJSON formats a nested record as JSON without quotes.
+func compactJSON(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
-		// Records of plain fields always encode.
+		// Not reached: the records contain only types that json can encode.
 		return err.Error()
 	}
 	return strings.ReplaceAll(string(b), `"`, "")
--- a/io/process/cmds/serve.go
+++ b/io/process/cmds/host.go
@@ -5,9 +5,10 @@
 	"hawthornferry/io/process/host"
 )
 
-// openHost opens the listeners that every process has and then its common
-// components, so that a port in use is found before anything runs.
-func (p *process) openHost(s conf.Settings) (*host.Host, error) {
+// openHost opens the listeners that entries and sides both have, and then the
+// components that they share. The listeners come first so that a port in use is
+// reported before anything runs.
+func (p *processOptions) openHost(s conf.Settings) (*host.Host, error) {
 	peers, err := p.listen("peers", s.Listen.Peers)
 	if err != nil {
 		return nil, err
--- a/io/process/cmds/hosted.go
+++ b/io/process/cmds/hosted.go
@@ -23,14 +23,15 @@
 	})
 }
 
-// hostedCommand runs one process on the users' platform.
+// hostedCommand runs an entry or a side with its settings from the users' platform.
 type hostedCommand struct {
 	start func(ctx context.Context, log io.Writer) error
 }
 
 func (c *hostedCommand) run(ctx context.Context, out output) error {
-	// Nobody receives here: a SIGHUP that comes before the settings are followed, or
-	// after, would end the process by its default.
+	// By default SIGHUP kills the process. Registering a channel, which nobody reads,
+	// prevents that before the process handles SIGHUP itself and after it has stopped
+	// doing so.
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGHUP)
 	return c.start(ctx, out.stdout)
 }
--- a/io/process/cmds/hosted_test.go
+++ b/io/process/cmds/hosted_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Guards against a process that ends by a SIGHUP which comes while it starts or once
-// it has stopped: this test's own process would end.
-func TestHangupEndsNoProcess(t *testing.T) {
+// Guards against a SIGHUP that kills the process while it starts or after it has
+// stopped. It would kill the test's own process.
+func TestSIGHUPDoesNotEndProcess(t *testing.T) {
 	const delivery = 50 * time.Millisecond
 	c := &hostedCommand{start: func(context.Context, io.Writer) error {
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
--- a/io/process/cmds/main.go
+++ b/io/process/cmds/main.go
@@ -1,6 +1,7 @@
-// Package cmds holds the commands of the binary, one file each. A command is
-// a struct whose fields are its options, declared by the tags of package opt;
-// it registers itself beside its definition.
+// Package cmds implements the command line of the binary; main calls Main. Each
+// command has a file of its own and is a struct whose fields are its options,
+// declared with the struct tags of package opt. It registers itself in an init
+// function beside its definition.
 package cmds
 
 import (
@@ -18,48 +19,49 @@
 // Version is the version of the program.
 const Version = "0.1.0"
 
-// The exit codes of every command.
+// The exit codes of every command: success, failure, and bad input (see exitCode).
 const (
 	exitOK      = 0
 	exitFailure = 1
 	exitInput   = 2
 )
 
-// output is where a command writes.
+// output holds the streams that a command writes to.
 type output struct {
 	stdout io.Writer
 	stderr io.Writer
 }
 
-// runner is the options of a command and its job. ctx ends at the first
+// runner is a command with its parsed options. The ctx of run ends at the first
 // SIGTERM or SIGINT.
 type runner interface {
 	run(ctx context.Context, out output) error
 }
 
-// command is one command of the binary. make returns the runner with its
-// options unset.
+// command describes one command of the binary. make returns a runner whose
+// options are not set yet.
 type command struct {
 	name string
 	help string
 	make func() runner
 }
 
-// registry is filled by the init functions of this package alone.
+// registry lists all commands. Only init functions of this package add to it.
 var registry []command
 
 // register adds a command; each command's file calls it from init.
 func register(c command) { registry = append(registry, c) }
 
-// errInput marks bad input that is not a list of flaws.
+// errInput marks an error that is due to bad input and is not an inidoc.Flaw.
 var errInput = errors.New("bad input")
 
-// Main runs the command that args name and returns the exit code.
+// Main runs the command named by the first of args, prints its error to stderr and
+// returns the exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	out := output{stdout: stdout, stderr: stderr}
 	r, err := parseArgs(args)
 	if err == nil {
-		ctx, stop := untilSignal()
+		ctx, stop := contextUntilSignal()
 		defer stop()
 		err = r.run(ctx, out)
 	}
@@ -69,7 +71,8 @@
 	return exitCode(err)
 }
 
-// exitCode returns 2 for an error that better input would cure, else 1.
+// exitCode returns 0 for nil, 2 for an error that is due to the input (settings,
+// document, flags, a port in use), and 1 for any other.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
@@ -82,7 +85,7 @@
 	return exitFailure
 }
 
-// commandNames lists the commands in order, for messages.
+// commandNames returns the sorted names of all commands, for error messages.
 func commandNames() string {
 	var names []string
 	for _, c := range registry {
--- a/io/process/cmds/fetch.go
+++ b/io/process/cmds/manifest.go
@@ -12,8 +12,8 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// fetchManifest reads the canonical bytes of a manifest from the weight
-// store.
+// fetchManifest reads the encoded manifest with digest d from the weight store. The
+// caller must check that the bytes match d.
 func fetchManifest(ctx context.Context, store netip.AddrPort, d chunk.Digest) ([]byte, error) {
 	const step = "read manifest"
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -31,6 +31,6 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fault.At(step, store.String(), errors.Newf("%s: status %d", d, resp.StatusCode))
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxManifest))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxManifestBytes))
 	return b, fault.At(step, store.String(), err)
 }
--- a/io/process/cmds/bind.go
+++ b/io/process/cmds/options.go
@@ -13,29 +13,29 @@
 
 const exitHelp = "Exit codes: 0 done, 1 failed, 2 bad input (settings, document, flags, a port in use)."
 
-// optioner is a runner whose options are not all fields of its own struct.
+// optioner is a runner with options other than the fields of its own struct.
 type optioner interface {
 	options() []opt.Field
 }
 
-// bound is an option and the text that the command line gave for it.
-type bound struct {
+// boundOption is an option and its text from the command line.
+type boundOption struct {
 	opt.Field
 	text string
 }
 
-// name is the option as the user writes it.
-func (b *bound) name() string {
+// name returns the option's name as written on the command line.
+func (b *boundOption) name() string {
 	if b.Arg > 0 {
 		return b.Key
 	}
 	return "--" + b.Key
 }
 
-// parseArgs finds the command that args name and fills its options. For
-// --help, --version and unknown flags flaggy prints and ends the process.
+// parseArgs returns the command named in args with its options set. For --help,
+// --version and unknown flags, flaggy prints a message and exits the process.
 func parseArgs(args []string) (runner, error) {
-	if err := checkName(args); err != nil {
+	if err := checkCommandName(args); err != nil {
 		return nil, err
 	}
 	p := flaggy.NewParser("hawthornferry")
@@ -44,14 +44,14 @@
 	p.AdditionalHelpAppend = exitHelp
 	p.ShowCompletion = false
 	runners := make([]runner, len(registry))
-	options := make([][]*bound, len(registry))
+	options := make([][]*boundOption, len(registry))
 	subs := make([]*flaggy.Subcommand, len(registry))
 	for i, c := range registry {
 		runners[i] = c.make()
 		subs[i] = flaggy.NewSubcommand(c.name)
 		subs[i].Description = c.help
 		subs[i].AdditionalHelpAppend = exitHelp
-		options[i] = bind(subs[i], runners[i])
+		options[i] = declareOptions(subs[i], runners[i])
 		p.AttachSubcommand(subs[i], 1)
 	}
 	if err := p.ParseArgs(args); err != nil {
@@ -59,14 +59,15 @@
 	}
 	for i, s := range subs {
 		if s.Used {
-			return runners[i], assign(options[i])
+			return runners[i], parseOptions(options[i])
 		}
 	}
 	return nil, errors.Mark(errors.Newf("no command given, want one of %s; see --help", commandNames()), errInput)
 }
 
-// checkName reports a first argument that is neither a flag nor a command.
-func checkName(args []string) error {
+// checkCommandName returns an error if the first argument is neither a flag nor the
+// name of a command.
+func checkCommandName(args []string) error {
 	if len(args) == 0 || strings.HasPrefix(args[0], "-") {
 		return nil
 	}
@@ -77,15 +78,16 @@
 	return errors.Mark(errors.Newf("unknown command %q, want one of %s; see --help", args[0], commandNames()), errInput)
 }
 
-// bind declares the options of r at its subcommand.
-func bind(s *flaggy.Subcommand, r runner) []*bound {
+// declareOptions adds the options of r to its subcommand. It returns those that
+// parseOptions must parse from text; flaggy sets booleans itself.
+func declareOptions(s *flaggy.Subcommand, r runner) []*boundOption {
 	fields := opt.Fields(r)
 	if o, ok := r.(optioner); ok {
 		fields = append(fields, o.options()...)
 	}
-	var out []*bound
+	var out []*boundOption
 	for _, f := range fields {
-		b := &bound{Field: f}
+		b := &boundOption{Field: f}
 		switch {
 		case f.Arg > 0:
 			s.AddPositionalValue(&b.text, f.Key, f.Arg, f.Need, f.Describe())
@@ -100,8 +102,9 @@
 	return out
 }
 
-// assign parses the texts into the options and lists every fault.
-func assign(options []*bound) error {
+// parseOptions sets the options from their texts, or from their defaults where there
+// is no text. It returns all errors together.
+func parseOptions(options []*boundOption) error {
 	var flaws inidoc.Flaws
 	for _, b := range options {
 		text := b.text
--- a/io/process/cmds/plan.go
+++ b/io/process/cmds/plan.go
@@ -22,18 +22,19 @@
 	register(command{
 		name: "plan",
 		help: "shows what promoting document NEXT over document OLD would change",
-		make: func() runner { return &plan{} },
+		make: func() runner { return &planCommand{} },
 	})
 }
 
-// storeTimeout bounds the read of one manifest from the weight store.
+// storeTimeout limits the time to read one manifest from the weight store.
 const storeTimeout = 10 * time.Second
 
-// maxManifest is the most bytes of a manifest.
-const maxManifest = 16 << 20
+// maxManifestBytes is the maximum size of a manifest that is read. A longer one is
+// cut off and then fails to decode.
+const maxManifestBytes = 16 << 20
 
-// plan is the command plan.
-type plan struct {
+// planCommand prints the differences between two documents.
+type planCommand struct {
 	Old       string         `key:"old" arg:"1" need:"true" help:"document in force"`
 	Next      string         `key:"next" arg:"2" need:"true" help:"document to promote"`
 	Manifests string         `key:"manifests" help:"manifest files, parted by commas, to count bytes from"`
@@ -41,10 +42,10 @@
 	JSON      bool           `key:"json" help:"print JSON"`
 }
 
-func (p *plan) run(ctx context.Context, out output) error {
+func (p *planCommand) run(ctx context.Context, out output) error {
 	old, oldErr := readDocument(p.Old)
 	next, nextErr := readDocument(p.Next)
-	if err := bothFlaws(oldErr, nextErr); err != nil {
+	if err := joinFlaws(oldErr, nextErr); err != nil {
 		return err
 	}
 	manifests, err := p.manifests(ctx, old, next)
@@ -58,8 +59,9 @@
 	return printPlan(out.stdout, result)
 }
 
-// bothFlaws joins the faults of two documents, so that one run lists all.
-func bothFlaws(a, b error) error {
+// joinFlaws returns the flaws of two documents as one error, so that one run reports
+// all of them. Any other error is returned alone.
+func joinFlaws(a, b error) error {
 	var all, flaws inidoc.Flaws
 	for _, err := range []error{a, b} {
 		if err != nil && !errors.As(err, &flaws) {
@@ -72,7 +74,9 @@
 	return all.Err()
 }
 
-func (p *plan) manifests(ctx context.Context, docs ...*envdoc.Document) (map[chunk.Digest]chunk.Manifest, error) {
+// manifests returns the manifests from the files given, and those of the documents'
+// models from the weight store if one is given.
+func (p *planCommand) manifests(ctx context.Context, docs ...*envdoc.Document) (map[chunk.Digest]chunk.Manifest, error) {
 	out := map[chunk.Digest]chunk.Manifest{}
 	for _, path := range inidoc.List(p.Manifests) {
 		b, err := os.ReadFile(path)
@@ -140,12 +144,12 @@
 		fmt.Fprintln(t, "\nSECTIONS\tCHANGE\tSECTION\tVALUES")
 	}
 	for _, s := range p.Sections {
-		fmt.Fprintf(t, "\t%s\t%s\t%s\n", s.Change, s.Section, values(s))
+		fmt.Fprintf(t, "\t%s\t%s\t%s\n", s.Change, s.Section, formatValues(s))
 	}
 	return fault.At("print plan", "", t.Flush())
 }
 
-func values(s envdoc.SectionChange) string {
+func formatValues(s envdoc.SectionChange) string {
 	if s.Change == envdoc.ChangeAltered {
 		return s.From + " -> " + s.To
 	}
--- a/io/process/cmds/process.go
+++ b/io/process/cmds/process.go
@@ -13,17 +13,18 @@
 	"hawthornferry/io/process/conf"
 )
 
-// process is the options of a command that runs a process: its settings file
-// and a flag --section-key for each setting. Embed a pointer to it, made by
-// newProcess, in the command's struct.
-type process struct {
+// processOptions holds the options of a command that runs a process: the settings
+// file and a flag --section-key for each setting, which overrides the file. A
+// command's struct embeds the pointer that newProcessOptions returns.
+type processOptions struct {
 	File string `key:"settings" arg:"1" need:"true" help:"INI file with the settings of the process"`
 
 	role  fleet.Role
 	flags []*settingFlag
 }
 
-// settingFlag is one setting as a flag; its text is parsed with the file.
+// settingFlag is the flag of one setting. conf.Load parses its text together with
+// the file.
 type settingFlag struct {
 	section string
 	key     string
@@ -32,10 +33,10 @@
 	}
 }
 
-func newProcess(role fleet.Role) *process { return &process{role: role} }
+func newProcessOptions(role fleet.Role) *processOptions { return &processOptions{role: role} }
 
-// options lists the settings file and the flags of the settings.
-func (p *process) options() []opt.Field {
+// options returns the settings file and the flags of the settings.
+func (p *processOptions) options() []opt.Field {
 	fields := opt.Fields(p)
 	for _, o := range conf.Options(p.role) {
 		f := &settingFlag{section: o.Section, key: o.Key}
@@ -49,8 +50,8 @@
 	return fields
 }
 
-// load reads the settings file and lays the flags over it.
-func (p *process) load() (conf.Settings, error) {
+// load reads the settings file and overrides it with the flags.
+func (p *processOptions) load() (conf.Settings, error) {
 	var given []conf.Flag
 	for _, f := range p.flags {
 		if f.field.Text != "" {
@@ -65,9 +66,9 @@
 	return s, err
 }
 
-// listen opens the listener of a setting of section [listen]. A port in use
-// is an error of the input, found before anything is started.
-func (p *process) listen(key string, addr netip.AddrPort) (net.Listener, error) {
+// listen opens a listener at addr, the value of a key in section [listen]. If that
+// fails, as with a port in use, it returns an inidoc.Flaw, which counts as bad input.
+func (p *processOptions) listen(key string, addr netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		reason := err.Error()
--- a/io/process/cmds/process_test.go
+++ b/io/process/cmds/process_test.go
@@ -15,12 +15,12 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// probe is a process command that prints a setting and opens its listener.
-type probe struct {
-	*process
+// probeCommand prints two settings and opens the listener for callers.
+type probeCommand struct {
+	*processOptions
 }
 
-func (p *probe) run(_ context.Context, out output) error {
+func (p *probeCommand) run(_ context.Context, out output) error {
 	s, err := p.load()
 	if err != nil {
 		return err
@@ -34,25 +34,26 @@
 	return nil
 }
 
-func withProbe(t *testing.T) {
+// registerProbe registers probeCommand as the command probe until the test ends.
+func registerProbe(t *testing.T) {
 	t.Helper()
 	before := registry
 	t.Cleanup(func() { registry = before })
 	register(command{
 		name: "probe",
-		make: func() runner { return &probe{process: newProcess(fleet.RoleEntry)} },
+		make: func() runner { return &probeCommand{processOptions: newProcessOptions(fleet.RoleEntry)} },
 	})
 }
 
 var entryFile = filepath.Join("..", "..", "..", "examples", "entry.ini")
 
 func TestMainExitCodes(t *testing.T) {
-	withProbe(t)
-	taken, err := (&process{}).listen("callers", netip.MustParseAddrPort("127.0.0.1:0"))
+	registerProbe(t)
+	occupied, err := (&processOptions{}).listen("callers", netip.MustParseAddrPort("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer occupied.Close()
 	pindan := filepath.Join("..", "..", "..", "examples", "pindan.ini")
 	broken := filepath.Join(t.TempDir(), "broken.ini")
 	if err := os.WriteFile(broken, []byte("[environment]\nname = x\nname = y\n"), 0o600); err != nil {
@@ -79,7 +80,7 @@
 			code: exitInput, stderr: `--limits-maxInFlight: [limits] maxInFlight = "0": want a whole number from 1 to 65536`,
 		},
 		{
-			args: []string{"probe", entryFile, "--listen-callers", taken.Addr().String()},
+			args: []string{"probe", entryFile, "--listen-callers", occupied.Addr().String()},
 			code: exitInput, stderr: "[listen] callers",
 		},
 	}
--- a/io/process/cmds/replay.go
+++ b/io/process/cmds/replay.go
@@ -21,20 +21,20 @@
 	register(command{
 		name: "replay",
 		help: "checks recorded decision logs against the stated outcomes",
-		make: func() runner { return &replay{} },
+		make: func() runner { return &replayCommand{} },
 	})
 }
 
-// maxMisses bounds the misses that are printed for one outcome.
-const maxMisses = 20
+// maxPrintedMisses limits the misses that are printed for one outcome.
+const maxPrintedMisses = 20
 
-// replay is the command replay.
-type replay struct {
+// replayCommand checks decision logs against the outcomes that the system promises.
+type replayCommand struct {
 	Logs    string        `key:"logs" arg:"1" need:"true" help:"a log of JSON lines, or a directory of them"`
 	Leaving time.Duration `key:"leaving" default:"5s" min:"0s" max:"10m" help:"how long a leaving target may still get new work"`
 }
 
-func (r *replay) run(_ context.Context, out output) error {
+func (r *replayCommand) run(_ context.Context, out output) error {
 	names, err := logNames(r.Logs)
 	if err != nil {
 		return err
@@ -55,15 +55,16 @@
 		return err
 	}
 	if n := audit.Missed(results); n > 0 {
-		return errors.Newf("%d records break a stated outcome", n)
+		return errors.Newf("%d records violate a stated outcome", n)
 	}
 	return nil
 }
 
-// logSuffixes end the names of the files that are read in a directory.
+// logSuffixes are the file name extensions that are read in a directory.
 var logSuffixes = []string{".decisions", ".jsonl", ".log"}
 
-// logNames returns the file at path, or the logs of the directory at path.
+// logNames returns path itself if it is a file, or the logs in it if it is a
+// directory.
 func logNames(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -98,25 +99,26 @@
 	return log, nil
 }
 
-// printResults prints a row for each outcome, then the misses.
+// printResults prints a table with a row for each outcome, then the records that
+// miss one.
 func printResults(w io.Writer, results []audit.Result) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "outcome\tcases\tmissed\tverdict")
 	for _, r := range results {
-		fmt.Fprintf(tw, "%s\t%d\t%d\t%s\n", r.Outcome, r.Checked, len(r.Misses), verdict(r))
+		fmt.Fprintf(tw, "%s\t%d\t%d\t%s\n", r.Outcome, r.Checked, len(r.Misses), resultVerdict(r))
 	}
 	if err := tw.Flush(); err != nil {
 		return err
 	}
 	for _, r := range results {
-		for _, m := range r.Misses[:min(len(r.Misses), maxMisses)] {
+		for _, m := range r.Misses[:min(len(r.Misses), maxPrintedMisses)] {
 			fmt.Fprintf(w, "missed: %s: %v\n", r.Outcome, m)
 		}
 	}
 	return nil
 }
 
-func verdict(r audit.Result) string {
+func resultVerdict(r audit.Result) string {
 	switch {
 	case len(r.Misses) > 0:
 		return "missed"
--- a/io/process/cmds/replay_test.go
+++ b/io/process/cmds/replay_test.go
@@ -7,8 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An operator's script goes by the exit code: 0 when every promise was met,
-// 1 when a record breaks one, 2 when the logs can not be read.
+// Scripts depend on the exit code: 0 if every stated outcome was met, 1 if a record
+// violates one, 2 if the logs cannot be read.
 func TestReplayExitCodes(t *testing.T) {
 	const traces = "../../../core/process/audit/testdata/"
 	tests := []struct {
--- a/io/process/cmds/side.go
+++ b/io/process/cmds/side.go
@@ -11,13 +11,13 @@
 	register(command{
 		name: "side",
 		help: "runs the side process beside one target",
-		make: func() runner { return &sideCommand{process: newProcess(fleet.RoleSide)} },
+		make: func() runner { return &sideCommand{processOptions: newProcessOptions(fleet.RoleSide)} },
 	})
 }
 
-// sideCommand is the command side.
+// sideCommand runs a side process.
 type sideCommand struct {
-	*process
+	*processOptions
 }
 
 func (c *sideCommand) run(ctx context.Context, _ output) error {
--- a/io/process/cmds/signal.go
+++ b/io/process/cmds/signal.go
@@ -7,10 +7,11 @@
 	"syscall"
 )
 
-// untilSignal returns a context that ends at the first SIGTERM or SIGINT. A
-// second signal ends the process at once: an operator who is tired of waiting
-// for calls in flight would otherwise have to reach for SIGKILL.
-func untilSignal() (context.Context, func()) {
+// contextUntilSignal returns a context that ends at the first SIGTERM or SIGINT. A
+// second signal exits the process at once with exitFailure, so that an operator who
+// does not want to wait for calls in flight needs no SIGKILL. The returned function
+// stops listening for signals.
+func contextUntilSignal() (context.Context, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/io/process/cmds/status.go
+++ b/io/process/cmds/status.go
@@ -19,21 +19,21 @@
 func init() {
 	register(command{
 		name: "status",
-		help: "shows rollouts, outcomes and drift, as the administration API of processes tells them",
-		make: func() runner { return &status{} },
+		help: "shows the rollouts, outcomes and drift that processes report on their administration API",
+		make: func() runner { return &statusCommand{} },
 	})
 }
 
-// status is the command status.
-type status struct {
+// statusCommand prints the status of processes.
+type statusCommand struct {
 	Addresses []netip.AddrPort `key:"addresses" arg:"1" need:"true" help:"administration addresses of entries or sides, parted by commas"`
 	JSON      bool             `key:"json" help:"print JSON"`
 	Timeout   time.Duration    `key:"timeout" default:"5s" min:"100ms" max:"1m" help:"most time for one process to answer"`
 }
 
-// run prints what it could read; a process that does not answer is named and
-// makes the command fail at the end.
-func (s *status) run(ctx context.Context, out output) error {
+// run prints the statuses that it could read. For each process that does not answer
+// it prints the error; the command then fails after printing the others.
+func (s *statusCommand) run(ctx context.Context, out output) error {
 	var all []admin.Status
 	var failed error
 	for _, addr := range s.Addresses {
@@ -69,12 +69,13 @@
 	fmt.Fprintln(w, "PROCESS\tROLE\tZONE\tREADY\tENVIRONMENT\tREVISION\tREADER\tPEERS\tVMS\tNOTE")
 	for _, s := range all {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%t\t%s\t%d\t%t\t%d\t%d\t%s\n", s.Process.Name, s.Process.Role, s.Process.Zone,
-			s.Process.Ready, s.Config.Environment, s.Config.Revision, s.Config.Reader, s.Config.Peers, s.Config.VMs, note(s))
+			s.Process.Ready, s.Config.Environment, s.Config.Revision, s.Config.Reader, s.Config.Peers, s.Config.VMs, operatorNote(s))
 	}
 }
 
-// note is what an operator should look at first.
-func note(s admin.Status) string {
+// operatorNote returns the problem of a process that an operator should look at
+// first, or "".
+func operatorNote(s admin.Status) string {
 	c := s.Config
 	switch {
 	case c.Conflict > 0:
@@ -85,8 +86,8 @@
 	return s.Process.Reason
 }
 
-// rolloutRow is the progress of a version in a zone, the furthest that any
-// of the processes has seen.
+// rolloutRow is the progress of a version in a zone, as seen by the process that has
+// seen the most progress.
 type rolloutRow struct {
 	service, version, zone string
 	admin.Progress
@@ -129,7 +130,8 @@
 	}
 }
 
-// printOutcomes adds up the outcomes that the processes have counted.
+// printOutcomes prints the outcomes of all processes, summed by customer and
+// service.
 func printOutcomes(w io.Writer, all []admin.Status) {
 	sums := map[string]admin.Outcome{}
 	for _, s := range all {
@@ -190,8 +192,8 @@
 	})
 }
 
-// printRows prints the rows of all processes under one heading, and nothing
-// when there are none. of is the name of the process.
+// printRows prints the rows of all processes under one heading, or nothing if there
+// are none. It passes write the name of the process in of.
 func printRows[T any](w io.Writer, all []admin.Status, heading string, rows func(admin.Status) []T, write func(of string, row T)) {
 	first := true
 	for _, s := range all {
--- a/io/process/cmds/status_test.go
+++ b/io/process/cmds/status_test.go
@@ -15,7 +15,8 @@
 	"hawthornferry/io/process/admin"
 )
 
-// serveStatus answers with s until the test ends and returns the address.
+// serveStatus runs an administration API that reports s until the test ends, and
+// returns its address.
 func serveStatus(t *testing.T, s admin.Status) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,10 +49,10 @@
 	}
 }
 
-// An operator asks two entries and one that is gone: the tables of the two
-// are shown, with the outcomes added up and the furthest progress, and the
-// command says which did not answer and fails.
-func TestStatusAddsUpProcesses(t *testing.T) {
+// status prints the tables of two entries, with the outcomes summed and the most
+// advanced progress. If another entry does not answer, it still prints them, names
+// that entry and fails.
+func TestStatusCombinesProcesses(t *testing.T) {
 	addrs := serveStatus(t, entryStatus("entry-1", 1, 3)) + "," + serveStatus(t, entryStatus("entry-2", 2, 4))
 	tests := []struct {
 		args   []string
