--- a/io/process/trace/budget.go
+++ b/io/process/trace/budget.go
@@ -13,108 +13,113 @@
 	"hawthornferry/core/process/trail"
 )
 
-// mostHeld bounds the requests whose lines are held back at a time.
-const mostHeld = 4096
+// maxHeldRequests is the maximum number of requests whose lines are held back at a
+// time. Beyond it, routine lines of further requests are omitted at once.
+const maxHeldRequests = 4096
 
-// Budget bounds the lines of each kind that are written in a second. A kind is
-// the action that a line tells; routine lines are kinds of their own. Above its
-// budget the routine lines of a request are held back until it ends: one that went
-// well is left out whole, and one that failed, was refused or was moved keeps its
-// whole story. What is left out is counted and told in a line of its own. Set the
-// exported fields before the first call; a nil Budget bounds nothing.
+// Budget limits how many lines of each kind a Log writes per second. Lines of one
+// action are one kind, and routine lines of that action are a kind of their own.
+// Routine lines over the budget are held back until their request ends. If it
+// succeeds, they are all omitted; if it fails, is refused or is moved to another
+// target, they are written, so that the log has every line on it. Other lines over
+// the budget are omitted. Lines that are omitted are counted, and one line per action
+// reports their number. Set the exported fields before the first call.
 type Budget struct {
-	// PerSecond is how many lines of one kind pass in a second.
+	// PerSecond is the maximum number of lines of one kind that are written per
+	// second.
 	PerSecond int
-	// RoutinePerSecond is the same for routine lines; 0 stands for PerSecond.
+	// RoutinePerSecond is the same for routine lines; 0 means PerSecond.
 	RoutinePerSecond int
-	// Metrics counts the lines that are left out; nil for no count.
+	// Metrics counts the lines that are omitted; nil for no count.
 	Metrics tally.Scope
 
-	mu    sync.Mutex
-	begun time.Time
-	used  map[lineKind]int
-	left  map[string]int
-	held  map[string][]heldLine
+	mu          sync.Mutex
+	secondStart time.Time
+	written     map[lineKind]int
+	omitted     map[string]int
+	held        map[string][]heldLine
 }
 
-// lineKind is what has a budget of its own.
+// lineKind identifies the lines that share a budget.
 type lineKind struct {
 	action  string
 	routine bool
 }
 
-// heldLine is a line that waits for the end of its request.
+// heldLine is a line that is held back until its request ends.
 type heldLine struct {
 	action string
 	line   []byte
 }
 
-// pass returns the lines to be written now that d, whose line is given, is
-// decided.
-func (b *Budget) pass(d trail.Decision, routine bool, line []byte) [][]byte {
+// admit returns the lines to write now, given the decision d and its line: the
+// report of a second that is over, lines of the request that were held back, and
+// line itself unless it is held back or omitted.
+func (b *Budget) admit(d trail.Decision, routine bool, line []byte) [][]byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := b.turn(d.Time)
+	out := b.startSecond(d.Time)
 	kind := lineKind{d.Action, routine}
-	if routine && (b.held[d.Request] != nil || b.used[kind] >= cmp.Or(b.RoutinePerSecond, b.PerSecond)) {
-		b.hold(d, line)
+	if routine && (b.held[d.Request] != nil || b.written[kind] >= cmp.Or(b.RoutinePerSecond, b.PerSecond)) {
+		b.holdOrOmit(d, line)
 		return out
 	}
 	for _, h := range b.held[d.Request] {
 		out = append(out, h.line)
 	}
 	delete(b.held, d.Request)
-	if b.used[kind] >= b.PerSecond {
-		b.left[d.Action]++
+	if b.written[kind] >= b.PerSecond {
+		b.omitted[d.Action]++
 		return out
 	}
-	b.used[kind]++
+	b.written[kind]++
 	return append(out, line)
 }
 
-// ended is the action of the last line of a request.
-const ended = "answer"
+// answerAction is the action of the last line of a request.
+const answerAction = "answer"
 
-// hold keeps a routine line back, or leaves a request out that went well.
-func (b *Budget) hold(d trail.Decision, line []byte) {
+// holdOrOmit holds a routine line back. If the request ends with it, or too many
+// requests are held back, it omits all lines of the request.
+func (b *Budget) holdOrOmit(d trail.Decision, line []byte) {
 	lines := append(b.held[d.Request], heldLine{d.Action, line})
-	if d.Action != ended && len(b.held) < mostHeld {
+	if d.Action != answerAction && len(b.held) < maxHeldRequests {
 		b.held[d.Request] = lines
 		return
 	}
 	for _, h := range lines {
-		b.left[h.action]++
+		b.omitted[h.action]++
 	}
 	delete(b.held, d.Request)
 }
 
-// turn begins a new second when the last one is over, and returns the lines that
-// tell what was left out in it.
-func (b *Budget) turn(now time.Time) [][]byte {
-	if b.used != nil && now.Sub(b.begun) < time.Second && !now.Before(b.begun) {
+// startSecond starts a new second when the current one is over, and returns the
+// lines that report what was omitted in it.
+func (b *Budget) startSecond(now time.Time) [][]byte {
+	if b.written != nil && now.Sub(b.secondStart) < time.Second && !now.Before(b.secondStart) {
 		return nil
 	}
 	var out [][]byte
-	for action, n := range b.left {
-		b.count(action, n)
-		out = append(out, leftLine(now, action, n))
+	for action, n := range b.omitted {
+		b.countOmitted(action, n)
+		out = append(out, omittedLine(now, action, n))
 	}
 	slices.SortFunc(out, func(x, y []byte) int { return cmp.Compare(string(x), string(y)) })
-	b.begun, b.used, b.left = now, map[lineKind]int{}, map[string]int{}
+	b.secondStart, b.written, b.omitted = now, map[lineKind]int{}, map[string]int{}
 	if b.held == nil {
 		b.held = map[string][]heldLine{}
 	}
 	return out
 }
 
-func (b *Budget) count(action string, n int) {
+func (b *Budget) countOmitted(action string, n int) {
 	if b.Metrics != nil {
 		b.Metrics.Tagged(map[string]string{"action": action}).Counter("log_lines_left_out_total").Inc(int64(n))
 	}
 }
 
-// leftOut is the line that stands for lines over their budget.
-type leftOut struct {
+// omittedReport is the line that reports how many lines of an action were omitted.
+type omittedReport struct {
 	Level   string    `json:"level"`
 	Time    time.Time `json:"time"`
 	Message string    `json:"msg"`
@@ -122,11 +127,11 @@
 	Lines   int       `json:"lines"`
 }
 
-func leftLine(now time.Time, action string, n int) []byte {
-	l := leftOut{Level: logrus.WarnLevel.String(), Time: now, Message: "log lines left out: over the budget of their kind", Action: action, Lines: n}
+func omittedLine(now time.Time, action string, n int) []byte {
+	l := omittedReport{Level: logrus.WarnLevel.String(), Time: now, Message: "log lines left out: over the budget of their kind", Action: action, Lines: n}
 	b, err := json.Marshal(l)
 	if err != nil {
-		// A struct of plain fields always encodes.
+		// Not reached: the struct contains only types that json can encode.
 		return nil
 	}
 	return append(b, '\n')
--- a/io/process/trace/budget_test.go
+++ b/io/process/trace/budget_test.go
@@ -13,10 +13,10 @@
 	"hawthornferry/core/process/trail"
 )
 
-// A burst brings forty times as many requests as the log has lines for, and one
-// in a hundred fails. Each that failed keeps its whole story, the lines of those
-// that went well stay within the budget, and the log says how many are missing.
-func TestBudgetKeepsTheStoryOfFailures(t *testing.T) {
+// In a burst of forty times as many requests as the log has lines for, one request in
+// a hundred fails. All lines of the failed requests must be written, the lines of the
+// others must stay within the budget, and the log must report how many were omitted.
+func TestBudgetKeepsAllLinesOfFailedRequests(t *testing.T) {
 	const perSecond, requests = 50, 2000
 	clock := clockwork.NewFakeClock()
 	var out bytes.Buffer
@@ -41,7 +41,7 @@
 	clock.Advance(time.Second)
 	l.Decide(trail.Decision{Action: "placed", Request: "next"})
 
-	stories := map[string][]string{}
+	actions := map[string][]string{}
 	lines, missing := 0, 0
 	for _, b := range bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n")) {
 		var d struct {
@@ -53,26 +53,26 @@
 		}
 		lines++
 		missing += d.Lines
-		stories[d.Request] = append(stories[d.Request], d.Action)
+		actions[d.Request] = append(actions[d.Request], d.Action)
 	}
 	for i := 99; i < requests; i += 100 {
-		if diff := cmp.Diff([]string{"placed", "attempt", "answer"}, stories[strconv.Itoa(i)]); diff != "" {
-			t.Errorf("story of request %d (-want +got):\n%s", i, diff)
+		if diff := cmp.Diff([]string{"placed", "attempt", "answer"}, actions[strconv.Itoa(i)]); diff != "" {
+			t.Errorf("actions logged for request %d (-want +got):\n%s", i, diff)
 		}
 	}
-	const failed, told = requests / 100, 3
-	if most := 2*perSecond + told*failed + told; lines > most {
+	const failed, linesEach = requests / 100, 3
+	if most := 2*perSecond + linesEach*failed + linesEach; lines > most {
 		t.Errorf("%d lines, want %d at most", lines, most)
 	}
-	if diff := cmp.Diff(2*requests+failed+1, lines-len(stories[""])+missing); diff != "" {
+	if diff := cmp.Diff(2*requests+failed+1, lines-len(actions[""])+missing); diff != "" {
 		t.Errorf("lines written and missing (-want +got):\n%s", diff)
 	}
 }
 
-// Everything fails for a second, just after a burst of requests that went well.
-// The lines of those may not take the room of the ones that an engineer will
-// look for.
-func TestFailuresHaveTheLargerBudget(t *testing.T) {
+// Guards against routine lines that use up the budget of others: within one second,
+// a burst of requests succeeds and then every request fails. All the failures must be
+// logged.
+func TestRoutineLinesLeaveBudgetForFailures(t *testing.T) {
 	const perSecond, routine, requests = 40, 20, 30
 	var out bytes.Buffer
 	logger, err := NewLogger(&out, "info")
--- a/io/process/trace/log.go
+++ b/io/process/trace/log.go
@@ -14,19 +14,19 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Log is a trail.Log that writes through Logger. Set the exported fields
-// before the first decision.
+// Log is a trail.Log that writes each decision as a line of JSON to Logger's output.
+// Set the exported fields before the first decision.
 type Log struct {
 	Process string
-	// Boot is written with each line; empty where the process tells it by itself,
-	// as it takes an eighth of a line.
+	// Boot is written with each line. It is empty if the process logs its boot in
+	// some other way, since it takes an eighth of a line.
 	Boot   string
 	Clock  clockwork.Clock
 	Logger *logrus.Logger
-	// Routine tells the decisions that are left out first when the output is
-	// slow; nil for none.
+	// Routine reports whether a decision is routine: its line is the first to be
+	// omitted when the output is slow or the Budget is used up. nil means that none is.
 	Routine func(d trail.Decision) bool
-	// Budget bounds the lines of a second; nil for no bound.
+	// Budget limits the lines written per second; nil for no limit.
 	Budget *Budget
 }
 
@@ -38,9 +38,9 @@
 // decisionField is the logrus field that holds the trail.Decision of a line.
 const decisionField = "decision"
 
-// Decide writes one decision, whatever the least level of the logger: a log
-// without some of its decisions would tell the replay command of outcomes
-// that never were. The output must take concurrent writes, as a Sink does.
+// Decide writes one decision at any level of the logger: if the level could suppress
+// decisions, the replay command would report violations that did not happen. The
+// output must be safe for concurrent writes, as a Sink is.
 func (l *Log) Decide(d trail.Decision) {
 	d.Time = l.Clock.Now().Truncate(timeUnit)
 	d.Process = l.Process
@@ -56,7 +56,7 @@
 	}
 }
 
-// routineWriter is an output that leaves routine lines out first.
+// routineWriter is an output that drops routine lines before others, such as Sink.
 type routineWriter interface {
 	WriteRoutine(line []byte) (int, error)
 }
@@ -64,17 +64,17 @@
 func (l *Log) write(d trail.Decision, b []byte) error {
 	routine := l.Routine != nil && l.Routine(d)
 	if l.Budget == nil {
-		return l.put(routine, b)
+		return l.writeLine(routine, b)
 	}
-	for _, line := range l.Budget.pass(d, routine, b) {
-		if err := l.put(routine, line); err != nil {
+	for _, line := range l.Budget.admit(d, routine, b) {
+		if err := l.writeLine(routine, line); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (l *Log) put(routine bool, b []byte) error {
+func (l *Log) writeLine(routine bool, b []byte) error {
 	if w, ok := l.Logger.Out.(routineWriter); ok && routine {
 		_, err := w.WriteRoutine(b)
 		return err
@@ -83,8 +83,8 @@
 	return err
 }
 
-// NewLogger returns a logger of JSON lines at the given least level, one of
-// debug, info, warning and error. Decisions have none.
+// NewLogger returns a logger that writes JSON lines of at least the given level:
+// debug, info, warning or error. The level does not apply to decisions.
 func NewLogger(w io.Writer, level string) (*logrus.Logger, error) {
 	least, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -97,17 +97,18 @@
 	return l, nil
 }
 
-// formatter writes a decision with its own tags, so that the replay command
-// decodes it into the same type, and anything else as logrus does.
+// formatter formats a decision with the JSON tags of trail.Decision, so that the
+// replay command can decode it into the same type, and any other message as
+// logrus.JSONFormatter does.
 type formatter struct {
-	plain logrus.JSONFormatter
+	fallback logrus.JSONFormatter
 }
 
-// Format returns one line.
+// Format returns the line for one log entry.
 func (f *formatter) Format(e *logrus.Entry) ([]byte, error) {
 	d, ok := e.Data[decisionField].(trail.Decision)
 	if !ok {
-		return f.plain.Format(e)
+		return f.fallback.Format(e)
 	}
 	var b bytes.Buffer
 	err := json.NewEncoder(&b).Encode(d)
@@ -115,14 +116,14 @@
 }
 
 // dropped is the line that stands for lines that were dropped.
-type dropped struct {
+type droppedReport struct {
 	Level   string `json:"level"`
 	Message string `json:"msg"`
 	Lines   uint64 `json:"lines"`
 }
 
 func droppedLine(n uint64) []byte {
-	d := dropped{Level: logrus.WarnLevel.String(), Message: "log lines dropped: the output is too slow", Lines: n}
+	d := droppedReport{Level: logrus.WarnLevel.String(), Message: "log lines dropped: the output is too slow", Lines: n}
 	b, err := json.Marshal(d)
 	if err != nil {
 		return nil
--- a/io/process/trace/sink.go
+++ b/io/process/trace/sink.go
@@ -1,5 +1,7 @@
-// Package trace writes the logs of a process: its decisions and its ordinary
-// messages, one JSON object a line. The replay command reads the decisions.
+// Package trace writes the log of a process as lines of JSON: its decisions (package
+// trail), which the commands replay and explain read, and its other messages. It
+// never makes a request wait for the log output, and can limit the lines per second.
+// Packages host and hosted set it up at the start of a process.
 package trace
 
 import (
@@ -15,11 +17,12 @@
 	"hawthornferry/core/process/fault"
 )
 
-// DefaultBuffer is the number of lines that wait when Buffer is 0.
+// DefaultBuffer is the length of a Sink's queue in lines when Buffer is 0.
 const DefaultBuffer = 4096
 
-// Sink is a writer of lines that never waits for its output. Each Write is
-// one line. Set the exported fields before the first Write.
+// Sink is an io.Writer that queues lines for Out, so that Write never blocks. Each
+// Write is one line. Buffer is the length of the queue in lines. Set the exported
+// fields before the first Write.
 type Sink struct {
 	Out     io.Writer
 	Buffer  int
@@ -43,47 +46,49 @@
 	})
 }
 
-// routineShare is the part of the queue that routine lines may fill. When the
-// output is slow the rest is kept for lines that an engineer will look for:
-// requests that failed, were refused or were moved, and what changed a belief.
+// routineShare is the fraction of the queue that routine lines may fill. The rest is
+// reserved for the lines that an engineer looks for when the output is slow: those
+// of requests that failed, were refused or were moved to another target, and of
+// changes in what the process knows.
 const routineShare = 0.75
 
-// WriteRoutine queues a line that may be left out before others.
+// WriteRoutine queues a routine line, or drops it if the queue is filled to
+// routineShare.
 func (s *Sink) WriteRoutine(line []byte) (int, error) {
 	s.init()
 	if float64(len(s.lines)) >= routineShare*float64(cap(s.lines)) {
-		s.drop()
+		s.countDropped()
 		return len(line), nil
 	}
 	return s.Write(line)
 }
 
-func (s *Sink) drop() {
+func (s *Sink) countDropped() {
 	s.dropped.Add(1)
 	s.Metrics.Counter("log_lines_dropped_total").Inc(1)
 }
 
-// Write queues one line. A full queue means that the reader of the output is
-// stuck; waiting for it would stall every caller, so the line is dropped and
-// counted instead, and the count is written as soon as lines pass again.
+// Write queues one line. If the queue is full, which means that the output is
+// blocked, it drops and counts the line instead of making the caller wait. The count
+// is written before the next line that gets through.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.init()
 	select {
 	case s.lines <- bytes.Clone(line):
 	default:
-		s.drop()
+		s.countDropped()
 	}
 	return len(line), nil
 }
 
-// Run writes the queued lines until ctx ends, and then those still queued. An
-// output that fails costs its lines, which are counted, and not the process.
+// Run writes queued lines until ctx ends, and then those still in the queue. If the
+// output fails, the line is lost and counted in log_lines_failed_total; Run goes on.
 func (s *Sink) Run(ctx context.Context) error {
 	s.init()
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeWithReport(line)
 		case <-ctx.Done():
 			s.drain()
 			return nil
@@ -95,7 +100,7 @@
 	for {
 		select {
 		case line := <-s.lines:
-			s.put(line)
+			s.writeWithReport(line)
 		default:
 			s.reportDropped()
 			return
@@ -103,7 +108,7 @@
 	}
 }
 
-func (s *Sink) put(line []byte) {
+func (s *Sink) writeWithReport(line []byte) {
 	s.reportDropped()
 	s.write(line)
 }
@@ -124,15 +129,16 @@
 func Open(output string) (io.WriteCloser, error) {
 	switch output {
 	case "", "stderr":
-		return standard{os.Stderr}, nil
+		return standardStream{os.Stderr}, nil
 	case "stdout":
-		return standard{os.Stdout}, nil
+		return standardStream{os.Stdout}, nil
 	}
 	f, err := os.OpenFile(output, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
 	return f, fault.At("open log", output, err)
 }
 
-// standard is a stream that belongs to the whole process and stays open.
-type standard struct{ io.Writer }
+// standardStream is stdout or stderr. Close has no effect, because the whole process
+// uses the stream.
+type standardStream struct{ io.Writer }
 
-func (standard) Close() error { return nil }
+func (standardStream) Close() error { return nil }
--- a/io/process/trace/trace_test.go
+++ b/io/process/trace/trace_test.go
@@ -14,11 +14,11 @@
 	"hawthornferry/core/process/trail"
 )
 
-// The operator sees the log stand still and then one line that says how many
-// lines are gone: the reader of the output is stuck, the queue of two lines
-// fills, and the third decision must return at once, because its caller is
-// on the path of a request.
-func TestStuckOutputDropsAndCounts(t *testing.T) {
+// Guards against a Decide that blocks while the log output does: its caller is
+// handling a request. The queue of two lines fills, and the third and fourth decision
+// must return at once. When the output works again, one line must report how many
+// lines were dropped.
+func TestBlockedOutputDropsAndCountsLines(t *testing.T) {
 	var out bytes.Buffer
 	sink := &Sink{Out: &out, Buffer: 2}
 	logger, err := NewLogger(sink, "error")
@@ -39,11 +39,11 @@
 	if len(lines) != 3 {
 		t.Fatalf("got %d lines, want 3:\n%s", len(lines), &out)
 	}
-	var gone dropped
-	if err := json.Unmarshal([]byte(lines[0]), &gone); err != nil {
+	var report droppedReport
+	if err := json.Unmarshal([]byte(lines[0]), &report); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(uint64(2), gone.Lines); diff != "" {
+	if diff := cmp.Diff(uint64(2), report.Lines); diff != "" {
 		t.Errorf("dropped lines (-want +got):\n%s", diff)
 	}
 	var got trail.Decision
@@ -56,10 +56,10 @@
 	}
 }
 
-// An engineer looks for the request that failed, and its lines are among those
-// dropped: the output was slow, and requests that went well filled the queue.
-// Their lines give way before it is full.
-func TestRoutineLinesGiveWay(t *testing.T) {
+// Guards against dropping the lines of a failed request because the lines of
+// successful ones have filled the queue of a slow output. Routine lines must be
+// dropped before the queue is full.
+func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	var out bytes.Buffer
 	sink := &Sink{Out: &out, Buffer: 8}
 	logger, err := NewLogger(sink, "error")
@@ -83,6 +83,6 @@
 		t.Errorf("the failed request is not in the log:\n%s", &out)
 	}
 	if !strings.Contains(out.String(), `"lines":14`) {
-		t.Errorf("the log does not say that 14 lines are left out:\n%s", &out)
+		t.Errorf("the log does not report 14 dropped lines:\n%s", &out)
 	}
 }
