--- a/io/process/admin/admin_test.go
+++ b/io/process/admin/admin_test.go
@@ -15,7 +15,9 @@
 	"hawthornferry/core/process/fleet"
 )
 
-func TestServesReadOnly(t *testing.T) {
+// The server answers each path as documented, rejects other methods than GET and
+// HEAD, and Fetch returns the status that it serves.
+func TestServerIsReadOnly(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +63,7 @@
 			t.Errorf("%s %s: code (-want +got):\n%s", tc.method, tc.path, diff)
 		}
 		if !strings.Contains(string(b), tc.body) {
-			t.Errorf("%s %s: body %q does not hold %q", tc.method, tc.path, b, tc.body)
+			t.Errorf("%s %s: body %q does not contain %q", tc.method, tc.path, b, tc.body)
 		}
 	}
 	got, err := Fetch(ctx, netip.MustParseAddrPort(addr))
--- a/io/process/admin/fetch.go
+++ b/io/process/admin/fetch.go
@@ -12,10 +12,12 @@
 	"hawthornferry/core/process/fault"
 )
 
-// maxStatus is the most bytes of a status that Fetch takes.
-const maxStatus = 32 << 20
+// maxStatusBytes is the maximum size of a status that Fetch reads. A longer one is
+// cut off and fails to decode.
+const maxStatusBytes = 32 << 20
 
-// Fetch reads the status of the process whose administration API is at addr.
+// Fetch requests and checks the status of the process whose administration API is at
+// addr.
 func Fetch(ctx context.Context, addr netip.AddrPort) (Status, error) {
 	const step = "fetch status"
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/v1/status", nil)
@@ -31,7 +33,7 @@
 		return Status{}, fault.At(step, addr.String(), errors.Newf("status %d", resp.StatusCode))
 	}
 	var s Status
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatus)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxStatusBytes)).Decode(&s); err != nil {
 		return Status{}, fault.At(step, addr.String(), err)
 	}
 	return s, fault.At(step, addr.String(), s.Check())
--- a/io/process/admin/meter.go
+++ b/io/process/admin/metrics.go
@@ -11,20 +11,22 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// metricsInterval is how often the scope hands its counts to the reporter.
+// metricsInterval is how often the scope passes its counts to the reporter, and so
+// how old a value at /metrics may be.
 const metricsInterval = time.Second
 
-// metricsPrefix starts the name of each metric.
+// metricsPrefix is the first part of the name of each metric.
 const metricsPrefix = "hawthornferry"
 
-// NewMetrics returns the scope of the process's metrics, the handler that
-// shows them and what to close at the end. There is one for each process.
+// NewMetrics returns the scope in which a process counts its metrics, the HTTP
+// handler that serves them in the Prometheus format, and a Closer that reports the
+// last counts. Each process calls it once.
 func NewMetrics() (tally.Scope, http.Handler, io.Closer) {
-	// Two metrics of one name with different tags cannot both be registered;
-	// by default the reporter panics. A process that ends for the sake of a
-	// metric is worse than a metric that is missing.
-	// A registry of its own: two processes that share one binary, as in a test,
-	// would add up in the library's common one.
+	// OnRegisterError ignores errors: two metrics with the same name and different
+	// tag keys cannot both be registered, and by default the reporter panics. A missing
+	// metric is better than a crashed process.
+	// The registry is not the library's global one, in which the counts of several
+	// processes in one binary, as in a test, would be added up.
 	registry := client.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{
 		Registerer: registry, Gatherer: registry, OnRegisterError: func(error) {},
@@ -39,9 +41,9 @@
 	return scope, reporter.HTTPHandler(), closer
 }
 
-// sanitizeOptions allow any character in the value of a tag, as the format does.
-// By default dashes become underscores, and a target or route has another name
-// in the metrics than in the log.
+// sanitizeOptions allows any character in the value of a tag, as the Prometheus
+// format does. By default dashes become underscores, and a target or route would have
+// different names in the metrics and in the log.
 func sanitizeOptions() *tally.SanitizeOptions {
 	o := prometheus.DefaultSanitizerOpts
 	o.ValueCharacters = tally.ValidCharacters{Ranges: []tally.SanitizeRange{{' ', unicode.MaxRune}}}
--- a/io/process/admin/serve.go
+++ b/io/process/admin/serve.go
@@ -1,6 +1,8 @@
-// Package admin is the administration API of a process: read-only, on its
-// own address, so that a burst of callers cannot hide a process from its
-// operators and balancer.
+// Package admin implements the administration API of an entry or side: a read-only
+// HTTP server with the health, readiness, metrics and status of the process. It has
+// an address of its own, so that operators and the load balancer reach it when many
+// callers occupy the other one. Packages host and hosted run it; the command status
+// is its client.
 package admin
 
 import (
@@ -16,17 +18,18 @@
 	"hawthornferry/core/process/fault"
 )
 
-// Bounds of a request to the API and of the wait for those in flight at the
-// end.
+// Limits of a request to the API. shutdownTimeout is how long Run waits for requests
+// in flight after ctx ends; then it closes their connections.
 const (
-	readTimeout  = 5 * time.Second
-	writeTimeout = 30 * time.Second
-	endTimeout   = 2 * time.Second
-	maxHeader    = 16 << 10
+	readTimeout     = 5 * time.Second
+	writeTimeout    = 30 * time.Second
+	shutdownTimeout = 2 * time.Second
+	maxHeaderBytes  = 16 << 10
 )
 
-// Server answers the administration API. Set the exported fields before Run.
-// Ready returns why the process takes no callers, nil when it does.
+// Server serves the administration API. Set the exported fields before Run. Ready
+// returns nil if the process accepts callers, else the reason why not. Metrics may be
+// nil.
 type Server struct {
 	Listener net.Listener
 	Status   func() Status
@@ -34,19 +37,19 @@
 	Metrics  http.Handler
 }
 
-// Run serves until ctx ends.
+// Run serves the API on Listener until ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	srv := &http.Server{
 		Handler:           s.routes(),
 		ReadTimeout:       readTimeout,
 		ReadHeaderTimeout: readTimeout,
 		WriteTimeout:      writeTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 	stop := context.AfterFunc(ctx, func() {
-		end, cancel := context.WithTimeout(context.Background(), endTimeout)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 		defer cancel()
-		if srv.Shutdown(end) != nil {
+		if srv.Shutdown(shutdownCtx) != nil {
 			srv.Close()
 		}
 	})
--- a/io/process/admin/status.go
+++ b/io/process/admin/status.go
@@ -9,7 +9,7 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Status is what a process answers at /v1/status. Durations are in
+// Status is the JSON document that a process serves at /v1/status. Durations are in
 // milliseconds, sizes in bytes.
 type Status struct {
 	Process  Process   `json:"process"`
@@ -22,8 +22,8 @@
 	Traffic  []Traffic `json:"traffic"`
 }
 
-// Process says which process answers. Ready is what /readyz answers; Reason
-// says why a process is not ready.
+// Process identifies the process. Boot identifies this run of it. Ready is the result
+// of /readyz; Reason says why the process is not ready.
 type Process struct {
 	Name    string     `json:"name"`
 	Role    fleet.Role `json:"role"`
@@ -36,11 +36,13 @@
 	Reason  string     `json:"reason,omitempty"`
 }
 
-// Config says which configuration is in force and how it gets here. Refused
-// is the highest revision that was read and not taken, with its Fault.
-// Conflict is the revision in force when it was given to other content too.
-// Service is the highest revision that this process has read itself; Reader
-// says whether it reads the platform for its zone now.
+// Config describes the configuration in force and how the process gets it. Refused is
+// the highest revision that was received and rejected, and Fault the reason. Conflict
+// is the revision in force if another document with the same revision was seen, else
+// 0. Service is the highest revision that this process has read from the platform
+// itself. Reader says whether it currently reads the platform for its zone. Peers is
+// the number of connected peers. ListVersion and VMs are the version and the length
+// of the VM list.
 type Config struct {
 	Environment string `json:"environment"`
 	Stage       string `json:"stage"`
@@ -55,7 +57,7 @@
 	VMs         int    `json:"vms"`
 }
 
-// Rollout is the progress of one model's version to the replicas that are to
+// Rollout is the progress of loading a version of a model at the replicas that are to
 // serve it.
 type Rollout struct {
 	Service  string       `json:"service"`
@@ -65,8 +67,9 @@
 	Zones    []Progress   `json:"zones"`
 }
 
-// Progress is a rollout in one zone: replicas wanted, those that serve the
-// version, those that hold all its chunks, and chunks over all replicas.
+// Progress is a rollout in one zone. Want is the number of replicas wanted, Serving
+// those that serve the version, Staged those that have all its chunks. ChunksHeld and
+// ChunksTotal are summed over all replicas.
 type Progress struct {
 	Zone        string `json:"zone"`
 	Want        int    `json:"want"`
@@ -76,7 +79,7 @@
 	ChunksTotal int    `json:"chunksTotal"`
 }
 
-// Target is one target as the process sees it.
+// Target is the state of a target as known to the process.
 type Target struct {
 	Name     string       `json:"name"`
 	Service  string       `json:"service"`
@@ -88,8 +91,9 @@
 	Reason   string       `json:"reason,omitempty"`
 }
 
-// Outcome counts calls by outcome since the process started. Repeated counts
-// calls whose repetition was stopped; Refused those refused at the door.
+// Outcome counts a customer's calls to a service by outcome since the process
+// started. Repeated counts those that had been received before and did not run again,
+// Refused those that admission refused.
 type Outcome struct {
 	Customer string `json:"customer"`
 	Service  string `json:"service"`
@@ -100,9 +104,10 @@
 	Refused  uint64 `json:"refused"`
 }
 
-// Drift compares a measure in the latest window with the usual value of those
-// before. Trend is the newest windows over the oldest, 1 for no change.
-// Declined is set when either is above what is taken for chance.
+// Drift shows whether a measure gets worse over time. Value is that of the last
+// finished window, Previous the median of the windows before it. Trend is the average
+// of the newest windows divided by that of the oldest, so 1 means no change. Declined
+// is set if either increase is too large to be random variation (see package drift).
 type Drift struct {
 	Name     string  `json:"name"`
 	Unit     string  `json:"unit"`
@@ -113,22 +118,23 @@
 	Declined bool    `json:"declined,omitempty"`
 }
 
-// Table is the size of one bounded table of the process.
+// Table is the size of a table in the process's memory. Bound is the maximum number
+// of entries, or 0 if the document in force sets it.
 type Table struct {
 	Name    string `json:"name"`
 	Entries int    `json:"entries"`
 	Bound   int    `json:"bound"`
 }
 
-// Traffic is the bytes between this process and others of the system since it
-// started, for one purpose of connection.
+// Traffic is the number of bytes received from and sent to other processes of the
+// system since the start, on connections of one purpose (see link.Purpose).
 type Traffic struct {
 	Purpose  string `json:"purpose"`
 	Received uint64 `json:"received"`
 	Sent     uint64 `json:"sent"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first invalid field.
 func (s Status) Check() error {
 	if s.Process.Name == "" {
 		return errors.New("status: name of the process is empty")
