--- a/standin/caller/call.go
+++ b/standin/caller/call.go
@@ -41,9 +41,9 @@
 
 // call is one call with all its attempts.
 type call struct {
-	load     *Load
+	load     *LoadTest
 	kind     Kind
-	lane     *Lane
+	route    *Route
 	serial   uint64
 	customer string
 	key      string
@@ -54,7 +54,7 @@
 	attempts int
 	// unsure is set once an attempt ended in Unknown: a later attempt that
 	// could not be sent then leaves the call unknown, not unrun.
-	unsure     bool
+	maybeRan   bool
 	firstToken time.Duration
 	result     result
 }
@@ -63,36 +63,36 @@
 // left. Fault says why an answer that looked
 // complete was not whole, or why there was none.
 type result struct {
-	outcome  Outcome
-	unsent   bool
-	status   int
-	wait     time.Duration
-	manifest string
-	notWhole bool
-	cut      bool
-	fault    string
+	outcome    Outcome
+	notSent    bool
+	status     int
+	retryAfter time.Duration
+	manifest   string
+	notWhole   bool
+	cut        bool
+	fault      string
 }
 
 // do makes attempts until one is final.
-func (c *call) do() {
+func (c *call) run() {
 	for c.attempts < c.load.Attempts {
 		c.attempts++
 		c.result = c.attempt()
-		c.settle()
-		if c.final() {
+		c.updateState()
+		if c.isFinal() {
 			return
 		}
-		c.pause()
+		c.waitBeforeRetry()
 	}
 }
 
 // settle fits the attempt's result to those before it. A ticket or key whose
 // call will never run is given up, so that the next attempt takes a new one.
-func (c *call) settle() {
-	if c.result.unsent && c.unsure {
+func (c *call) updateState() {
+	if c.result.notSent && c.maybeRan {
 		c.result.outcome = Unknown
 	}
-	c.unsure = c.result.outcome == Unknown
+	c.maybeRan = c.result.outcome == Unknown
 	if c.result.outcome == NotRun {
 		c.ticket = ""
 		c.idemKey = ""
@@ -106,7 +106,7 @@
 	case KindStream:
 		return c.stream(ctx)
 	case KindWhole:
-		return c.whole(ctx)
+		return c.completion(ctx)
 	case KindLookup:
 		return c.lookup(ctx)
 	default:
@@ -117,7 +117,7 @@
 // final reports whether the outcome settles the call. A call that did not run
 // may be made again. One of which the outcome is unknown may be made again
 // only when it can do no harm: not a once-call without a ticket or a key.
-func (c *call) final() bool {
+func (c *call) isFinal() bool {
 	switch c.result.outcome {
 	case Done:
 		return true
@@ -128,13 +128,13 @@
 	}
 }
 
-func (c *call) pause() {
-	wait := min(max(c.result.wait, retryWait), maxRetryWait)
+func (c *call) waitBeforeRetry() {
+	wait := min(max(c.result.retryAfter, retryWait), maxRetryWait)
 	<-c.load.Clock.After(wait)
 }
 
 // route numbers the attempt, so that the next one goes to another address.
-func (c *call) route() uint64 { return c.serial + uint64(c.attempts) }
+func (c *call) attemptIndex() uint64 { return c.serial + uint64(c.attempts) }
 
 // send makes a request; the caller closes the body of the response.
 func (c *call) send(ctx context.Context, method, url string, body any) (*http.Response, error) {
@@ -165,10 +165,10 @@
 
 // lost is the result of a request without an answer. A connection that could
 // not be made carried nothing, so that the call did not run.
-func lost(err error) result {
+func requestFailed(err error) result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return result{outcome: NotRun, unsent: true, fault: "dial"}
+		return result{outcome: NotRun, notSent: true, fault: "dial"}
 	}
 	return result{outcome: Unknown, fault: "lost"}
 }
@@ -180,10 +180,10 @@
 
 // refused reads a response other than 200. A refusal that tells no outcome
 // leaves it unknown.
-func refused(resp *http.Response) result {
+func readProblem(resp *http.Response) result {
 	res := result{outcome: Unknown, status: resp.StatusCode, fault: "status " + strconv.Itoa(resp.StatusCode)}
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
-		res.wait = time.Duration(s) * time.Second
+		res.retryAfter = time.Duration(s) * time.Second
 	}
 	var p problem
 	err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(&p)
@@ -194,12 +194,12 @@
 }
 
 // partial is the result of an answer that broke off in the caller's sight.
-func partial(status int) result {
+func truncated(status int) result {
 	return result{outcome: Unknown, status: status, cut: true, fault: "cut"}
 }
 
 // wrong is the result of an answer that looked complete and was not the
 // caller's whole answer.
-func wrong(status int, why string) result {
+func invalidAnswer(status int, why string) result {
 	return result{outcome: Done, status: status, notWhole: true, fault: why}
 }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -31,10 +31,10 @@
 	return netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 }
 
-func newLoad(entry netip.AddrPort) *Load {
-	l := &Load{Attempts: 2, Tokens: 4, Timeout: time.Minute, Chat: "helper", Lookup: "booking", Once: "booking"}
+func newLoad(entry netip.AddrPort) *LoadTest {
+	l := &LoadTest{Attempts: 2, Tokens: 4, Timeout: time.Minute, ChatService: "helper", LookupService: "booking", OnceService: "booking"}
 	l.LookupPath, l.OncePath = "pitches", "payments"
-	l.Entries = Lane{Name: LaneEntry, Chats: []netip.AddrPort{entry}, Plain: []netip.AddrPort{entry}}
+	l.Entries = Route{Name: RouteEntry, Chats: []netip.AddrPort{entry}, Plain: []netip.AddrPort{entry}}
 	l.Customers = []Customer{{Name: "a", Weight: 1}}
 	l.Manifests = versions
 	l.Clock = clockwork.NewRealClock()
@@ -43,28 +43,28 @@
 }
 
 // one makes one call of a kind against the handler.
-func one(t *testing.T, k Kind, h http.HandlerFunc) result {
+func makeCall(t *testing.T, k Kind, h http.HandlerFunc) result {
 	t.Helper()
 	l := newLoad(address(t, h))
-	c := &call{load: l, kind: k, lane: &l.Entries, customer: "a", start: l.Clock.Now()}
-	c.do()
+	c := &call{load: l, kind: k, route: &l.Entries, customer: "a", start: l.Clock.Now()}
+	c.run()
 	return c.result
 }
 
-// streamOf writes the given versions' tokens, one a position, and the end.
-func streamOf(finish, done bool, by ...chunk.Digest) http.HandlerFunc {
+// streamHandler writes the given versions' tokens, one a position, and the end.
+func streamHandler(finish, done bool, tokenVersions ...chunk.Digest) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q engine.Request
 		_ = json.NewDecoder(r.Body).Decode(&q)
 		prompt := expect.Prompt(q.Messages)
-		for k, d := range by {
+		for k, d := range tokenVersions {
 			c := engine.Chunk{Position: k, Choices: []engine.ChunkChoice{{}}}
 			c.Choices[0].Delta.Content = expect.NewAnswer(d, prompt).Token(k)
-			event(w, c)
+			writeEvent(w, c)
 		}
 		if finish {
 			stop := "stop"
-			event(w, engine.Chunk{Position: len(by), Choices: []engine.ChunkChoice{{FinishReason: &stop}}})
+			writeEvent(w, engine.Chunk{Position: len(tokenVersions), Choices: []engine.ChunkChoice{{FinishReason: &stop}}})
 		}
 		if done {
 			fmt.Fprint(w, "data: [DONE]\n\n")
@@ -72,7 +72,7 @@
 	}
 }
 
-func event(w http.ResponseWriter, v any) {
+func writeEvent(w http.ResponseWriter, v any) {
 	b, _ := json.Marshal(v)
 	fmt.Fprintf(w, "data: %s\n\n", b)
 }
@@ -87,18 +87,18 @@
 		h    http.HandlerFunc
 		want result
 	}{
-		{name: "whole", h: streamOf(true, true, a, a, a, a), want: result{outcome: Done, status: 200, manifest: string(a)}},
-		{name: "cut", h: streamOf(false, false, a, a), want: partial(200)},
-		{name: "no end", h: streamOf(true, false, a, a, a, a), want: partial(200)},
-		{name: "no finish", h: streamOf(false, true, a, a, a, a), want: wrong(200, "ended without a finish")},
-		{name: "mixed", h: streamOf(true, true, a, a, b, b), want: wrong(200, "not the answer of one version to this prompt")},
-		{name: "short", h: streamOf(true, true, a, a, a), want: wrong(200, "not the answer of one version to this prompt")},
+		{name: "whole", h: streamHandler(true, true, a, a, a, a), want: result{outcome: Done, status: 200, manifest: string(a)}},
+		{name: "cut", h: streamHandler(false, false, a, a), want: truncated(200)},
+		{name: "no end", h: streamHandler(true, false, a, a, a, a), want: truncated(200)},
+		{name: "no finish", h: streamHandler(false, true, a, a, a, a), want: invalidAnswer(200, "ended without a finish")},
+		{name: "mixed", h: streamHandler(true, true, a, a, b, b), want: invalidAnswer(200, "not the answer of one version to this prompt")},
+		{name: "short", h: streamHandler(true, true, a, a, a), want: invalidAnswer(200, "not the answer of one version to this prompt")},
 		{name: "told", h: func(w http.ResponseWriter, _ *http.Request) {
-			event(w, problem{Outcome: Unknown})
+			writeEvent(w, problem{Outcome: Unknown})
 		}, want: result{outcome: Unknown, status: 200, cut: true, fault: "told in the stream"}},
 	}
 	for _, tc := range tests {
-		got := one(t, KindStream, tc.h)
+		got := makeCall(t, KindStream, tc.h)
 		if diff := cmp.Diff(tc.want, got, cmp.AllowUnexported(result{})); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tc.name, diff)
 		}
@@ -117,7 +117,7 @@
 	}
 	for _, tc := range tests {
 		n := 0
-		got := one(t, KindOnce, func(w http.ResponseWriter, _ *http.Request) {
+		got := makeCall(t, KindOnce, func(w http.ResponseWriter, _ *http.Request) {
 			n++
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_ = json.NewEncoder(w).Encode(problem{Outcome: tc.told})
@@ -151,8 +151,8 @@
 	}
 	l := newLoad(address(t, http.HandlerFunc(h)))
 	l.TicketEvery = 1
-	c := &call{load: l, kind: KindOnce, lane: &l.Entries, customer: "a", start: l.Clock.Now()}
-	c.do()
+	c := &call{load: l, kind: KindOnce, route: &l.Entries, customer: "a", start: l.Clock.Now()}
+	c.run()
 	if diff := cmp.Diff([]string{"t", "t"}, seen); diff != "" {
 		t.Errorf("tickets (-want +got):\n%s", diff)
 	}
@@ -180,25 +180,25 @@
 			_ = json.NewEncoder(w).Encode(problem{Outcome: tc.told})
 		})))
 		l.KeyEvery = 3
-		c := &call{load: l, kind: KindOnce, lane: &l.Entries, serial: 1, customer: "a", start: l.Clock.Now()}
-		c.do()
+		c := &call{load: l, kind: KindOnce, route: &l.Entries, serial: 1, customer: "a", start: l.Clock.Now()}
+		c.run()
 		if diff := cmp.Diff(tc.want, seen); diff != "" {
 			t.Errorf("%s: keys (-want +got):\n%s", tc.told, diff)
 		}
 	}
 }
 
-func TestLostNotDialled(t *testing.T) {
+func TestFailedDialIsNotRun(t *testing.T) {
 	dead := address(t, http.NotFoundHandler())
 	l := newLoad(dead)
 	l.Entries.Plain[0] = netip.AddrPortFrom(dead.Addr(), 1)
-	c := &call{load: l, kind: KindOnce, lane: &l.Entries, customer: "a", start: l.Clock.Now()}
-	c.do()
-	if diff := cmp.Diff([]any{NotRun, true}, []any{c.result.outcome, c.result.unsent}); diff != "" {
+	c := &call{load: l, kind: KindOnce, route: &l.Entries, customer: "a", start: l.Clock.Now()}
+	c.run()
+	if diff := cmp.Diff([]any{NotRun, true}, []any{c.result.outcome, c.result.notSent}); diff != "" {
 		t.Errorf("outcome, unsent (-want +got):\n%s", diff)
 	}
-	c = &call{load: l, kind: KindOnce, unsure: true, result: c.result}
-	c.settle()
+	c = &call{load: l, kind: KindOnce, maybeRan: true, result: c.result}
+	c.updateState()
 	if diff := cmp.Diff(Unknown, c.result.outcome); diff != "" {
 		t.Errorf("after an unknown attempt (-want +got):\n%s", diff)
 	}
@@ -207,9 +207,9 @@
 // What callers were told is compared with what ran: a key that ran twice, one
 // told "not run" that ran, and one told "done" that did not, each show.
 func TestCompare(t *testing.T) {
-	e := &endings{told: map[string]Outcome{"twice": Done, "ran": NotRun, "never": Done, "maybe": Unknown, "good": Done}}
+	e := &onceOutcomes{reported: map[string]Outcome{"twice": Done, "ran": NotRun, "never": Done, "maybe": Unknown, "good": Done}}
 	got := e.compare(map[string]int{"twice": 2, "ran": 1, "maybe": 1, "good": 1})
-	want := Once{Calls: 5, Ran: 4, Duplicates: 1, FalseNotRun: 1, FalseDone: 1}
+	want := OnceCheck{Calls: 5, Ran: 4, Duplicates: 1, FalseNotRun: 1, FalseDone: 1}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("once (-want +got):\n%s", diff)
 	}
@@ -217,23 +217,23 @@
 
 // The whole tool against a plain stand-in: both lanes are used in turn, and
 // every key that was told to be done ran once.
-func TestRunThroughBothLanes(t *testing.T) {
+func TestRunUsesBothRoutes(t *testing.T) {
 	s := &plain.Service{Name: "booking", Clock: clockwork.NewRealClock()}
 	target := s.Handler()
-	stand := address(t, target)
+	replica := address(t, target)
 	entry := address(t, http.StripPrefix("/v1/services/booking", target))
 	l := newLoad(entry)
 	l.Slice, l.Duration = 5*time.Millisecond, time.Hour
-	l.Direct = Lane{Name: LaneDirect, Plain: []netip.AddrPort{stand}, Past: true}
-	l.Replicas = []netip.AddrPort{stand}
-	l.Work = []Work{{Kind: KindOnce, Workers: 2}, {Kind: KindLookup, Workers: 2}}
-	ctx, cancel := cancelOnceBusy(t, l)
+	l.Direct = Route{Name: RouteDirect, Plain: []netip.AddrPort{replica}, Direct: true}
+	l.Replicas = []netip.AddrPort{replica}
+	l.Workloads = []Workload{{Kind: KindOnce, Workers: 2}, {Kind: KindLookup, Workers: 2}}
+	ctx, cancel := cancelWhenRowsDone(t, l)
 	defer cancel()
 	sum, err := l.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff([]any{true, 4, 2}, []any{sum.Sound(), len(sum.Rows), len(sum.Added)}); diff != "" {
+	if diff := cmp.Diff([]any{true, 4, 2}, []any{sum.Valid(), len(sum.Rows), len(sum.Overhead)}); diff != "" {
 		t.Errorf("sound, rows, kinds compared (-want +got):\n%s\n%+v", diff, sum)
 	}
 	if diff := cmp.Diff(sum.Once.Calls, sum.Once.Ran); diff != "" {
@@ -241,12 +241,12 @@
 	}
 }
 
-// cancelOnceBusy ends the run once every row has a call that was done.
-func cancelOnceBusy(t *testing.T, l *Load) (context.Context, context.CancelFunc) {
+// cancelWhenRowsDone ends the run once every row has a call that was done.
+func cancelWhenRowsDone(t *testing.T, l *LoadTest) (context.Context, context.CancelFunc) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		for !l.counts.busy(4) && ctx.Err() == nil {
+		for !l.counts.hasDoneRows(4) && ctx.Err() == nil {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
@@ -254,7 +254,7 @@
 	return ctx, cancel
 }
 
-func (c *counts) busy(rows int) bool {
+func (c *counts) hasDoneRows(rows int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -19,9 +19,9 @@
 
 func (c *call) request(stream bool) engine.Request {
 	preface := strings.Repeat("You answer for "+c.customer+".\n", prefaceLines)
-	question := fmt.Sprintf("question %s-%d", c.load.run, c.serial)
+	question := fmt.Sprintf("question %s-%d", c.load.runID, c.serial)
 	return engine.Request{
-		Model:     c.load.Chat,
+		Model:     c.load.ChatService,
 		Stream:    stream,
 		MaxTokens: c.load.Tokens,
 		Messages: []expect.Message{
@@ -31,32 +31,32 @@
 	}
 }
 
-func (c *call) whole(ctx context.Context) result {
+func (c *call) completion(ctx context.Context) result {
 	q := c.request(false)
-	resp, err := c.send(ctx, http.MethodPost, c.lane.chatURL(c.route()), q)
+	resp, err := c.send(ctx, http.MethodPost, c.route.chatURL(c.attemptIndex()), q)
 	if err != nil {
-		return lost(err)
+		return requestFailed(err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return readProblem(resp)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return partial(resp.StatusCode)
+		return truncated(resp.StatusCode)
 	}
 	var a engine.Completion
 	if err := json.Unmarshal(b, &a); err != nil {
-		return wrong(resp.StatusCode, "not JSON")
+		return invalidAnswer(resp.StatusCode, "not JSON")
 	}
 	if len(a.Choices) != 1 || a.Choices[0].FinishReason == "" {
-		return wrong(resp.StatusCode, "not finished")
+		return invalidAnswer(resp.StatusCode, "not finished")
 	}
-	return c.judge(resp, q, a.Choices[0].Message.Content)
+	return c.checkAnswer(resp, q, a.Choices[0].Message.Content)
 }
 
 // judge checks the text of an answer that ended as a complete one does.
-func (c *call) judge(resp *http.Response, q engine.Request, text string) result {
+func (c *call) checkAnswer(resp *http.Response, q engine.Request, text string) result {
 	named := resp.Header.Get(headerManifest)
 	candidates := c.load.Manifests
 	if len(candidates) == 0 {
@@ -64,10 +64,10 @@
 	}
 	m, ok := expect.Match(candidates, expect.Prompt(q.Messages), text, q.MaxTokens)
 	if !ok {
-		return wrong(resp.StatusCode, "not the answer of one version to this prompt")
+		return invalidAnswer(resp.StatusCode, "not the answer of one version to this prompt")
 	}
 	if named != "" && named != string(m) {
-		return wrong(resp.StatusCode, "the version named is not the one that answered")
+		return invalidAnswer(resp.StatusCode, "the version named is not the one that answered")
 	}
 	return result{outcome: Done, status: resp.StatusCode, manifest: string(m)}
 }
--- a/standin/caller/count.go
+++ b/standin/caller/count.go
@@ -18,9 +18,9 @@
 const maxFaults = 64
 
 // slot names one row of the counts.
-type slot struct {
-	lane string
-	kind Kind
+type rowKey struct {
+	route string
+	kind  Kind
 }
 
 // tally is one row of the counts.
@@ -49,14 +49,14 @@
 // counts are the counts of a run.
 type counts struct {
 	mu        sync.Mutex
-	rows      map[slot]*tally
+	rows      map[rowKey]*tally
 	versions  map[string]int64
 	customers map[string]int64
 }
 
-func (c *counts) row(s slot) *tally {
+func (c *counts) row(s rowKey) *tally {
 	if c.rows == nil {
-		c.rows = map[slot]*tally{}
+		c.rows = map[rowKey]*tally{}
 		c.versions = map[string]int64{}
 		c.customers = map[string]int64{}
 	}
@@ -71,13 +71,13 @@
 func (c *counts) begin(k *call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.row(slot{lane: k.lane.Name, kind: k.kind}).started++
+	c.row(rowKey{route: k.route.Name, kind: k.kind}).started++
 }
 
 func (c *counts) end(k *call, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.row(slot{lane: k.lane.Name, kind: k.kind})
+	t := c.row(rowKey{route: k.route.Name, kind: k.kind})
 	t.add(k, now)
 	if k.result.manifest != "" {
 		c.versions[k.result.manifest]++
@@ -103,7 +103,7 @@
 	switch k.result.outcome {
 	case Done:
 		t.done++
-		t.time(k, now)
+		t.recordLatency(k, now)
 	case NotRun:
 		t.notRun++
 	default:
@@ -112,7 +112,7 @@
 }
 
 // time records the latencies of a call that was done.
-func (t *tally) time(k *call, now time.Time) {
+func (t *tally) recordLatency(k *call, now time.Time) {
 	_ = t.whole.RecordValue(now.Sub(k.start).Microseconds())
 	if k.firstToken > 0 {
 		_ = t.firstToken.RecordValue(k.firstToken.Microseconds())
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -34,61 +34,61 @@
 
 // Work is how many workers make calls of a kind, and how many calls a second
 // they make together; Rate 0 is as many as they can.
-type Work struct {
+type Workload struct {
 	Kind    Kind
 	Workers int
 	Rate    float64
 }
 
-// Load is one run. Set the exported fields before Run. Direct is empty
+// LoadTest is one run. Set the exported fields before Run. Direct is empty
 // unless the same calls go past the entries in every other Slice. TicketEvery
 // makes every so manyth once-call take a ticket, KeyEvery every so manyth carry
 // an idempotency key; 0 makes none. Replicas are
 // the stand-ins whose executions are read at the end.
-type Load struct {
-	Entries     Lane
-	Direct      Lane
-	Slice       time.Duration
-	Work        []Work
-	Duration    time.Duration
-	Timeout     time.Duration
-	Attempts    int
-	Tokens      int
-	TicketEvery int
-	KeyEvery    int
-	Chat        string
-	Lookup      string
-	Once        string
-	LookupPath  string
-	OncePath    string
-	Customers   []Customer
-	Manifests   []chunk.Digest
-	Replicas    []netip.AddrPort
-	Clock       clockwork.Clock
-	Progress    io.Writer
+type LoadTest struct {
+	Entries       Route
+	Direct        Route
+	Slice         time.Duration
+	Workloads     []Workload
+	Duration      time.Duration
+	Timeout       time.Duration
+	Attempts      int
+	Tokens        int
+	TicketEvery   int
+	KeyEvery      int
+	ChatService   string
+	LookupService string
+	OnceService   string
+	LookupPath    string
+	OncePath      string
+	Customers     []Customer
+	Manifests     []chunk.Digest
+	Replicas      []netip.AddrPort
+	Clock         clockwork.Clock
+	Progress      io.Writer
 
-	client  *http.Client
-	run     string
-	start   time.Time
-	serial  atomic.Uint64
-	counts  counts
-	endings endings
+	client       *http.Client
+	runID        string
+	start        time.Time
+	serial       atomic.Uint64
+	counts       counts
+	onceOutcomes onceOutcomes
 }
 
 // Bounds of a run: the idle connections to one address, and the calls, of
 // which each once-call is kept until the end.
 const (
-	idlePerEntry = 256
+	maxIdleConns = 256
 	maxCalls     = 4 << 20
 )
 
 // Run makes calls until Duration is over or ctx ends, lets the calls under
 // way finish and returns the counts.
-func (l *Load) Run(ctx context.Context) (Summary, error) {
-	transport := &http.Transport{MaxIdleConnsPerHost: idlePerEntry, DisableCompression: true}
+func (l *LoadTest) Run(ctx context.Context) (Summary, error) {
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	defer transport.CloseIdleConnections()
 	l.client = &http.Client{Transport: transport}
-	l.run = uuid.NewString()[:8]
+	l.runID = uuid.NewString()[:8]
 	l.start = l.Clock.Now()
 	stopped := make(chan struct{})
 	stop := sync.OnceFunc(func() { close(stopped) })
@@ -96,10 +96,10 @@
 	defer timer.Stop()
 	defer context.AfterFunc(ctx, stop)()
 	var g errgroup.Group
-	for _, w := range l.Work {
-		l.launch(&g, w, stopped)
+	for _, w := range l.Workloads {
+		l.startWorkers(&g, w, stopped)
 	}
-	progressed := l.progress(stopped)
+	progressed := l.startProgress(stopped)
 	err := g.Wait()
 	stop()
 	<-progressed
@@ -109,7 +109,7 @@
 	return l.summary()
 }
 
-func (l *Load) launch(g *errgroup.Group, w Work, stopped <-chan struct{}) {
+func (l *LoadTest) startWorkers(g *errgroup.Group, w Workload, stopped <-chan struct{}) {
 	limit := rate.Inf
 	if w.Rate > 0 {
 		limit = rate.Limit(w.Rate)
@@ -117,7 +117,7 @@
 	limiter := rate.NewLimiter(limit, 1)
 	for range w.Workers {
 		g.Go(func() error {
-			for l.turn(limiter, stopped) {
+			for l.waitTurn(limiter, stopped) {
 				l.call(w.Kind)
 			}
 			return nil
@@ -126,7 +126,7 @@
 }
 
 // turn waits for the rate and returns false once the run has stopped.
-func (l *Load) turn(limiter *rate.Limiter, stopped <-chan struct{}) bool {
+func (l *LoadTest) waitTurn(limiter *rate.Limiter, stopped <-chan struct{}) bool {
 	now := l.Clock.Now()
 	t := l.Clock.NewTimer(limiter.ReserveN(now, 1).DelayFrom(now))
 	defer t.Stop()
@@ -145,24 +145,24 @@
 
 // call makes one call and counts how it ended. It is not tied to the end of
 // the run, so that the calls under way get their answers.
-func (l *Load) call(k Kind) {
+func (l *LoadTest) call(k Kind) {
 	n := l.serial.Add(1)
 	c := &call{
 		load:     l,
 		kind:     k,
-		lane:     l.lane(),
+		route:    l.currentRoute(),
 		serial:   n,
-		customer: l.pick(n),
+		customer: l.customerFor(n),
 		start:    l.Clock.Now(),
 	}
 	l.counts.begin(c)
-	c.do()
+	c.run()
 	l.counts.end(c, l.Clock.Now())
-	l.endings.keep(c)
+	l.onceOutcomes.record(c)
 }
 
 // lane is the lane of the current slice.
-func (l *Load) lane() *Lane {
+func (l *LoadTest) currentRoute() *Route {
 	if l.Direct.Name == "" {
 		return &l.Entries
 	}
--- a/standin/caller/ending.go
+++ b/standin/caller/once.go
@@ -13,27 +13,27 @@
 )
 
 // endings holds what the callers were told of each once-call.
-type endings struct {
-	mu   sync.Mutex
-	told map[string]Outcome
+type onceOutcomes struct {
+	mu       sync.Mutex
+	reported map[string]Outcome
 }
 
-func (e *endings) keep(c *call) {
+func (e *onceOutcomes) record(c *call) {
 	if c.kind != KindOnce {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.told == nil {
-		e.told = map[string]Outcome{}
+	if e.reported == nil {
+		e.reported = map[string]Outcome{}
 	}
-	e.told[c.key] = c.result.outcome
+	e.reported[c.key] = c.result.outcome
 }
 
 // Once compares what the callers were told with what ran. Duplicates are
 // keys that ran more than once, FalseNotRun keys that were told not to have
 // run and did, FalseDone keys that were told to be done and did not run.
-type Once struct {
+type OnceCheck struct {
 	Calls       int `json:"calls"`
 	Ran         int `json:"ran"`
 	Duplicates  int `json:"duplicates"`
@@ -42,20 +42,20 @@
 }
 
 // compare judges the calls by the executions summed over all replicas.
-func (e *endings) compare(ran map[string]int) Once {
+func (e *onceOutcomes) compare(ran map[string]int) OnceCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	o := Once{Calls: len(e.told)}
-	for key, told := range e.told {
+	o := OnceCheck{Calls: len(e.reported)}
+	for key, outcome := range e.reported {
 		n := ran[key]
 		o.Ran += min(n, 1)
 		if n > 1 {
 			o.Duplicates++
 		}
-		if n > 0 && told == NotRun {
+		if n > 0 && outcome == NotRun {
 			o.FalseNotRun++
 		}
-		if n == 0 && told == Done {
+		if n == 0 && outcome == Done {
 			o.FalseDone++
 		}
 	}
@@ -63,7 +63,7 @@
 }
 
 // executions sums the runs of each key over the replicas.
-func (l *Load) executions() (map[string]int, error) {
+func (l *LoadTest) executions() (map[string]int, error) {
 	sum := map[string]int{}
 	for _, a := range l.Replicas {
 		ran, err := l.executionsAt(a)
@@ -77,7 +77,7 @@
 	return sum, nil
 }
 
-func (l *Load) executionsAt(a netip.AddrPort) (map[string]int, error) {
+func (l *LoadTest) executionsAt(a netip.AddrPort) (map[string]int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+a.String()+"/control/executions", nil)
--- a/standin/caller/plain.go
+++ b/standin/caller/plain.go
@@ -18,39 +18,39 @@
 
 // lookup asks for a path of its own, which the answer has to name.
 func (c *call) lookup(ctx context.Context) result {
-	path := fmt.Sprintf("%s/%s-%d", c.load.LookupPath, c.load.run, c.serial)
-	url := c.lane.plainURL(c.route(), c.load.Lookup, path)
+	path := fmt.Sprintf("%s/%s-%d", c.load.LookupPath, c.load.runID, c.serial)
+	url := c.route.plainURL(c.attemptIndex(), c.load.LookupService, path)
 	resp, err := c.send(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return lost(err)
+		return requestFailed(err)
 	}
 	defer resp.Body.Close()
 	a, res := readPlain(resp)
 	if res.outcome == Done && !res.notWhole && !strings.HasSuffix(a.Path, path) {
-		return wrong(resp.StatusCode, "another caller's answer")
+		return invalidAnswer(resp.StatusCode, "another caller's answer")
 	}
 	return res
 }
 
 func (c *call) once(ctx context.Context) result {
 	if c.key == "" {
-		c.key = fmt.Sprintf("%s-%d", c.load.run, c.serial)
+		c.key = fmt.Sprintf("%s-%d", c.load.runID, c.serial)
 	}
-	if c.wantsTicket() {
-		if res, ok := c.takeTicket(ctx); !ok {
+	if c.needsTicket() {
+		if res, ok := c.requestTicket(ctx); !ok {
 			return res
 		}
 	}
-	c.takeKey()
-	url := c.lane.plainURL(c.route(), c.load.Once, c.load.OncePath)
+	c.assignKey()
+	url := c.route.plainURL(c.attemptIndex(), c.load.OnceService, c.load.OncePath)
 	resp, err := c.send(ctx, http.MethodPost, url, onceBody{Key: c.key})
 	if err != nil {
-		return lost(err)
+		return requestFailed(err)
 	}
 	defer resp.Body.Close()
 	a, res := readPlain(resp)
 	if res.outcome == Done && !res.notWhole && a.Key != c.key {
-		return wrong(resp.StatusCode, "another caller's answer")
+		return invalidAnswer(resp.StatusCode, "another caller's answer")
 	}
 	return res
 }
@@ -59,14 +59,14 @@
 func readPlain(resp *http.Response) (plain.Answer, result) {
 	var a plain.Answer
 	if resp.StatusCode != http.StatusOK {
-		return a, refused(resp)
+		return a, readProblem(resp)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return a, partial(resp.StatusCode)
+		return a, truncated(resp.StatusCode)
 	}
 	if err := json.Unmarshal(b, &a); err != nil {
-		return a, wrong(resp.StatusCode, "not JSON")
+		return a, invalidAnswer(resp.StatusCode, "not JSON")
 	}
 	return a, result{outcome: Done, status: resp.StatusCode}
 }
--- a/standin/caller/lane.go
+++ b/standin/caller/route.go
@@ -5,43 +5,43 @@
 	"strings"
 )
 
-// Lane is a way to the services: through the entries, or past them to one
+// Route is a way to the services: through the entries, or past them to one
 // stand-in. Chats and Plain are the addresses of each kind of service.
-type Lane struct {
+type Route struct {
 	Name  string
 	Chats []netip.AddrPort
 	Plain []netip.AddrPort
-	// Past is set when the addresses are the targets themselves.
-	Past bool
+	// Direct is set when the addresses are the targets themselves.
+	Direct bool
 }
 
 // The names of the lanes.
 const (
-	LaneEntry  = "entry"
-	LaneDirect = "direct"
+	RouteEntry  = "entry"
+	RouteDirect = "direct"
 )
 
 // chatURL is where the n-th attempt of a chat goes.
-func (l *Lane) chatURL(n uint64) string {
-	return "http://" + pick(l.Chats, n).String() + "/v1/chat/completions"
+func (l *Route) chatURL(n uint64) string {
+	return "http://" + addressFor(l.Chats, n).String() + "/v1/chat/completions"
 }
 
 // plainURL is where the n-th attempt of a call to a plain service goes.
-func (l *Lane) plainURL(n uint64, service, path string) string {
+func (l *Route) plainURL(n uint64, service, path string) string {
 	path = strings.TrimPrefix(path, "/")
-	base := "http://" + pick(l.Plain, n).String() + "/"
-	if l.Past {
+	base := "http://" + addressFor(l.Plain, n).String() + "/"
+	if l.Direct {
 		return base + path
 	}
 	return base + "v1/services/" + service + "/" + path
 }
 
 // ticketURL is where a ticket is asked for.
-func (l *Lane) ticketURL(n uint64) string {
-	return "http://" + pick(l.Plain, n).String() + "/v1/tickets"
+func (l *Route) ticketURL(n uint64) string {
+	return "http://" + addressFor(l.Plain, n).String() + "/v1/tickets"
 }
 
-func pick(addresses []netip.AddrPort, n uint64) netip.AddrPort {
+func addressFor(addresses []netip.AddrPort, n uint64) netip.AddrPort {
 	return addresses[n%uint64(len(addresses))]
 }
 
@@ -53,17 +53,17 @@
 
 // pick returns the customer of the n-th call: a fixed order in which each
 // comes as often as its weight.
-func (l *Load) pick(n uint64) string {
+func (l *LoadTest) customerFor(n uint64) string {
 	total := 0
 	for _, c := range l.Customers {
 		total += c.Weight
 	}
-	at := int(n % uint64(total))
+	offset := int(n % uint64(total))
 	for _, c := range l.Customers {
-		if at < c.Weight {
+		if offset < c.Weight {
 			return c.Name
 		}
-		at -= c.Weight
+		offset -= c.Weight
 	}
 	return ""
 }
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -20,47 +20,47 @@
 	maxLine    = 1 << 20
 )
 
-// errGap is an event out of its place.
-var errGap = errors.New("position out of order")
+// errOutOfOrder is an event out of its place.
+var errOutOfOrder = errors.New("position out of order")
 
 // answer is what a stream has brought so far.
-type answer struct {
+type streamState struct {
 	text     strings.Builder
 	next     int
 	finished bool
 	ended    bool
-	told     Outcome
+	outcome  Outcome
 }
 
 func (c *call) stream(ctx context.Context) result {
 	q := c.request(true)
-	resp, err := c.send(ctx, http.MethodPost, c.lane.chatURL(c.route()), q)
+	resp, err := c.send(ctx, http.MethodPost, c.route.chatURL(c.attemptIndex()), q)
 	if err != nil {
-		return lost(err)
+		return requestFailed(err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refused(resp)
+		return readProblem(resp)
 	}
-	var a answer
+	var a streamState
 	err = c.readEvents(resp.Body, &a)
-	if errors.Is(err, errGap) {
-		return wrong(resp.StatusCode, err.Error())
+	if errors.Is(err, errOutOfOrder) {
+		return invalidAnswer(resp.StatusCode, err.Error())
 	}
-	if a.told != "" {
-		return result{outcome: a.told, status: resp.StatusCode, cut: true, fault: "told in the stream"}
+	if a.outcome != "" {
+		return result{outcome: a.outcome, status: resp.StatusCode, cut: true, fault: "told in the stream"}
 	}
 	if err != nil || !a.ended {
-		return partial(resp.StatusCode)
+		return truncated(resp.StatusCode)
 	}
 	if !a.finished {
-		return wrong(resp.StatusCode, "ended without a finish")
+		return invalidAnswer(resp.StatusCode, "ended without a finish")
 	}
-	return c.judge(resp, q, a.text.String())
+	return c.checkAnswer(resp, q, a.text.String())
 }
 
 // readEvents reads until the end of the stream or the first fault.
-func (c *call) readEvents(r io.Reader, a *answer) error {
+func (c *call) readEvents(r io.Reader, a *streamState) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
 	for s.Scan() {
@@ -68,7 +68,7 @@
 		if !ok {
 			continue
 		}
-		if err := c.event(strings.TrimSpace(data), a); err != nil {
+		if err := c.handleEvent(strings.TrimSpace(data), a); err != nil {
 			return err
 		}
 	}
@@ -76,26 +76,26 @@
 }
 
 // event takes one event: a chunk, a problem, or the end.
-func (c *call) event(data string, a *answer) error {
+func (c *call) handleEvent(data string, a *streamState) error {
 	if data == streamDone {
 		a.ended = true
 		return nil
 	}
 	var p problem
 	if json.Unmarshal([]byte(data), &p) == nil && p.Outcome != "" {
-		a.told = p.Outcome
+		a.outcome = p.Outcome
 		return nil
 	}
 	var ch engine.Chunk
 	if err := json.Unmarshal([]byte(data), &ch); err != nil {
-		return errors.Mark(err, errGap)
+		return errors.Mark(err, errOutOfOrder)
 	}
-	return c.chunk(ch, a)
+	return c.handleChunk(ch, a)
 }
 
-func (c *call) chunk(ch engine.Chunk, a *answer) error {
+func (c *call) handleChunk(ch engine.Chunk, a *streamState) error {
 	if a.ended || ch.Position != a.next || len(ch.Choices) != 1 {
-		return errors.Wrapf(errGap, "position %d, want %d", ch.Position, a.next)
+		return errors.Wrapf(errOutOfOrder, "position %d, want %d", ch.Position, a.next)
 	}
 	choice := ch.Choices[0]
 	if choice.FinishReason != nil {
--- a/standin/caller/summary.go
+++ b/standin/caller/summary.go
@@ -19,7 +19,7 @@
 // that broke off in the caller's sight; NotWhole those that looked complete
 // and were not.
 type Row struct {
-	Lane       string           `json:"lane"`
+	Route      string           `json:"lane"`
 	Kind       Kind             `json:"kind"`
 	Started    int64            `json:"started"`
 	Done       int64            `json:"done"`
@@ -34,9 +34,9 @@
 	Faults     map[string]int64 `json:"faults,omitempty"`
 }
 
-// Added is what the entries add to a call of one kind, in microseconds, and
+// Overhead is what the entries add to a call of one kind, in microseconds, and
 // the calls a second through them as a part of those past them.
-type Added struct {
+type Overhead struct {
 	Kind  Kind    `json:"kind"`
 	P50   int64   `json:"p50"`
 	P99   int64   `json:"p99"`
@@ -58,18 +58,18 @@
 	Seconds   float64          `json:"seconds"`
 	Total     Total            `json:"total"`
 	Rows      []Row            `json:"rows"`
-	Added     []Added          `json:"added,omitempty"`
-	Once      Once             `json:"once"`
+	Overhead  []Overhead       `json:"added,omitempty"`
+	Once      OnceCheck        `json:"once"`
 	Versions  map[string]int64 `json:"versions"`
 	Customers map[string]int64 `json:"customers"`
 }
 
-// Sound reports whether every outcome that must hold did.
-func (s Summary) Sound() bool {
+// Valid reports whether every outcome that must hold did.
+func (s Summary) Valid() bool {
 	return s.Total.NotWhole == 0 && s.Once.Duplicates == 0 && s.Once.FalseNotRun == 0 && s.Once.FalseDone == 0
 }
 
-func (l *Load) summary() (Summary, error) {
+func (l *LoadTest) summary() (Summary, error) {
 	elapsed := l.Clock.Since(l.start)
 	s := Summary{Seconds: elapsed.Seconds()}
 	ran, err := l.executions()
@@ -77,41 +77,41 @@
 		return s, err
 	}
 	if len(l.Replicas) > 0 {
-		s.Once = l.endings.compare(ran)
+		s.Once = l.onceOutcomes.compare(ran)
 	}
 	l.counts.mu.Lock()
 	defer l.counts.mu.Unlock()
 	s.Versions = l.counts.versions
 	s.Customers = l.counts.customers
-	for at, t := range l.counts.rows {
-		r := t.row(at, l.share(at.lane, elapsed))
+	for key, t := range l.counts.rows {
+		r := t.row(key, l.routeTime(key.route, elapsed))
 		s.Rows = append(s.Rows, r)
-		if at.lane == l.Entries.Name {
+		if key.route == l.Entries.Name {
 			s.Total.add(r)
 		}
 	}
 	slices.SortFunc(s.Rows, compareRows)
-	s.Added = added(s.Rows)
+	s.Overhead = overheads(s.Rows)
 	return s, nil
 }
 
 // share is how long the lane was in use.
-func (l *Load) share(lane string, elapsed time.Duration) time.Duration {
+func (l *LoadTest) routeTime(route string, elapsed time.Duration) time.Duration {
 	if l.Direct.Name == "" {
 		return elapsed
 	}
 	rounds := elapsed / (2 * l.Slice)
 	rest := elapsed % (2 * l.Slice)
-	if lane == LaneDirect {
+	if route == RouteDirect {
 		return rounds*l.Slice + max(0, rest-l.Slice)
 	}
 	return rounds*l.Slice + min(rest, l.Slice)
 }
 
-func (t *tally) row(at slot, in time.Duration) Row {
+func (t *tally) row(key rowKey, elapsed time.Duration) Row {
 	r := Row{
-		Lane:     at.lane,
-		Kind:     at.kind,
+		Route:    key.route,
+		Kind:     key.kind,
 		Started:  t.started,
 		Done:     t.done,
 		NotRun:   t.notRun,
@@ -122,8 +122,8 @@
 		Whole:    latency(t.whole),
 		Faults:   t.faults,
 	}
-	if in > 0 {
-		r.PerSecond = float64(t.done) / in.Seconds()
+	if elapsed > 0 {
+		r.PerSecond = float64(t.done) / elapsed.Seconds()
 	}
 	if t.firstToken.TotalCount() > 0 {
 		first := latency(t.firstToken)
@@ -145,19 +145,19 @@
 }
 
 func compareRows(a, b Row) int {
-	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Lane, b.Lane))
+	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Route, b.Route))
 }
 
 // added compares the lanes of each kind.
-func added(rows []Row) []Added {
-	var out []Added
+func overheads(rows []Row) []Overhead {
+	var out []Overhead
 	for _, e := range rows {
-		i := slices.IndexFunc(rows, func(r Row) bool { return r.Kind == e.Kind && r.Lane == LaneDirect })
-		if e.Lane != LaneEntry || i < 0 || rows[i].PerSecond == 0 {
+		i := slices.IndexFunc(rows, func(r Row) bool { return r.Kind == e.Kind && r.Route == RouteDirect })
+		if e.Route != RouteEntry || i < 0 || rows[i].PerSecond == 0 {
 			continue
 		}
 		d := rows[i]
-		out = append(out, Added{
+		out = append(out, Overhead{
 			Kind:  e.Kind,
 			P50:   e.Whole.P50 - d.Whole.P50,
 			P99:   e.Whole.P99 - d.Whole.P99,
--- a/standin/caller/ticket.go
+++ b/standin/caller/ticket.go
@@ -18,35 +18,35 @@
 	Ticket string `json:"ticket"`
 }
 
-func (c *call) wantsTicket() bool {
+func (c *call) needsTicket() bool {
 	every := uint64(c.load.TicketEvery)
-	return every > 0 && c.serial%every == 0 && c.ticket == "" && !c.lane.Past
+	return every > 0 && c.serial%every == 0 && c.ticket == "" && !c.route.Direct
 }
 
-// keyTurn is the remainder of the calls that carry a key, so that with the
+// keyRemainder is the remainder of the calls that carry a key, so that with the
 // same period for both a call carries a ticket or a key and not both.
-const keyTurn = 1
+const keyRemainder = 1
 
-// takeKey gives the call an idempotency key of its own if it is its turn.
+// assignKey gives the call an idempotency key of its own if it is its turn.
 // After a "not run" the attempts count makes it a new one.
-func (c *call) takeKey() {
+func (c *call) assignKey() {
 	every := uint64(c.load.KeyEvery)
-	if every == 0 || c.serial%every != keyTurn%every || c.ticket != "" || c.idemKey != "" || c.lane.Past {
+	if every == 0 || c.serial%every != keyRemainder%every || c.ticket != "" || c.idemKey != "" || c.route.Direct {
 		return
 	}
 	c.idemKey = fmt.Sprintf("%s-%d", c.key, c.attempts)
 }
 
-// takeTicket takes a ticket. Without one the call has not run: nothing of it
+// requestTicket takes a ticket. Without one the call has not run: nothing of it
 // was sent.
-func (c *call) takeTicket(ctx context.Context) (result, bool) {
-	resp, err := c.send(ctx, http.MethodPost, c.lane.ticketURL(c.route()), ticketRequest{Service: c.load.Once})
+func (c *call) requestTicket(ctx context.Context) (result, bool) {
+	resp, err := c.send(ctx, http.MethodPost, c.route.ticketURL(c.attemptIndex()), ticketRequest{Service: c.load.OnceService})
 	if err != nil {
 		return result{outcome: NotRun, fault: "ticket lost"}, false
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusCreated {
-		res := refused(resp)
+		res := readProblem(resp)
 		res.outcome = NotRun
 		res.fault = "ticket: " + res.fault
 		return res, false
--- a/standin/callers.go
+++ b/standin/callers.go
@@ -47,8 +47,8 @@
 	progress      bool
 }
 
-// errUnsound is returned when an outcome that must hold did not.
-var errUnsound = errors.New("an answer was not whole, a call ran twice, or an outcome was false")
+// errChecksFailed is returned when an outcome that must hold did not.
+var errChecksFailed = errors.New("an answer was not whole, a call ran twice, or an outcome was false")
 
 // callersCommand runs a bounded load and prints its summary.
 func callersCommand() command {
@@ -72,15 +72,15 @@
 	}
 	f := flaggy.NewSubcommand("callers")
 	f.Description = "simulated customers; prints a JSON summary and stops by itself"
-	v.addresses(f)
-	v.calls(f)
+	v.addressFlags(f)
+	v.callFlags(f)
 	f.Duration(&v.duration, "", "duration", "how long calls are begun; an interrupt ends it early")
 	f.Duration(&v.timeout, "", "timeout", "how long one attempt may take")
 	f.Bool(&v.progress, "", "progress", "print a line to standard error each second")
 	return command{flags: f, run: v.run}
 }
 
-func (v *callersFlags) addresses(f *flaggy.Subcommand) {
+func (v *callersFlags) addressFlags(f *flaggy.Subcommand) {
 	f.String(&v.fleet, "", "fleet", "directory of a demonstration's plan: its entries, replicas, customers and versions")
 	f.Bool(&v.direct, "", "direct", "with a plan, call its targets past the entries in every other slice")
 	f.String(&v.entries, "", "entries", "IP:port of each entry, separated by commas")
@@ -91,7 +91,7 @@
 	f.String(&v.manifests, "", "manifests", "manifest digests that answers may come from; none: the one that the answer names")
 }
 
-func (v *callersFlags) calls(f *flaggy.Subcommand) {
+func (v *callersFlags) callFlags(f *flaggy.Subcommand) {
 	f.String(&v.stream, "", "stream", "streamed chats: workers/calls a second, 0 for as many as they can")
 	f.String(&v.whole, "", "whole", "whole chats: workers/calls a second")
 	f.String(&v.lookups, "", "lookups", "lookups: workers/calls a second")
@@ -109,10 +109,10 @@
 }
 
 func (v *callersFlags) run(ctx context.Context) error {
-	if err := v.fromFleet(); err != nil {
+	if err := v.applyFleet(); err != nil {
 		return usageError{err}
 	}
-	l, err := v.load()
+	l, err := v.newLoadTest()
 	if err != nil {
 		return usageError{err}
 	}
@@ -125,27 +125,27 @@
 	if err := enc.Encode(s); err != nil {
 		return err
 	}
-	if !s.Sound() {
-		return errUnsound
+	if !s.Valid() {
+		return errChecksFailed
 	}
 	return nil
 }
 
-func (v *callersFlags) load() (*caller.Load, error) {
-	l := &caller.Load{
-		Slice:       v.slice,
-		Duration:    v.duration,
-		Timeout:     v.timeout,
-		Attempts:    v.attempts,
-		Tokens:      v.tokens,
-		TicketEvery: v.ticketEvery,
-		KeyEvery:    v.keyEvery,
-		Chat:        v.chat,
-		Lookup:      v.lookup,
-		Once:        v.once,
-		LookupPath:  v.lookupPath,
-		OncePath:    v.oncePath,
-		Clock:       clockwork.NewRealClock(),
+func (v *callersFlags) newLoadTest() (*caller.LoadTest, error) {
+	l := &caller.LoadTest{
+		Slice:         v.slice,
+		Duration:      v.duration,
+		Timeout:       v.timeout,
+		Attempts:      v.attempts,
+		Tokens:        v.tokens,
+		TicketEvery:   v.ticketEvery,
+		KeyEvery:      v.keyEvery,
+		ChatService:   v.chat,
+		LookupService: v.lookup,
+		OnceService:   v.once,
+		LookupPath:    v.lookupPath,
+		OncePath:      v.oncePath,
+		Clock:         clockwork.NewRealClock(),
 	}
 	if v.progress {
 		l.Progress = os.Stderr
@@ -153,7 +153,7 @@
 	if l.Attempts < 1 || l.Tokens < 1 || l.Slice <= 0 {
 		return nil, errors.New("attempts, tokens and slice: want 1 or more")
 	}
-	for _, step := range []func(*caller.Load) error{v.lanes, v.work, v.people, v.digests} {
+	for _, step := range []func(*caller.LoadTest) error{v.setRoutes, v.setWorkloads, v.setCustomers, v.setManifests} {
 		if err := step(l); err != nil {
 			return nil, err
 		}
@@ -163,24 +163,24 @@
 
 // lanes sets the ways to the services: the entries, the targets themselves,
 // or both in turn.
-func (v *callersFlags) lanes(l *caller.Load) error {
-	entries, err := optional(v.entries)
+func (v *callersFlags) setRoutes(l *caller.LoadTest) error {
+	entries, err := parseOptional(v.entries)
 	if err != nil {
 		return err
 	}
-	engines, err := optional(v.directEngine)
+	engines, err := parseOptional(v.directEngine)
 	if err != nil {
 		return err
 	}
-	services, err := optional(v.directService)
+	services, err := parseOptional(v.directService)
 	if err != nil {
 		return err
 	}
-	l.Replicas, err = optional(v.replicas)
+	l.Replicas, err = parseOptional(v.replicas)
 	if err != nil {
 		return err
 	}
-	direct := caller.Lane{Name: caller.LaneDirect, Chats: engines, Plain: services, Past: true}
+	direct := caller.Route{Name: caller.RouteDirect, Chats: engines, Plain: services, Direct: true}
 	if len(entries) == 0 && len(engines)+len(services) == 0 {
 		return errors.New("entries: missing, and no direct address either")
 	}
@@ -188,21 +188,21 @@
 		l.Entries = direct
 		return nil
 	}
-	l.Entries = caller.Lane{Name: caller.LaneEntry, Chats: entries, Plain: entries}
+	l.Entries = caller.Route{Name: caller.RouteEntry, Chats: entries, Plain: entries}
 	if len(engines)+len(services) > 0 {
 		l.Direct = direct
 	}
 	return nil
 }
 
-func optional(list string) ([]netip.AddrPort, error) {
+func parseOptional(list string) ([]netip.AddrPort, error) {
 	if list == "" {
 		return nil, nil
 	}
-	return serve.Addresses(list)
+	return serve.ParseAddresses(list)
 }
 
-func (v *callersFlags) work(l *caller.Load) error {
+func (v *callersFlags) setWorkloads(l *caller.LoadTest) error {
 	for _, w := range []struct {
 		kind caller.Kind
 		text string
@@ -213,23 +213,23 @@
 		{kind: caller.KindLookup, text: v.lookups, flag: "lookups"},
 		{kind: caller.KindOnce, text: v.onces, flag: "onces"},
 	} {
-		work, err := parseWork(w.kind, w.text)
+		work, err := parseWorkload(w.kind, w.text)
 		if err != nil {
 			return errors.Wrapf(err, "%s %q: want workers/calls a second", w.flag, w.text)
 		}
 		if work.Workers > 0 {
-			l.Work = append(l.Work, work)
+			l.Workloads = append(l.Workloads, work)
 		}
 	}
-	return v.covered(l)
+	return v.checkAddresses(l)
 }
 
 // maxWorkers bounds the workers of a kind.
 const maxWorkers = 4096
 
-func parseWork(kind caller.Kind, text string) (caller.Work, error) {
+func parseWorkload(kind caller.Kind, text string) (caller.Workload, error) {
 	workers, perSecond, _ := strings.Cut(text, "/")
-	w := caller.Work{Kind: kind}
+	w := caller.Workload{Kind: kind}
 	n, err := strconv.Atoi(workers)
 	if err != nil {
 		return w, err
@@ -246,22 +246,22 @@
 }
 
 // covered reports a kind of call that a lane has no address for.
-func (v *callersFlags) covered(l *caller.Load) error {
-	for _, lane := range []caller.Lane{l.Entries, l.Direct} {
-		for _, w := range l.Work {
+func (v *callersFlags) checkAddresses(l *caller.LoadTest) error {
+	for _, route := range []caller.Route{l.Entries, l.Direct} {
+		for _, w := range l.Workloads {
 			chat := w.Kind == caller.KindStream || w.Kind == caller.KindWhole
-			if lane.Name != "" && chat && len(lane.Chats) == 0 {
-				return errors.Newf("%s calls: no address in lane %s", w.Kind, lane.Name)
+			if route.Name != "" && chat && len(route.Chats) == 0 {
+				return errors.Newf("%s calls: no address in lane %s", w.Kind, route.Name)
 			}
-			if lane.Name != "" && !chat && len(lane.Plain) == 0 {
-				return errors.Newf("%s calls: no address in lane %s", w.Kind, lane.Name)
+			if route.Name != "" && !chat && len(route.Plain) == 0 {
+				return errors.Newf("%s calls: no address in lane %s", w.Kind, route.Name)
 			}
 		}
 	}
 	return nil
 }
 
-func (v *callersFlags) people(l *caller.Load) error {
+func (v *callersFlags) setCustomers(l *caller.LoadTest) error {
 	for s := range strings.SplitSeq(v.customers, ",") {
 		name, weight, _ := strings.Cut(s, "=")
 		n, err := strconv.Atoi(weight)
@@ -273,7 +273,7 @@
 	return nil
 }
 
-func (v *callersFlags) digests(l *caller.Load) error {
+func (v *callersFlags) setManifests(l *caller.LoadTest) error {
 	if v.manifests == "" {
 		return nil
 	}
--- a/standin/callfleet.go
+++ b/standin/callersfleet.go
@@ -10,21 +10,21 @@
 // demoVersions is how many versions a demonstration rolls out.
 const demoVersions = 2
 
-// fromFleet sets the addresses and versions of a demonstration.
-func (v *callersFlags) fromFleet() error {
+// applyFleet sets the addresses and versions of a demonstration.
+func (v *callersFlags) applyFleet() error {
 	if v.fleet == "" {
 		return nil
 	}
-	p, err := demo.Load(v.fleet)
+	p, err := demo.LoadFleet(v.fleet)
 	if err != nil {
 		return err
 	}
-	v.entries = join(p.Entries, func(n demo.Node) netip.AddrPort { return n.Callers })
-	v.replicas = join(p.Plain(), func(n demo.Node) netip.AddrPort { return n.Target })
+	v.entries = joinAddresses(p.Entries, func(n demo.Node) netip.AddrPort { return n.Callers })
+	v.replicas = joinAddresses(p.Plain(), func(n demo.Node) netip.AddrPort { return n.Target })
 	v.chat = p.Engines()[0].VM.Service
 	if v.direct {
-		v.directEngine = join(p.Engines(), func(n demo.Node) netip.AddrPort { return n.Target })
-		v.directService = join(p.Service(v.once), func(n demo.Node) netip.AddrPort { return n.Target })
+		v.directEngine = joinAddresses(p.Engines(), func(n demo.Node) netip.AddrPort { return n.Target })
+		v.directService = joinAddresses(p.Service(v.once), func(n demo.Node) netip.AddrPort { return n.Target })
 	}
 	var digests []string
 	for number := 1; number <= demoVersions; number++ {
@@ -40,10 +40,10 @@
 	return nil
 }
 
-func join(nodes []demo.Node, of func(demo.Node) netip.AddrPort) string {
+func joinAddresses(nodes []demo.Node, addressOf func(demo.Node) netip.AddrPort) string {
 	var out []string
 	for _, n := range nodes {
-		out = append(out, of(n).String())
+		out = append(out, addressOf(n).String())
 	}
 	return strings.Join(out, ",")
 }
--- a/standin/demo/demo_test.go
+++ b/standin/demo/demo_test.go
@@ -62,7 +62,7 @@
 				seen[a] = true
 			}
 		}
-		loaded, err := Load(dir)
+		loaded, err := LoadFleet(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 
 // The rendered document differs from the example in the version and digest
 // of the models alone, and is sound.
-func TestRender(t *testing.T) {
+func TestWriteDocument(t *testing.T) {
 	f, err := Plan(example("pindan"), Layout{Net: 20, Entries: 2})
 	if err != nil {
 		t.Fatal(err)
@@ -99,7 +99,7 @@
 	digest := chunk.DigestOf([]byte("manifest"))
 	v := &Version{Number: 2, Document: filepath.Join(t.TempDir(), "two.ini")}
 	v.Manifests = map[string]chunk.Digest{"permit-assistant": digest}
-	if err := f.render(v); err != nil {
+	if err := f.writeDocument(v); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(v.Document)
@@ -125,21 +125,21 @@
 }
 
 func goodReport() *Report {
-	r := &Report{Calm: true, Rollout: Rollout{Replicas: 6, Serving: 6, Ready: true}}
+	r := &Report{NoFaults: true, Rollout: Rollout{Replicas: 6, Serving: 6, Ready: true}}
 	r.Callers.Total.Done = 2
 	r.Callers.Rows = []caller.Row{{Kind: caller.KindOnce, Done: 1}, {Kind: caller.KindStream, Done: 1}}
 	r.Callers.Versions = map[string]int64{"one": 1, "two": 1}
 	return r
 }
 
-func TestMissed(t *testing.T) {
+func TestFailures(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*Report)
 		want   string
 	}{
 		{name: "good", change: func(*Report) {}},
-		{name: "unknown under faults", change: func(r *Report) { r.Calm, r.Callers.Total.Unknown = false, 1 }},
+		{name: "unknown under faults", change: func(r *Report) { r.NoFaults, r.Callers.Total.Unknown = false, 1 }},
 		{name: "replica", change: func(r *Report) { r.Rollout.Serving = 5 }, want: "5 of 6 replicas serve the version"},
 		{name: "unknown", change: func(r *Report) { r.Callers.Total.Unknown = 1 }, want: "1 outcomes were unknown without a fault"},
 		{name: "not whole", change: func(r *Report) { r.Callers.Total.NotWhole = 1 }, want: "1 answers were not whole"},
@@ -152,13 +152,13 @@
 	for _, tc := range tests {
 		r := goodReport()
 		tc.change(r)
-		if diff := cmp.Diff(tc.want, strings.Join(r.Missed(), "; ")); diff != "" {
+		if diff := cmp.Diff(tc.want, strings.Join(r.Failures(), "; ")); diff != "" {
 			t.Errorf("%s (-want +got):\n%s", tc.name, diff)
 		}
 	}
 }
 
-func TestMemoryIsTheGreatestOfEachRole(t *testing.T) {
+func TestMemoryIsMaximumPerRole(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "memory")
 	text := "rest side-1 1024\nrest side-2 2048\nrest entry-1 512\nload side-1 4096\n"
 	if err := os.WriteFile(path, []byte(text), fileMode); err != nil {
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -57,8 +57,8 @@
 // fleetFile is where the plan is kept in the demonstration's directory.
 const fleetFile = "fleet.json"
 
-// Load reads the plan from the demonstration's directory.
-func Load(dir string) (*Fleet, error) {
+// LoadFleet reads the plan from the demonstration's directory.
+func LoadFleet(dir string) (*Fleet, error) {
 	var f Fleet
 	err := readJSON(filepath.Join(dir, fleetFile), &f)
 	return &f, err
@@ -66,23 +66,23 @@
 
 // Engines are the sides whose target is a model engine.
 func (f *Fleet) Engines() []Node {
-	return f.sidesOf(func(n Node) bool { return n.Kind == envdoc.KindEngine })
+	return f.filterSides(func(n Node) bool { return n.Kind == envdoc.KindEngine })
 }
 
 // Plain are the sides whose target is a plain service.
 func (f *Fleet) Plain() []Node {
-	return f.sidesOf(func(n Node) bool { return n.Kind == envdoc.KindPlain })
+	return f.filterSides(func(n Node) bool { return n.Kind == envdoc.KindPlain })
 }
 
 // Service are the sides of a service.
 func (f *Fleet) Service(name string) []Node {
-	return f.sidesOf(func(n Node) bool { return n.VM.Service == name })
+	return f.filterSides(func(n Node) bool { return n.VM.Service == name })
 }
 
-func (f *Fleet) sidesOf(wanted func(Node) bool) []Node {
+func (f *Fleet) filterSides(match func(Node) bool) []Node {
 	var out []Node
 	for _, n := range f.Sides {
-		if wanted(n) {
+		if match(n) {
 			out = append(out, n)
 		}
 	}
--- a/standin/demo/exchange.go
+++ b/standin/demo/http.go
@@ -15,16 +15,16 @@
 // Bounds of an exchange with a process. A connection that is refused is tried
 // again for a while, since the process may only just have been started.
 const (
-	exchangeTimeout = 60 * time.Second
-	exchangeTries   = 50
-	exchangePause   = 100 * time.Millisecond
-	maxAnswer       = 16 << 20
+	requestTimeout = 60 * time.Second
+	maxAttempts    = 50
+	retryPause     = 100 * time.Millisecond
+	maxAnswer      = 16 << 20
 )
 
 // exchange sends a body as JSON, or as it is when it is bytes, and reads the
 // JSON answer into out unless that is nil.
-func exchange(ctx context.Context, method string, to netip.AddrPort, path string, body, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+func sendJSON(ctx context.Context, method string, to netip.AddrPort, path string, body, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	b, ok := body.([]byte)
 	if !ok && body != nil {
@@ -33,7 +33,7 @@
 			return err
 		}
 	}
-	resp, err := insist(ctx, method, "http://"+to.String()+path, b)
+	resp, err := sendWithRetry(ctx, method, "http://"+to.String()+path, b)
 	if err != nil {
 		return err
 	}
@@ -51,9 +51,9 @@
 	return json.Unmarshal(answer, out)
 }
 
-func insist(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
+func sendWithRetry(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
 	var last error
-	for range exchangeTries {
+	for range maxAttempts {
 		req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 		if err != nil {
 			return nil, err
@@ -66,15 +66,15 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(exchangePause):
+		case <-time.After(retryPause):
 		}
 	}
 	return nil, last
 }
 
 // ask is one short exchange that is not tried again.
-func ask(ctx context.Context, to netip.AddrPort, path string, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func getJSON(ctx context.Context, to netip.AddrPort, path string, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, getTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+to.String()+path, nil)
 	if err != nil {
@@ -94,5 +94,5 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out)
 }
 
-// askTimeout bounds a short exchange.
-const askTimeout = 2 * time.Second
+// getTimeout bounds a short exchange.
+const getTimeout = 2 * time.Second
--- a/standin/demo/plan.go
+++ b/standin/demo/plan.go
@@ -33,8 +33,8 @@
 	groupRelay    = 4
 )
 
-// maxGroup bounds a group of processes.
-const maxGroup = 60
+// maxGroupSize bounds a group of processes.
+const maxGroupSize = 60
 
 // The origin's link carries four copies, and a machine's link two, in the
 // time in which a thin region link carries one.
@@ -57,8 +57,8 @@
 	if l.Net < 0 || l.Net > 255 {
 		return errors.Newf("net %d: want 0 to 255", l.Net)
 	}
-	if l.Entries < 1 || l.Entries > maxGroup {
-		return errors.Newf("entries %d: want 1 to %d", l.Entries, maxGroup)
+	if l.Entries < 1 || l.Entries > maxGroupSize {
+		return errors.Newf("entries %d: want 1 to %d", l.Entries, maxGroupSize)
 	}
 	return nil
 }
@@ -95,8 +95,8 @@
 	for _, s := range doc.Services {
 		f.Sides = p.sides(f.Sides, s)
 	}
-	if len(f.Sides) > maxGroup {
-		return nil, errors.Newf("%s: %d replicas, want at most %d", path, len(f.Sides), maxGroup)
+	if len(f.Sides) > maxGroupSize {
+		return nil, errors.Newf("%s: %d replicas, want at most %d", path, len(f.Sides), maxGroupSize)
 	}
 	return f, nil
 }
@@ -112,13 +112,13 @@
 
 // links sets all links by the thinnest region link.
 func (p planner) links() Links {
-	var thin int64
+	var slowest int64
 	for _, r := range p.doc.Regions {
-		if thin == 0 || r.LinkRate < thin {
-			thin = r.LinkRate
+		if slowest == 0 || r.LinkRate < slowest {
+			slowest = r.LinkRate
 		}
 	}
-	return Links{Origin: originCopies * thin, Machine: machineCopies * thin, Region: thin}
+	return Links{Origin: originCopies * slowest, Machine: machineCopies * slowest, Region: slowest}
 }
 
 func (p planner) entry(i int) Node {
@@ -141,10 +141,10 @@
 // sides adds a side for each replica of the service.
 func (p planner) sides(out []Node, s envdoc.Service) []Node {
 	n := 0
-	for _, place := range s.Replicas {
-		for range place.Replicas {
+	for _, replicas := range s.Replicas {
+		for range replicas.Replicas {
 			n++
-			out = append(out, p.side(len(out), n, s, place.Zone))
+			out = append(out, p.side(len(out), n, s, replicas.Zone))
 		}
 	}
 	return out
--- a/standin/demo/rollout.go
+++ b/standin/demo/rollout.go
@@ -52,15 +52,15 @@
 	Clock clockwork.Clock
 	Out   io.Writer
 
-	version *Version
-	start   time.Time
-	before  int64
+	version      *Version
+	start        time.Time
+	originBefore int64
 }
 
 // The times between two looks at the replicas and between two lines.
 const (
-	lookEvery = 200 * time.Millisecond
-	lineEvery = time.Second
+	pollInterval  = 200 * time.Millisecond
+	printInterval = time.Second
 )
 
 // Run promotes the version and returns once every replica serves it and every
@@ -71,15 +71,15 @@
 		return nil, err
 	}
 	w.version = v
-	if w.before, err = w.originBytes(ctx); err != nil {
+	if w.originBefore, err = w.originBytes(ctx); err != nil {
 		return nil, err
 	}
 	revision, err := w.promote(ctx)
 	if err != nil {
 		return nil, err
 	}
-	r := &Rollout{Version: *v, Revision: revision, Bound: w.bound()}
-	if err := w.follow(ctx, r); err != nil {
+	r := &Rollout{Version: *v, Revision: revision, Bound: w.minSeconds()}
+	if err := w.waitServed(ctx, r); err != nil {
 		return nil, err
 	}
 	return r, writeJSON(rolloutPath(w.Dir, number), r)
@@ -96,34 +96,34 @@
 	}
 	var p platf.Promotion
 	w.start = w.Clock.Now()
-	err = exchange(ctx, http.MethodPut, w.Fleet.Config, "/control/documents/"+w.Fleet.Environment, text, &p)
+	err = sendJSON(ctx, http.MethodPut, w.Fleet.Config, "/control/documents/"+w.Fleet.Environment, text, &p)
 	return p.Revision, errors.Wrap(err, "promote")
 }
 
-func (w *Watcher) bound() float64 {
+func (w *Watcher) minSeconds() float64 {
 	l := w.Fleet.Links
 	return float64(w.version.Size) / float64(min(l.Origin, l.Machine, l.Region))
 }
 
 // follow looks at the replicas until they all serve and the entries are
 // ready, or the limit is over.
-func (w *Watcher) follow(ctx context.Context, r *Rollout) error {
+func (w *Watcher) waitServed(ctx context.Context, r *Rollout) error {
 	line := w.start
 	for {
-		s := w.look(ctx)
+		s := w.poll(ctx)
 		r.Replicas, r.Serving = s.replicas, s.serving
 		r.Seconds = w.Clock.Since(w.start).Seconds()
 		sent, err := w.originBytes(ctx)
 		if err != nil {
 			return err
 		}
-		r.OriginBytes = sent - w.before
-		over := w.Clock.Since(w.start) >= w.Limit
+		r.OriginBytes = sent - w.originBefore
+		expired := w.Clock.Since(w.start) >= w.Limit
 		r.Ready = r.Served() && w.ready(ctx)
-		ended := over || r.Ready
-		if ended || w.Clock.Since(line) >= lineEvery {
+		ended := expired || r.Ready
+		if ended || w.Clock.Since(line) >= printInterval {
 			line = w.Clock.Now()
-			w.line(r, s)
+			w.printProgress(r, s)
 		}
 		if ended {
 			return nil
@@ -131,33 +131,33 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-w.Clock.After(lookEvery):
+		case <-w.Clock.After(pollInterval):
 		}
 	}
 }
 
 // sight is what one look at the replicas showed.
-type sight struct {
-	replicas int
-	serving  int
-	held     int
-	zones    []zoneSight
+type replicaStatus struct {
+	replicas     int
+	serving      int
+	stagedChunks int
+	zones        []zoneStatus
 }
 
-type zoneSight struct {
+type zoneStatus struct {
 	name     string
 	replicas int
 	serving  int
 }
 
-func (w *Watcher) look(ctx context.Context) sight {
-	var s sight
+func (w *Watcher) poll(ctx context.Context) replicaStatus {
+	var s replicaStatus
 	for _, n := range w.Fleet.Engines() {
 		serving := w.serves(ctx, n)
 		s.add(n.VM.Zone, serving)
-		var staged engine.Staged
-		if ask(ctx, n.Target, "/v1/staging", &staged) == nil {
-			s.held += len(staged.Chunks)
+		var staged engine.StagedChunks
+		if getJSON(ctx, n.Target, "/v1/staging", &staged) == nil {
+			s.stagedChunks += len(staged.Chunks)
 		}
 	}
 	return s
@@ -165,13 +165,13 @@
 
 func (w *Watcher) serves(ctx context.Context, n Node) bool {
 	var st engine.State
-	err := ask(ctx, n.Target, "/v1/state", &st)
-	return err == nil && st.Manifest != "" && st.Manifest == w.want(n)
+	err := getJSON(ctx, n.Target, "/v1/state", &st)
+	return err == nil && st.Manifest != "" && st.Manifest == w.wantManifest(n)
 }
 
-func (w *Watcher) want(n Node) chunk.Digest { return w.version.Manifests[n.Model] }
+func (w *Watcher) wantManifest(n Node) chunk.Digest { return w.version.Manifests[n.Model] }
 
-func (s *sight) add(zone string, serving bool) {
+func (s *replicaStatus) add(zone string, serving bool) {
 	n := 0
 	if serving {
 		n = 1
@@ -185,22 +185,22 @@
 			return
 		}
 	}
-	s.zones = append(s.zones, zoneSight{name: zone, replicas: 1, serving: n})
+	s.zones = append(s.zones, zoneStatus{name: zone, replicas: 1, serving: n})
 }
 
-func (w *Watcher) line(r *Rollout, s sight) {
+func (w *Watcher) printProgress(r *Rollout, s replicaStatus) {
 	var zones []string
 	for _, z := range s.zones {
 		zones = append(zones, fmt.Sprintf("%s %d/%d", z.name, z.serving, z.replicas))
 	}
 	fmt.Fprintf(w.Out, "rollout %4.1fs  version %d  serving %d/%d (%s)  chunks staged %d  origin %.2f copies\n",
-		r.Seconds, r.Version.Number, s.serving, s.replicas, strings.Join(zones, ", "), s.held, r.Copies())
+		r.Seconds, r.Version.Number, s.serving, s.replicas, strings.Join(zones, ", "), s.stagedChunks, r.Copies())
 }
 
 // ready reports whether every entry takes calls.
 func (w *Watcher) ready(ctx context.Context) bool {
 	for _, n := range w.Fleet.Entries {
-		if ask(ctx, n.Admin, "/readyz", nil) != nil {
+		if getJSON(ctx, n.Admin, "/readyz", nil) != nil {
 			return false
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 func (w *Watcher) originBytes(ctx context.Context) (int64, error) {
-	var b weight.Bytes
-	err := ask(ctx, w.Fleet.Origin, "/control/bytes", &b)
+	var b weight.TransferCount
+	err := getJSON(ctx, w.Fleet.Origin, "/control/bytes", &b)
 	return b.Bytes, errors.Wrap(err, "origin")
 }
--- a/standin/demo/silence.go
+++ b/standin/demo/silence.go
@@ -19,8 +19,8 @@
 		if n.VM.Name != name {
 			continue
 		}
-		var c relay.Count
-		err := exchange(ctx, http.MethodPost, f.Relay, "/control/routes/"+n.VM.Address.String()+"/silence", nil, &c)
+		var c relay.ConnectionCount
+		err := sendJSON(ctx, http.MethodPost, f.Relay, "/control/routes/"+n.VM.Address.String()+"/silence", nil, &c)
 		return c.Connections, errors.Wrapf(err, "silence %s", name)
 	}
 	return 0, errors.Newf("silence: no side %q", name)
--- a/standin/demo/table.go
+++ b/standin/demo/table.go
@@ -26,28 +26,28 @@
 // Report is what a demonstration came to. Calm is set for a run without
 // faults, in which no call's outcome may be unknown.
 type Report struct {
-	Fleet   *Fleet
-	Rollout Rollout
-	Callers caller.Summary
-	Added   []caller.Added
-	Memory  []Reading
-	Calm    bool
+	Fleet    *Fleet
+	Rollout  Rollout
+	Callers  caller.Summary
+	Overhead []caller.Overhead
+	Memory   []MemoryReading
+	NoFaults bool
 }
 
-// Reading is the resident memory of a process at a moment of the run.
-type Reading struct {
+// MemoryReading is the resident memory of a process at a moment of the run.
+type MemoryReading struct {
 	When string
 	Name string
 	KiB  int64
 }
 
 // LoadReport reads the files of the demonstration's directory.
-func LoadReport(dir string, number int, calm bool) (*Report, error) {
-	f, err := Load(dir)
+func LoadReport(dir string, number int, noFaults bool) (*Report, error) {
+	f, err := LoadFleet(dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Fleet: f, Calm: calm}
+	r := &Report{Fleet: f, NoFaults: noFaults}
 	if err := readJSON(rolloutPath(dir, number), &r.Rollout); err != nil {
 		return nil, err
 	}
@@ -56,22 +56,22 @@
 	}
 	var overhead caller.Summary
 	if err := readJSON(filepath.Join(dir, overheadFile), &overhead); err == nil {
-		r.Added = overhead.Added
+		r.Overhead = overhead.Overhead
 	}
 	r.Memory, err = readMemory(filepath.Join(dir, memoryFile))
 	return r, err
 }
 
-func readMemory(path string) ([]Reading, error) {
+func readMemory(path string) ([]MemoryReading, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "read memory")
 	}
 	defer f.Close()
-	var out []Reading
+	var out []MemoryReading
 	s := bufio.NewScanner(f)
 	for s.Scan() {
-		var m Reading
+		var m MemoryReading
 		if _, err := fmt.Sscan(s.Text(), &m.When, &m.Name, &m.KiB); err != nil {
 			return nil, errors.Wrapf(err, "read memory %q", s.Text())
 		}
@@ -80,26 +80,26 @@
 	return out, s.Err()
 }
 
-// Missed lists the outcomes that were missed.
-func (r *Report) Missed() []string {
+// Failures lists the outcomes that were missed.
+func (r *Report) Failures() []string {
 	c := r.Callers
 	var out []string
-	miss := func(missed bool, format string, args ...any) {
+	check := func(missed bool, format string, args ...any) {
 		if missed {
 			out = append(out, fmt.Sprintf(format, args...))
 		}
 	}
-	miss(!r.Rollout.Served(), "%d of %d replicas serve the version", r.Rollout.Serving, r.Rollout.Replicas)
-	miss(c.Total.Done == 0, "no request was done")
+	check(!r.Rollout.Served(), "%d of %d replicas serve the version", r.Rollout.Serving, r.Rollout.Replicas)
+	check(c.Total.Done == 0, "no request was done")
 	for _, row := range c.Rows {
-		miss(row.Done == 0, "no %s call was done", row.Kind)
+		check(row.Done == 0, "no %s call was done", row.Kind)
 	}
-	miss(c.Total.NotWhole > 0, "%d answers were not whole", c.Total.NotWhole)
-	miss(c.Once.Duplicates > 0, "%d calls ran twice", c.Once.Duplicates)
-	miss(c.Once.FalseNotRun > 0, "%d calls ran that were told notRun", c.Once.FalseNotRun)
-	miss(c.Once.FalseDone > 0, "%d calls did not run that were told done", c.Once.FalseDone)
-	miss(r.Calm && c.Total.Unknown > 0, "%d outcomes were unknown without a fault", c.Total.Unknown)
-	miss(len(c.Versions) < 2, "answers came from %d versions, want both", len(c.Versions))
+	check(c.Total.NotWhole > 0, "%d answers were not whole", c.Total.NotWhole)
+	check(c.Once.Duplicates > 0, "%d calls ran twice", c.Once.Duplicates)
+	check(c.Once.FalseNotRun > 0, "%d calls ran that were told notRun", c.Once.FalseNotRun)
+	check(c.Once.FalseDone > 0, "%d calls did not run that were told done", c.Once.FalseDone)
+	check(r.NoFaults && c.Total.Unknown > 0, "%d outcomes were unknown without a fault", c.Total.Unknown)
+	check(len(c.Versions) < 2, "answers came from %d versions, want both", len(c.Versions))
 	return out
 }
 
@@ -122,7 +122,7 @@
 	for _, row := range c.Rows {
 		r.row(line, row)
 	}
-	for _, a := range r.Added {
+	for _, a := range r.Overhead {
 		line("added to "+string(a.Kind)+" calls", "p50 %s p99 %s; %.2f of the calls a second",
 			millis(a.P50), millis(a.P99), a.Ratio)
 	}
--- a/standin/demo/version.go
+++ b/standin/demo/version.go
@@ -37,14 +37,14 @@
 		if _, ok := v.Manifests[n.Model]; ok {
 			continue
 		}
-		made, err := f.makeVersion(ctx, n.Model, v, chunkSize)
+		made, err := f.addVersion(ctx, n.Model, v, chunkSize)
 		if err != nil {
 			return nil, err
 		}
 		v.Manifests[n.Model] = made.Manifest
 		v.Chunks = made.Chunks
 	}
-	if err := f.render(v); err != nil {
+	if err := f.writeDocument(v); err != nil {
 		return nil, err
 	}
 	if err := f.register(ctx); err != nil {
@@ -64,7 +64,7 @@
 	return &v, err
 }
 
-func (f *Fleet) makeVersion(ctx context.Context, model string, v *Version, chunkSize int64) (weight.Made, error) {
+func (f *Fleet) addVersion(ctx context.Context, model string, v *Version, chunkSize int64) (weight.AddedVersion, error) {
 	spec := weight.Spec{
 		Model:     model,
 		Version:   versionName(v.Number),
@@ -72,8 +72,8 @@
 		ChunkSize: chunkSize,
 		Seed:      uint64(v.Number),
 	}
-	var made weight.Made
-	err := exchange(ctx, http.MethodPut, f.Store, "/control/versions", spec, &made)
+	var made weight.AddedVersion
+	err := sendJSON(ctx, http.MethodPut, f.Store, "/control/versions", spec, &made)
 	return made, errors.Wrapf(err, "make version of %s", model)
 }
 
@@ -84,7 +84,7 @@
 	for _, n := range f.Nodes() {
 		listed := n.VM
 		listed.Address = n.Listed
-		err := exchange(ctx, http.MethodPut, f.VMList, "/control/vms/"+n.VM.Name, listed, nil)
+		err := sendJSON(ctx, http.MethodPut, f.VMList, "/control/vms/"+n.VM.Name, listed, nil)
 		if err != nil {
 			return errors.Wrapf(err, "register %s", n.VM.Name)
 		}
@@ -94,7 +94,7 @@
 
 // render writes the document with the version's names and digests in place
 // of those that it was planned with.
-func (f *Fleet) render(v *Version) error {
+func (f *Fleet) writeDocument(v *Version) error {
 	text, err := os.ReadFile(f.Document)
 	if err != nil {
 		return errors.Wrap(err, "read document")
@@ -102,14 +102,14 @@
 	var out []string
 	model := ""
 	for line := range strings.Lines(string(text)) {
-		model = modelOf(line, model)
-		out = append(out, v.line(line, model))
+		model = modelAt(line, model)
+		out = append(out, v.replaceValue(line, model))
 	}
 	return errors.Wrap(os.WriteFile(v.Document, []byte(strings.Join(out, "")), fileMode), "write document")
 }
 
-// modelOf is the model whose section the line is in, empty for none.
-func modelOf(line, current string) string {
+// modelAt is the model whose section the line is in, empty for none.
+func modelAt(line, current string) string {
 	section, ok := strings.CutPrefix(strings.TrimSpace(line), "[")
 	if !ok {
 		return current
@@ -121,7 +121,7 @@
 	return strings.TrimSuffix(model, "]")
 }
 
-func (v *Version) line(line, model string) string {
+func (v *Version) replaceValue(line, model string) string {
 	digest, ok := v.Manifests[model]
 	key, _, hasValue := strings.Cut(line, "=")
 	if !ok || !hasValue {
--- a/standin/demo/write.go
+++ b/standin/demo/write.go
@@ -141,16 +141,16 @@
 // targets is the process that stands in for all targets of a service.
 func (f *Fleet) targets(service string) string {
 	var listen []string
-	var of Node
+	var node Node
 	for _, n := range f.Sides {
 		if n.VM.Service == service {
-			of = n
+			node = n
 			listen = append(listen, n.Target.String())
 		}
 	}
 	list := strings.Join(listen, ",")
-	if of.Model != "" {
-		return fmt.Sprintf("targets-%s %s engine --fencing %s --listen %s", service, programStandin, of.Fencing, list)
+	if node.Model != "" {
+		return fmt.Sprintf("targets-%s %s engine --fencing %s --listen %s", service, programStandin, node.Fencing, list)
 	}
 	return fmt.Sprintf("targets-%s %s service --name %s --listen %s", service, programStandin, service, list)
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -64,7 +64,7 @@
 }
 
 func (v *engineFlags) run(ctx context.Context) error {
-	addresses, err := serve.Addresses(v.listen)
+	addresses, err := serve.ParseAddresses(v.listen)
 	if err != nil {
 		return usageError{err}
 	}
@@ -72,15 +72,15 @@
 	if fencing != envdoc.FencingChecked && fencing != envdoc.FencingIgnored {
 		return usageError{errors.Newf("fencing %q: want checked or ignored", v.fencing)}
 	}
-	pool := &engine.Pool{}
-	var sites []serve.Site
+	pool := &engine.ChunkPool{}
+	var sites []serve.Endpoint
 	for _, a := range addresses {
-		sites = append(sites, serve.Site{Address: a, Handler: v.engine(fencing, pool).Handler()})
+		sites = append(sites, serve.Endpoint{Address: a, Handler: v.engine(fencing, pool).Handler()})
 	}
 	return serve.Run(ctx, sites)
 }
 
-func (v *engineFlags) engine(fencing envdoc.Fencing, pool *engine.Pool) *engine.Engine {
+func (v *engineFlags) engine(fencing envdoc.Fencing, pool *engine.ChunkPool) *engine.Engine {
 	return &engine.Engine{
 		Boot:         uuid.NewString(),
 		Fencing:      fencing,
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -40,7 +40,7 @@
 
 // cache holds the prefixes of recent prompts, the least recently used one
 // going first. Its events show after lag, and every gap-th is lost.
-type cache struct {
+type prefixCache struct {
 	maxBlocks int
 	lag       time.Duration
 	gap       uint64
@@ -49,16 +49,16 @@
 	order  list.List
 	items  map[string]*list.Element
 	seq    uint64
-	events []timedEvent
+	events []delayedEvent
 }
 
-type timedEvent struct {
+type delayedEvent struct {
 	Event
 	due time.Time
 }
 
 // use stores the prefixes of a prompt and returns how many were not cached.
-func (c *cache) use(prefixes []string, now time.Time) int {
+func (c *prefixCache) touch(prefixes []string, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.items == nil {
@@ -72,40 +72,40 @@
 		}
 		missed++
 		c.items[p] = c.order.PushFront(p)
-		c.tell(EventStored, p, now)
+		c.emit(EventStored, p, now)
 	}
 	c.evict(c.maxBlocks, now)
 	return missed
 }
 
 // clear drops the cache, whose content belongs to one version.
-func (c *cache) clear(now time.Time) {
+func (c *prefixCache) clear(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.evict(0, now)
 }
 
-func (c *cache) evict(keep int, now time.Time) {
+func (c *prefixCache) evict(keep int, now time.Time) {
 	for c.order.Len() > keep {
 		el := c.order.Back()
 		p := c.order.Remove(el).(string)
 		delete(c.items, p)
-		c.tell(EventEvicted, p, now)
+		c.emit(EventEvicted, p, now)
 	}
 }
 
-func (c *cache) tell(a EventAction, prefix string, now time.Time) {
+func (c *prefixCache) emit(a EventAction, prefix string, now time.Time) {
 	c.seq++
-	if every(c.seq, c.gap) {
+	if isNth(c.seq, c.gap) {
 		return
 	}
-	ev := timedEvent{Event: Event{Seq: c.seq, Action: a, Prefix: prefix}, due: now.Add(c.lag)}
+	ev := delayedEvent{Event: Event{Seq: c.seq, Action: a, Prefix: prefix}, due: now.Add(c.lag)}
 	c.events = append(c.events, ev)
 	c.events = c.events[max(0, len(c.events)-maxEvents):]
 }
 
 // after returns the events above seq that are due.
-func (c *cache) after(seq uint64, now time.Time) []Event {
+func (c *prefixCache) eventsAfter(seq uint64, now time.Time) []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []Event{}
@@ -126,12 +126,12 @@
 	if s := r.URL.Query().Get("after"); s != "" {
 		n, err := strconv.ParseUint(s, 10, 64)
 		if err != nil {
-			serve.Fail(w, http.StatusBadRequest, err.Error())
+			serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 			return
 		}
 		after = n
 	}
-	serve.JSON(w, http.StatusOK, Events{Events: e.cache.after(after, e.Clock.Now())})
+	serve.JSON(w, http.StatusOK, Events{Events: e.cache.eventsAfter(after, e.Clock.Now())})
 }
 
-func every(n, each uint64) bool { return each > 0 && n%each == 0 }
+func isNth(n, each uint64) bool { return each > 0 && n%each == 0 }
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -58,33 +58,33 @@
 	answer   expect.Answer
 	from     int
 	tokens   int
-	faults   FaultSet
+	faults   FaultSettings
 }
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request) {
 	q, from, err := readChat(w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	faults := e.faults.hit()
+	faults := e.faults.nextForChat()
 	if faults.Status != 0 {
-		serve.Fail(w, faults.Status, "fault")
+		serve.WriteProblem(w, faults.Status, "fault")
 		return
 	}
 	err = e.slots.acquire(r.Context(), r.Header.Get(headerPriority) == priorityBatch)
 	if errors.Is(err, errFull) {
-		serve.TooMany(w, queueRetry)
+		serve.WriteTooManyRequests(w, queueRetry)
 		return
 	}
 	if err != nil {
 		return
 	}
 	defer e.slots.release()
-	manifest, ok := e.served()
+	manifest, ok := e.servingManifest()
 	if !ok {
 		w.Header().Set("Retry-After", "1")
-		serve.Fail(w, http.StatusServiceUnavailable, "no version is served")
+		serve.WriteProblem(w, http.StatusServiceUnavailable, "no version is served")
 		return
 	}
 	g := newGeneration(q, manifest, from, faults)
@@ -93,14 +93,14 @@
 	}
 	w.Header().Set(headerManifest, string(manifest))
 	if q.Stream {
-		e.stream(w, r, g)
+		e.writeStream(w, r, g)
 		return
 	}
-	e.whole(w, r, g)
+	e.writeCompletion(w, r, g)
 }
 
 func readChat(w http.ResponseWriter, r *http.Request) (Request, int, error) {
-	q, err := serve.ReadLoose[Request](w, r)
+	q, err := serve.DecodeJSONLenient[Request](w, r)
 	if err != nil {
 		return q, 0, err
 	}
@@ -120,13 +120,13 @@
 
 // served returns the version in service. A generation keeps the version that
 // it began with to its end.
-func (e *Engine) served() (chunk.Digest, bool) {
+func (e *Engine) servingManifest() (chunk.Digest, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.manifest, e.manifest != "" && e.switching == 0
 }
 
-func newGeneration(q Request, manifest chunk.Digest, from int, faults FaultSet) *generation {
+func newGeneration(q Request, manifest chunk.Digest, from int, faults FaultSettings) *generation {
 	g := &generation{request: q, manifest: manifest, from: from, tokens: q.MaxTokens, faults: faults}
 	if g.tokens == 0 {
 		g.tokens = defaultTokens
@@ -137,21 +137,21 @@
 
 // prefill takes time for each block of the prompt that is not cached.
 func (e *Engine) prefill(r *http.Request, q Request) error {
-	missed := e.cache.use(expect.Prefixes(expect.Prompt(q.Messages)), e.Clock.Now())
+	missed := e.cache.touch(expect.Prefixes(expect.Prompt(q.Messages)), e.Clock.Now())
 	return serve.Sleep(r.Context(), e.Clock, time.Duration(missed)*e.PrefillDelay)
 }
 
 // step waits for the token at a position, with the faults that it meets.
-func (e *Engine) step(w http.ResponseWriter, r *http.Request, g *generation, position int) error {
+func (e *Engine) waitForToken(w http.ResponseWriter, r *http.Request, g *generation, position int) error {
 	if g.faults.CutAfter != nil && position-g.from >= *g.faults.CutAfter {
 		serve.Cut(w)
 	}
 	delay := e.TokenDelay
-	if s, _ := e.faults.set.Get(); s.TokenDelay > 0 {
+	if s, _ := e.faults.settings.Get(); s.TokenDelay > 0 {
 		delay = time.Duration(s.TokenDelay)
 	}
 	if err := serve.Sleep(r.Context(), e.Clock, delay); err != nil {
 		return err
 	}
-	return e.faults.gate(r.Context(), e.Clock)
+	return e.faults.waitWhilePaused(r.Context(), e.Clock)
 }
--- a/standin/engine/answer.go
+++ b/standin/engine/completion.go
@@ -14,8 +14,8 @@
 
 // The object names of the usual form.
 const (
-	objectWhole = "chat.completion"
-	objectChunk = "chat.completion.chunk"
+	objectCompletion = "chat.completion"
+	objectChunk      = "chat.completion.chunk"
 )
 
 // finishStop ends an answer that is whole.
@@ -67,17 +67,17 @@
 	Usage   Usage    `json:"usage"`
 }
 
-func (e *Engine) whole(w http.ResponseWriter, r *http.Request, g *generation) {
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, g *generation) {
 	var b strings.Builder
 	for k := g.from; k < g.tokens; k++ {
-		if e.step(w, r, g, k) != nil {
+		if e.waitForToken(w, r, g, k) != nil {
 			return
 		}
 		b.WriteString(g.answer.Token(k))
 	}
 	serve.JSON(w, http.StatusOK, Completion{
 		ID:      newID(),
-		Object:  objectWhole,
+		Object:  objectCompletion,
 		Created: e.Clock.Now().Unix(),
 		Model:   g.request.Model,
 		Choices: []Choice{{
@@ -88,7 +88,7 @@
 	})
 }
 
-func (e *Engine) stream(w http.ResponseWriter, r *http.Request, g *generation) {
+func (e *Engine) writeStream(w http.ResponseWriter, r *http.Request, g *generation) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	c := Chunk{
@@ -98,26 +98,26 @@
 		Model:   g.request.Model,
 	}
 	for k := g.from; k < g.tokens; k++ {
-		if e.step(w, r, g, k) != nil {
+		if e.waitForToken(w, r, g, k) != nil {
 			return
 		}
 		c.Position = k
 		c.Choices = []ChunkChoice{{Delta: Delta{Content: g.answer.Token(k)}}}
-		if send(w, c) != nil {
+		if writeEvent(w, c) != nil {
 			return
 		}
 	}
 	c.Position = g.tokens
 	finish := finishStop
 	c.Choices = []ChunkChoice{{FinishReason: &finish}}
-	if send(w, c) != nil {
+	if writeEvent(w, c) != nil {
 		return
 	}
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
 // send writes one event and flushes it to the caller.
-func send(w http.ResponseWriter, c Chunk) error {
+func writeEvent(w http.ResponseWriter, c Chunk) error {
 	b, err := json.Marshal(c)
 	if err != nil {
 		return err
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -20,8 +20,8 @@
 type Engine struct {
 	Boot    string
 	Fencing envdoc.Fencing
-	// Pool holds the staged bytes; engines of one process may share it.
-	Pool *Pool
+	// ChunkPool holds the staged bytes; engines of one process may share it.
+	Pool *ChunkPool
 	// LoadTime is how long a load takes, SwitchTime the moment at its end in
 	// which the engine answers 503.
 	LoadTime   time.Duration
@@ -42,22 +42,22 @@
 	EventGap    uint64
 	Clock       clockwork.Clock
 
-	faults Faults
-	slots  slots
-	cache  cache
-	report report
-	stage  stage
+	faults  faultState
+	slots   generationSlots
+	cache   prefixCache
+	report  loadReport
+	staging stagingArea
 
-	mu        sync.Mutex
-	serving   chunk.Manifest
-	manifest  chunk.Digest
-	loading   chunk.Digest
-	switching int // loads that are in their switch
-	lastOrder uint64
-	lastError string
-	newest    int // number of the newest load, so that an older one gives up
-	refused   int
-	loads     []Load
+	mu         sync.Mutex
+	serving    chunk.Manifest
+	manifest   chunk.Digest
+	loading    chunk.Digest
+	switching  int // loads that are in their switch
+	lastOrder  uint64
+	lastError  string
+	newestLoad int // number of the newest load, so that an older one gives up
+	refused    int
+	loads      []Load
 }
 
 // State is the engine's account of itself. LastError says why the newest load
@@ -83,23 +83,23 @@
 	e.cache.lag = e.EventLag
 	e.cache.gap = e.EventGap
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/state", e.work(e.state)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/staging", e.work(e.listStaged)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/staging/{digest}", e.work(e.putStaged)).Methods(http.MethodPut)
-	r.HandleFunc("/v1/staging/{digest}", e.work(e.getStaged)).Methods(http.MethodGet)
-	r.HandleFunc("/v1/staging/{digest}", e.work(e.deleteStaged)).Methods(http.MethodDelete)
-	r.HandleFunc("/v1/orders", e.work(e.order)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/chat/completions", e.work(e.chat)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/events", e.work(e.events)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/state", e.waitWhilePaused(e.state)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/staging", e.waitWhilePaused(e.listStaged)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/staging/{digest}", e.waitWhilePaused(e.putStaged)).Methods(http.MethodPut)
+	r.HandleFunc("/v1/staging/{digest}", e.waitWhilePaused(e.getStaged)).Methods(http.MethodGet)
+	r.HandleFunc("/v1/staging/{digest}", e.waitWhilePaused(e.deleteStaged)).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/orders", e.waitWhilePaused(e.order)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/chat/completions", e.waitWhilePaused(e.chat)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/events", e.waitWhilePaused(e.events)).Methods(http.MethodGet)
 	r.HandleFunc("/control/faults", e.setFaults).Methods(http.MethodPost)
 	r.HandleFunc("/control/loads", e.listLoads).Methods(http.MethodGet)
 	return r
 }
 
 // work holds a request back while the engine is paused or silent.
-func (e *Engine) work(next http.HandlerFunc) http.HandlerFunc {
+func (e *Engine) waitWhilePaused(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if e.faults.gate(r.Context(), e.Clock) != nil {
+		if e.faults.waitWhilePaused(r.Context(), e.Clock) != nil {
 			return
 		}
 		next(w, r)
@@ -125,14 +125,14 @@
 }
 
 // report is a load reading that is renewed only when it is older than a lag.
-type report struct {
+type loadReport struct {
 	mu      sync.Mutex
 	at      time.Time
 	running int
 	queued  int
 }
 
-func (p *report) read(now time.Time, lag time.Duration, load func() (int, int)) (int, int) {
+func (p *loadReport) read(now time.Time, lag time.Duration, load func() (int, int)) (int, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.at.IsZero() || now.Sub(p.at) >= lag {
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -20,7 +20,7 @@
 )
 
 // bench is an engine behind a server, and two versions for it.
-type bench struct {
+type fixture struct {
 	t      *testing.T
 	engine *Engine
 	url    string
@@ -54,12 +54,12 @@
 	return v
 }
 
-func newBench(t *testing.T, change func(*Engine)) *bench {
+func newFixture(t *testing.T, change func(*Engine)) *fixture {
 	t.Helper()
 	e := &Engine{
 		Boot:        "boot",
 		Fencing:     envdoc.FencingChecked,
-		Pool:        &Pool{},
+		Pool:        &ChunkPool{},
 		Capacity:    2,
 		MaxQueue:    2,
 		CacheBlocks: 8,
@@ -70,13 +70,13 @@
 	}
 	srv := httptest.NewServer(e.Handler())
 	t.Cleanup(srv.Close)
-	b := &bench{t: t, engine: e, url: srv.URL}
+	b := &fixture{t: t, engine: e, url: srv.URL}
 	b.one = newVersion(t, "1", "shared", "old")
 	b.two = newVersion(t, "2", "shared", "new")
 	return b
 }
 
-func (b *bench) do(method, path string, body []byte, header ...string) (*http.Response, []byte) {
+func (b *fixture) do(method, path string, body []byte, header ...string) (*http.Response, []byte) {
 	b.t.Helper()
 	req, err := http.NewRequestWithContext(b.t.Context(), method, b.url+path, bytes.NewReader(body))
 	if err != nil {
@@ -97,14 +97,14 @@
 	return resp, out
 }
 
-func (b *bench) stage(v version) {
+func (b *fixture) stage(v version) {
 	b.t.Helper()
 	for i, c := range v.manifest.Chunks {
 		b.do(http.MethodPut, "/v1/staging/"+string(c.Digest), v.chunks[i])
 	}
 }
 
-func (b *bench) order(number uint64, v version) int {
+func (b *fixture) order(number uint64, v version) int {
 	b.t.Helper()
 	body, err := json.Marshal(Order{Number: number, Action: ActionLoad, Manifest: v.digest, Body: v.manifest})
 	if err != nil {
@@ -115,7 +115,7 @@
 }
 
 // settle waits until no load runs and returns the state.
-func (b *bench) settle() State {
+func (b *fixture) waitLoaded() State {
 	b.t.Helper()
 	for {
 		_, body := b.do(http.MethodGet, "/v1/state", nil)
@@ -130,14 +130,14 @@
 	}
 }
 
-func (b *bench) load(number uint64, v version) {
+func (b *fixture) load(number uint64, v version) {
 	b.t.Helper()
 	b.stage(v)
 	b.order(number, v)
-	b.settle()
+	b.waitLoaded()
 }
 
-func (b *bench) faults(s string) {
+func (b *fixture) faults(s string) {
 	b.t.Helper()
 	resp, _ := b.do(http.MethodPost, "/control/faults", []byte(s))
 	check(b.t, "faults "+s, http.StatusNoContent, resp.StatusCode)
@@ -152,7 +152,7 @@
 
 const chat = `{"messages":[{"role":"user","content":"hello"}],"max_tokens":4,"stream":false}`
 
-func (b *bench) chat(header ...string) (int, string, string) {
+func (b *fixture) chat(header ...string) (int, string, string) {
 	b.t.Helper()
 	resp, body := b.do(http.MethodPost, "/v1/chat/completions", []byte(chat), header...)
 	if resp == nil {
@@ -170,7 +170,7 @@
 }
 
 func TestLoadServes(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	status, _, _ := b.chat()
 	check(t, "before any load", http.StatusServiceUnavailable, status)
 	check(t, "nothing staged", http.StatusUnprocessableEntity, b.order(1, b.one))
@@ -195,11 +195,11 @@
 		{fencing: envdoc.FencingIgnored, status: http.StatusAccepted, version: "1", last: 4},
 	}
 	for _, tc := range tests {
-		b := newBench(t, func(e *Engine) { e.Fencing = tc.fencing })
+		b := newFixture(t, func(e *Engine) { e.Fencing = tc.fencing })
 		b.stage(b.one)
 		b.load(5, b.two)
 		check(t, "status", tc.status, b.order(4, b.one))
-		s := b.settle()
+		s := b.waitLoaded()
 		check(t, string(tc.fencing), []any{tc.version, tc.last}, []any{s.Version, s.LastOrder})
 	}
 }
@@ -208,12 +208,12 @@
 // failure that the state tells, and callers go on getting answers of the
 // version before: the engine verifies the whole before it switches.
 func TestCorruptedWeightsAreNotServed(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	b.load(1, b.one)
 	b.stage(b.two)
 	b.do(http.MethodPut, "/v1/staging/"+string(b.two.manifest.Chunks[1].Digest), []byte("bad"))
 	b.order(2, b.two)
-	s := b.settle()
+	s := b.waitLoaded()
 	check(t, "state", []any{"1", true}, []any{s.Version, s.LastError != ""})
 	_, text, _ := b.chat()
 	check(t, "answer", b.one.answer().Text(4), text)
@@ -224,7 +224,7 @@
 // takes over, and the earlier load ends as superseded.
 func TestSupersededLoad(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	b := newBench(t, func(e *Engine) { e.Clock, e.LoadTime = clock, time.Second })
+	b := newFixture(t, func(e *Engine) { e.Clock, e.LoadTime = clock, time.Second })
 	b.stage(b.one)
 	b.stage(b.two)
 	b.order(1, b.one)
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	clock.Advance(time.Second)
-	check(t, "version", "2", b.settle().Version)
+	check(t, "version", "2", b.waitLoaded().Version)
 	for outcomes(b.engine)[0] == LoadRunning {
 		time.Sleep(time.Millisecond)
 	}
@@ -253,7 +253,7 @@
 // A caller sees its stream break off after two tokens, without a finish and
 // without [DONE]: the connection closes. The next stream is whole.
 func TestCutStream(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	b.load(1, b.one)
 	b.faults(`{"cutAfter":2,"times":1}`)
 	body := []byte(strings.Replace(chat, `"stream":false`, `"stream":true`, 1))
@@ -274,7 +274,7 @@
 // A request to a silent engine gets no answer and no error: its connection
 // stays open. It goes on once the fault is lifted.
 func TestSilent(t *testing.T) {
-	b := newBench(t, nil)
+	b := newFixture(t, nil)
 	b.load(1, b.one)
 	b.faults(`{"silent":true}`)
 	got := make(chan string)
@@ -295,7 +295,7 @@
 // with Retry-After; an interactive call goes before a batch call that came
 // earlier.
 func TestSlots(t *testing.T) {
-	s := &slots{capacity: 1, maxQueue: 2}
+	s := &generationSlots{capacity: 1, maxQueue: 2}
 	if err := s.acquire(t.Context(), false); err != nil {
 		t.Fatal(err)
 	}
@@ -327,24 +327,24 @@
 // numbers tell.
 func TestCacheEvents(t *testing.T) {
 	now := time.Unix(0, 0)
-	c := &cache{maxBlocks: 2, lag: time.Second, gap: 3}
-	check(t, "missed", 2, c.use([]string{"a", "b"}, now))
-	check(t, "missed again", 0, c.use([]string{"a", "b"}, now))
-	check(t, "missed with eviction", 1, c.use([]string{"c"}, now))
-	check(t, "before the lag", []Event{}, c.after(0, now))
+	c := &prefixCache{maxBlocks: 2, lag: time.Second, gap: 3}
+	check(t, "missed", 2, c.touch([]string{"a", "b"}, now))
+	check(t, "missed again", 0, c.touch([]string{"a", "b"}, now))
+	check(t, "missed with eviction", 1, c.touch([]string{"c"}, now))
+	check(t, "before the lag", []Event{}, c.eventsAfter(0, now))
 	want := []Event{
 		{Seq: 1, Action: EventStored, Prefix: "a"},
 		{Seq: 2, Action: EventStored, Prefix: "b"},
 		{Seq: 4, Action: EventEvicted, Prefix: "a"},
 	}
-	check(t, "after the lag", want, c.after(0, now.Add(time.Second)))
-	check(t, "after 2", want[2:], c.after(2, now.Add(time.Second)))
+	check(t, "after the lag", want, c.eventsAfter(0, now.Add(time.Second)))
+	check(t, "after 2", want[2:], c.eventsAfter(2, now.Add(time.Second)))
 }
 
 func TestPoolFreesBytes(t *testing.T) {
-	p := &Pool{}
-	d := p.hold([]byte("x"))
-	p.hold([]byte("x"))
+	p := &ChunkPool{}
+	d := p.retain([]byte("x"))
+	p.retain([]byte("x"))
 	p.release(d)
 	check(t, "held by one", []byte("x"), p.bytes(d))
 	p.release(d)
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -11,13 +11,13 @@
 	"hawthornferry/standin/serve"
 )
 
-// FaultSet are the faults of an engine; each control call replaces them all.
+// FaultSettings are the faults of an engine; each control call replaces them all.
 // Pause holds every request back for a while, Silent until the faults are
 // replaced; connections stay open meanwhile. TokenDelay replaces the time for
 // each token. Status answers every chat. CutAfter closes the connection after
 // that many tokens. Times bounds how many chats meet Status or CutAfter; 0 is
 // every one.
-type FaultSet struct {
+type FaultSettings struct {
 	Pause      serve.Span `json:"pause"`
 	TokenDelay serve.Span `json:"tokenDelay"`
 	Status     int        `json:"status"`
@@ -26,32 +26,32 @@
 	Times      int        `json:"times"`
 }
 
-// Faults holds the faults in force.
-type Faults struct {
-	set   serve.Setting[FaultSet]
-	mu    sync.Mutex
-	hits  int
-	until time.Time
+// faultState holds the faults in force.
+type faultState struct {
+	settings     serve.Observable[FaultSettings]
+	mu           sync.Mutex
+	faultedChats int
+	pauseEnd     time.Time
 }
 
-func (f *Faults) replace(s FaultSet, now time.Time) {
+func (f *faultState) replace(s FaultSettings, now time.Time) {
 	f.mu.Lock()
-	f.hits = 0
-	f.until = now.Add(time.Duration(s.Pause))
+	f.faultedChats = 0
+	f.pauseEnd = now.Add(time.Duration(s.Pause))
 	f.mu.Unlock()
-	f.set.Set(s)
+	f.settings.Set(s)
 }
 
-func (f *Faults) pausedUntil() time.Time {
+func (f *faultState) pausedUntil() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.until
+	return f.pauseEnd
 }
 
 // gate waits while the engine is paused or silent.
-func (f *Faults) gate(ctx context.Context, clock clockwork.Clock) error {
+func (f *faultState) waitWhilePaused(ctx context.Context, clock clockwork.Clock) error {
 	for {
-		s, changed := f.set.Get()
+		s, changed := f.settings.Get()
 		pause := f.pausedUntil().Sub(clock.Now())
 		if !s.Silent && pause <= 0 {
 			return ctx.Err()
@@ -59,13 +59,13 @@
 		if s.Silent {
 			pause = time.Hour
 		}
-		if err := awaitEither(ctx, clock, pause, changed); err != nil {
+		if err := sleepUntilChange(ctx, clock, pause, changed); err != nil {
 			return err
 		}
 	}
 }
 
-func awaitEither(ctx context.Context, clock clockwork.Clock, d time.Duration, changed <-chan struct{}) error {
+func sleepUntilChange(ctx context.Context, clock clockwork.Clock, d time.Duration, changed <-chan struct{}) error {
 	t := clock.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -79,24 +79,24 @@
 }
 
 // hit returns the faults that a chat meets.
-func (f *Faults) hit() FaultSet {
-	s, _ := f.set.Get()
+func (f *faultState) nextForChat() FaultSettings {
+	s, _ := f.settings.Get()
 	if s.Status == 0 && s.CutAfter == nil {
 		return s
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hits++
-	if s.Times > 0 && f.hits > s.Times {
-		return FaultSet{TokenDelay: s.TokenDelay}
+	f.faultedChats++
+	if s.Times > 0 && f.faultedChats > s.Times {
+		return FaultSettings{TokenDelay: s.TokenDelay}
 	}
 	return s
 }
 
 func (e *Engine) setFaults(w http.ResponseWriter, r *http.Request) {
-	s, err := serve.Read[FaultSet](w, r)
+	s, err := serve.DecodeJSON[FaultSettings](w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	e.faults.replace(s, e.Clock.Now())
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -32,8 +32,8 @@
 	Body     chunk.Manifest `json:"body"`
 }
 
-// LastOrder is the answer to an order with an old number.
-type LastOrder struct {
+// OrderConflict is the answer to an order with an old number.
+type OrderConflict struct {
 	LastOrder uint64 `json:"lastOrder"`
 }
 
@@ -82,44 +82,44 @@
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
-	o, err := serve.Read[Order](w, r)
+	o, err := serve.DecodeJSON[Order](w, r)
 	if err == nil {
 		err = o.Check()
 	}
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	held, err := e.hold(o.Body)
+	chunks, err := e.stagedChunks(o.Body)
 	if err != nil {
-		serve.Fail(w, http.StatusUnprocessableEntity, err.Error())
+		serve.WriteProblem(w, http.StatusUnprocessableEntity, err.Error())
 		return
 	}
-	last, n, ok := e.accept(o)
+	last, n, ok := e.recordOrder(o)
 	if !ok {
-		serve.JSON(w, http.StatusConflict, LastOrder{LastOrder: last})
+		serve.JSON(w, http.StatusConflict, OrderConflict{LastOrder: last})
 		return
 	}
-	go e.load(n, o, held)
+	go e.load(n, o, chunks)
 	w.WriteHeader(http.StatusAccepted)
 }
 
 // hold returns the bytes of every chunk, or an error naming one that is not
 // staged. A chunk deleted later stays with the load that began before.
-func (e *Engine) hold(m chunk.Manifest) ([][]byte, error) {
+func (e *Engine) stagedChunks(m chunk.Manifest) ([][]byte, error) {
 	out := make([][]byte, 0, len(m.Chunks))
 	for _, c := range m.Chunks {
-		held, ok := e.stage.get(c.Digest)
+		actual, ok := e.staging.get(c.Digest)
 		if !ok {
 			return nil, errors.Newf("chunk %s is not staged", c.Digest)
 		}
-		out = append(out, e.Pool.bytes(held))
+		out = append(out, e.Pool.bytes(actual))
 	}
 	return out, nil
 }
 
 // accept records the order unless its number is old and the engine checks.
-func (e *Engine) accept(o Order) (last uint64, n int, ok bool) {
+func (e *Engine) recordOrder(o Order) (last uint64, n int, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.Fencing == envdoc.FencingChecked && o.Number <= e.lastOrder {
@@ -128,18 +128,18 @@
 	}
 	e.lastOrder = o.Number
 	e.loading = o.Manifest
-	e.newest++
+	e.newestLoad++
 	e.loads = append(e.loads, Load{Number: o.Number, Manifest: o.Manifest, Outcome: LoadRunning})
 	e.loads = e.loads[max(0, len(e.loads)-maxLoads):]
-	return e.lastOrder, e.newest, true
+	return e.lastOrder, e.newestLoad, true
 }
 
 // load takes LoadTime, verifies the whole and switches to it, unless a later
 // order came meanwhile.
-func (e *Engine) load(n int, o Order, held [][]byte) {
+func (e *Engine) load(n int, o Order, chunks [][]byte) {
 	ctx := context.Background()
 	_ = serve.Sleep(ctx, e.Clock, e.LoadTime)
-	if err := verify(o.Body, held); err != nil {
+	if err := verifyContent(o.Body, chunks); err != nil {
 		e.finish(n, o, LoadFailed, err.Error())
 		return
 	}
@@ -151,9 +151,9 @@
 	e.finish(n, o, LoadDone, "")
 }
 
-func verify(m chunk.Manifest, held [][]byte) error {
+func verifyContent(m chunk.Manifest, chunks [][]byte) error {
 	h := sha256.New()
-	for _, b := range held {
+	for _, b := range chunks {
 		_, _ = h.Write(b)
 	}
 	if got := chunk.Digest("sha256:" + hex.EncodeToString(h.Sum(nil))); got != m.ContentDigest {
@@ -165,7 +165,7 @@
 func (e *Engine) beginSwitch(n int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if n != e.newest {
+	if n != e.newestLoad {
 		return false
 	}
 	e.switching++
@@ -177,21 +177,21 @@
 func (e *Engine) finish(n int, o Order, out LoadOutcome, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.record(o, out, reason)
+	e.recordOutcome(o, out, reason)
 	if out == LoadDone {
 		e.switching--
 		e.manifest = o.Manifest
 		e.serving = o.Body
 		e.cache.clear(e.Clock.Now())
 	}
-	if n != e.newest {
+	if n != e.newestLoad {
 		return
 	}
 	e.loading = ""
 	e.lastError = reason
 }
 
-func (e *Engine) record(o Order, out LoadOutcome, reason string) {
+func (e *Engine) recordOutcome(o Order, out LoadOutcome, reason string) {
 	for i := range slices.Backward(e.loads) {
 		l := &e.loads[i]
 		if l.Number == o.Number && l.Manifest == o.Manifest && l.Outcome == LoadRunning {
--- a/standin/engine/pool.go
+++ b/standin/engine/pool.go
@@ -6,48 +6,48 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Pool holds bytes once, however many engines of the process staged them.
-type Pool struct {
+// ChunkPool holds bytes once, however many engines of the process staged them.
+type ChunkPool struct {
 	mu    sync.Mutex
-	items map[chunk.Digest]*pooled
+	items map[chunk.Digest]*pooledChunk
 }
 
-type pooled struct {
+type pooledChunk struct {
 	bytes []byte
-	holds int
+	refs  int
 }
 
 // hold keeps b and returns the digest of what it holds.
-func (p *Pool) hold(b []byte) chunk.Digest {
+func (p *ChunkPool) retain(b []byte) chunk.Digest {
 	d := chunk.DigestOf(b)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.items == nil {
-		p.items = map[chunk.Digest]*pooled{}
+		p.items = map[chunk.Digest]*pooledChunk{}
 	}
 	it, ok := p.items[d]
 	if !ok {
-		it = &pooled{bytes: b}
+		it = &pooledChunk{bytes: b}
 		p.items[d] = it
 	}
-	it.holds++
+	it.refs++
 	return d
 }
 
-func (p *Pool) release(d chunk.Digest) {
+func (p *ChunkPool) release(d chunk.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	it, ok := p.items[d]
 	if !ok {
 		return
 	}
-	it.holds--
-	if it.holds == 0 {
+	it.refs--
+	if it.refs == 0 {
 		delete(p.items, d)
 	}
 }
 
-func (p *Pool) bytes(d chunk.Digest) []byte {
+func (p *ChunkPool) bytes(d chunk.Digest) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	it, ok := p.items[d]
--- a/standin/engine/slots.go
+++ b/standin/engine/slots.go
@@ -12,7 +12,7 @@
 
 // slots bounds how many generations run, with a bounded queue in which batch
 // generations wait behind interactive ones.
-type slots struct {
+type generationSlots struct {
 	capacity int
 	maxQueue int
 
@@ -23,7 +23,7 @@
 }
 
 // acquire waits for a slot.
-func (s *slots) acquire(ctx context.Context, batch bool) error {
+func (s *generationSlots) acquire(ctx context.Context, batch bool) error {
 	s.mu.Lock()
 	if s.running < s.capacity {
 		s.running++
@@ -34,35 +34,35 @@
 		s.mu.Unlock()
 		return errFull
 	}
-	turn := make(chan struct{})
+	granted := make(chan struct{})
 	if batch {
-		s.batch = append(s.batch, turn)
+		s.batch = append(s.batch, granted)
 	} else {
-		s.interactive = append(s.interactive, turn)
+		s.interactive = append(s.interactive, granted)
 	}
 	s.mu.Unlock()
 	select {
-	case <-turn:
+	case <-granted:
 		return nil
 	case <-ctx.Done():
-		s.abandon(turn)
+		s.abandon(granted)
 		return ctx.Err()
 	}
 }
 
 // abandon leaves the queue, or gives the slot back when the turn had come.
-func (s *slots) abandon(turn chan struct{}) {
+func (s *generationSlots) abandon(granted chan struct{}) {
 	s.mu.Lock()
-	left := remove(&s.interactive, turn) || remove(&s.batch, turn)
+	left := remove(&s.interactive, granted) || remove(&s.batch, granted)
 	s.mu.Unlock()
 	if !left {
 		s.release()
 	}
 }
 
-func remove(q *[]chan struct{}, turn chan struct{}) bool {
+func remove(q *[]chan struct{}, granted chan struct{}) bool {
 	for i, t := range *q {
-		if t == turn {
+		if t == granted {
 			*q = append((*q)[:i], (*q)[i+1:]...)
 			return true
 		}
@@ -71,7 +71,7 @@
 }
 
 // release hands the slot to the next in the queue.
-func (s *slots) release() {
+func (s *generationSlots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := &s.interactive
@@ -86,7 +86,7 @@
 	*q = (*q)[1:]
 }
 
-func (s *slots) load() (running, queued int) {
+func (s *generationSlots) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running, len(s.interactive) + len(s.batch)
--- a/standin/engine/stage.go
+++ b/standin/engine/staging.go
@@ -19,48 +19,48 @@
 // stage maps the name under which a chunk was put to the digest of the bytes
 // that came. The two differ for a chunk that was corrupted on its way: the
 // engine keeps it, and the load finds out.
-type stage struct {
+type stagingArea struct {
 	mu    sync.Mutex
 	items map[chunk.Digest]chunk.Digest
 }
 
-// Staged lists the chunks in the staging area.
-type Staged struct {
+// StagedChunks lists the chunks in the staging area.
+type StagedChunks struct {
 	Chunks []chunk.Digest `json:"chunks"`
 }
 
-func (s *stage) get(d chunk.Digest) (chunk.Digest, bool) {
+func (s *stagingArea) get(d chunk.Digest) (chunk.Digest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, ok := s.items[d]
-	return held, ok
+	actual, ok := s.items[d]
+	return actual, ok
 }
 
 // put records a chunk and returns what it replaces, and false when the area
 // is full.
-func (s *stage) put(d, held chunk.Digest) (chunk.Digest, bool) {
+func (s *stagingArea) put(d, actual chunk.Digest) (chunk.Digest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.items == nil {
 		s.items = map[chunk.Digest]chunk.Digest{}
 	}
-	old, had := s.items[d]
+	replaced, had := s.items[d]
 	if !had && len(s.items) >= maxStaged {
 		return "", false
 	}
-	s.items[d] = held
-	return old, true
+	s.items[d] = actual
+	return replaced, true
 }
 
-func (s *stage) remove(d chunk.Digest) chunk.Digest {
+func (s *stagingArea) remove(d chunk.Digest) chunk.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := s.items[d]
+	actual := s.items[d]
 	delete(s.items, d)
-	return held
+	return actual
 }
 
-func (s *stage) list() []chunk.Digest {
+func (s *stagingArea) list() []chunk.Digest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]chunk.Digest, 0, len(s.items))
@@ -72,28 +72,28 @@
 }
 
 func (e *Engine) listStaged(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, Staged{Chunks: e.stage.list()})
+	serve.JSON(w, http.StatusOK, StagedChunks{Chunks: e.staging.list()})
 }
 
 func (e *Engine) putStaged(w http.ResponseWriter, r *http.Request) {
 	d := chunk.Digest(mux.Vars(r)["digest"])
 	if err := d.Check(); err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	b, err := readChunk(w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusRequestEntityTooLarge, err.Error())
+		serve.WriteProblem(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
-	held := e.Pool.hold(b)
-	old, ok := e.stage.put(d, held)
+	actual := e.Pool.retain(b)
+	replaced, ok := e.staging.put(d, actual)
 	if !ok {
-		e.Pool.release(held)
-		serve.Fail(w, http.StatusInsufficientStorage, "staging is full")
+		e.Pool.release(actual)
+		serve.WriteProblem(w, http.StatusInsufficientStorage, "staging is full")
 		return
 	}
-	e.Pool.release(old)
+	e.Pool.release(replaced)
 	w.WriteHeader(http.StatusNoContent)
 }
 
@@ -110,18 +110,18 @@
 }
 
 func (e *Engine) getStaged(w http.ResponseWriter, r *http.Request) {
-	held, ok := e.stage.get(chunk.Digest(mux.Vars(r)["digest"]))
+	actual, ok := e.staging.get(chunk.Digest(mux.Vars(r)["digest"]))
 	if !ok {
-		serve.Fail(w, http.StatusNotFound, "not staged")
+		serve.WriteProblem(w, http.StatusNotFound, "not staged")
 		return
 	}
-	b := e.Pool.bytes(held)
+	b := e.Pool.bytes(actual)
 	w.Header().Set("Content-Type", "application/octet-stream")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	_, _ = w.Write(b)
 }
 
 func (e *Engine) deleteStaged(w http.ResponseWriter, r *http.Request) {
-	e.Pool.release(e.stage.remove(chunk.Digest(mux.Vars(r)["digest"])))
+	e.Pool.release(e.staging.remove(chunk.Digest(mux.Vars(r)["digest"])))
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/fleet.go
+++ b/standin/fleet.go
@@ -10,8 +10,8 @@
 	"hawthornferry/standin/demo"
 )
 
-// errMissing is returned for a flag that has to be given.
-var errMissing = errors.New("flag is missing")
+// errMissingFlag is returned for a flag that has to be given.
+var errMissingFlag = errors.New("flag is missing")
 
 // fleetCommand plans a demonstration.
 func fleetCommand() command {
@@ -26,7 +26,7 @@
 	f.Bool(&l.Relay, "", "relay", "list the sides under the addresses of a relay that leads to them")
 	return command{flags: f, run: func(context.Context) error {
 		if document == "" || dir == "" {
-			return usageError{fmt.Errorf("document, out: %w", errMissing)}
+			return usageError{fmt.Errorf("document, out: %w", errMissingFlag)}
 		}
 		p, err := demo.Plan(document, l)
 		if err != nil {
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -52,28 +52,28 @@
 	Delay   time.Duration
 	Clock   clockwork.Clock
 
-	mu         sync.Mutex
-	faults     Faults
-	hits       int
-	executions map[string]int
+	mu           sync.Mutex
+	faults       Faults
+	faultedCalls int
+	executions   map[string]int
 }
 
 // Handler returns the HTTP interface.
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true)
-	r.HandleFunc("/control/executions", s.list).Methods(http.MethodGet)
+	r.HandleFunc("/control/executions", s.handleExecutions).Methods(http.MethodGet)
 	r.HandleFunc("/control/faults", s.setFaults).Methods(http.MethodPost)
-	r.PathPrefix("/").HandlerFunc(s.call)
+	r.PathPrefix("/").HandlerFunc(s.handleCall)
 	return r
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, serve.MaxBody))
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	f := s.hit()
+	f := s.nextFaults()
 	if serve.Sleep(r.Context(), s.Clock, s.Delay+time.Duration(f.Delay)) != nil {
 		return
 	}
@@ -81,12 +81,12 @@
 		serve.Cut(w)
 	}
 	if f.Status != 0 {
-		serve.Fail(w, f.Status, "fault")
+		serve.WriteProblem(w, f.Status, "fault")
 		return
 	}
-	a, ok := s.run(r, body)
+	a, ok := s.execute(r, body)
 	if !ok {
-		serve.Fail(w, http.StatusInsufficientStorage, "too many keys")
+		serve.WriteProblem(w, http.StatusInsufficientStorage, "too many keys")
 		return
 	}
 	if f.CutAfterRun {
@@ -95,14 +95,14 @@
 	serve.JSON(w, http.StatusOK, a)
 }
 
-func (s *Service) run(r *http.Request, body []byte) (Answer, bool) {
+func (s *Service) execute(r *http.Request, body []byte) (Answer, bool) {
 	a := Answer{
 		Service: s.Name,
 		Replica: s.Replica,
 		Method:  r.Method,
 		Path:    r.URL.Path,
 		Body:    string(body),
-		Key:     keyOf(body),
+		Key:     bodyKey(body),
 	}
 	if a.Key == "" {
 		return a, true
@@ -120,8 +120,8 @@
 	return a, true
 }
 
-// keyOf is the key field of a JSON body, empty when there is none.
-func keyOf(body []byte) string {
+// bodyKey is the key field of a JSON body, empty when there is none.
+func bodyKey(body []byte) string {
 	var v struct {
 		Key string `json:"key"`
 	}
@@ -132,35 +132,35 @@
 }
 
 // hit returns the faults that the call meets.
-func (s *Service) hit() Faults {
+func (s *Service) nextFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults
 	if !f.CutBeforeRun && !f.CutAfterRun && f.Status == 0 {
 		return f
 	}
-	s.hits++
-	if f.Times > 0 && s.hits > f.Times {
+	s.faultedCalls++
+	if f.Times > 0 && s.faultedCalls > f.Times {
 		return Faults{Delay: f.Delay}
 	}
 	return f
 }
 
-func (s *Service) list(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) handleExecutions(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	serve.JSON(w, http.StatusOK, Executions{Executions: s.executions})
 }
 
 func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
-	f, err := serve.Read[Faults](w, r)
+	f, err := serve.DecodeJSON[Faults](w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
-	s.hits = 0
+	s.faultedCalls = 0
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -14,7 +14,7 @@
 // A caller sees a connection that closed without an answer. Cut before the
 // run, its call never ran; cut after, it ran once. The caller can't tell the
 // two apart, and only the count of executions can.
-func TestCuts(t *testing.T) {
+func TestFaultClosesConnection(t *testing.T) {
 	tests := []struct {
 		name   string
 		faults string
--- a/standin/platf/config.go
+++ b/standin/platf/config.go
@@ -40,10 +40,10 @@
 	Rate  float64
 	Clock clockwork.Clock
 
-	once    sync.Once
-	limiter *rate.Limiter
-	calls   atomic.Uint64
-	faults  serve.Setting[ConfigFaults]
+	initOnce sync.Once
+	limiter  *rate.Limiter
+	calls    atomic.Uint64
+	faults   serve.Observable[ConfigFaults]
 
 	mu       sync.Mutex
 	revision uint64
@@ -61,18 +61,18 @@
 	Revision uint64 `json:"revision"`
 }
 
-// Calls is the count of calls that readers made.
-type Calls struct {
+// CallCount is the count of calls that readers made.
+type CallCount struct {
 	Calls uint64 `json:"calls"`
 }
 
 // Handler returns the HTTP interface.
 func (c *Config) Handler() http.Handler {
-	c.once.Do(c.init)
+	c.initOnce.Do(c.init)
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/documents/{environment}", c.read).Methods(http.MethodGet)
-	r.HandleFunc("/control/documents/{environment}", c.promote).Methods(http.MethodPut)
-	r.HandleFunc("/control/calls", c.count).Methods(http.MethodGet)
+	r.HandleFunc("/v1/documents/{environment}", c.handleRead).Methods(http.MethodGet)
+	r.HandleFunc("/control/documents/{environment}", c.handlePromote).Methods(http.MethodPut)
+	r.HandleFunc("/control/calls", c.handleCalls).Methods(http.MethodGet)
 	r.HandleFunc("/control/faults", c.setFaults).Methods(http.MethodPost)
 	return r
 }
@@ -83,11 +83,11 @@
 	c.history = map[string][]document{}
 }
 
-func (c *Config) read(w http.ResponseWriter, r *http.Request) {
+func (c *Config) handleRead(w http.ResponseWriter, r *http.Request) {
 	c.calls.Add(1)
-	after, wait, err := watchQuery(r)
+	after, wait, err := parseWatchQuery(r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	faults, _ := c.faults.Get()
@@ -95,17 +95,17 @@
 		return
 	}
 	if faults.Down {
-		serve.Fail(w, http.StatusServiceUnavailable, "down")
+		serve.WriteProblem(w, http.StatusServiceUnavailable, "down")
 		return
 	}
 	if !c.limiter.AllowN(c.Clock.Now(), 1) {
-		serve.TooMany(w, time.Second)
+		serve.WriteTooManyRequests(w, time.Second)
 		return
 	}
-	c.answer(w, r, after, wait)
+	c.respond(w, r, after, wait)
 }
 
-func (c *Config) answer(w http.ResponseWriter, r *http.Request, after uint64, wait time.Duration) {
+func (c *Config) respond(w http.ResponseWriter, r *http.Request, after uint64, wait time.Duration) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	timer := c.Clock.NewTimer(wait)
@@ -113,12 +113,12 @@
 	for {
 		faults, faultsChanged := c.faults.Get()
 		if faults.Down {
-			serve.Fail(w, http.StatusServiceUnavailable, "down")
+			serve.WriteProblem(w, http.StatusServiceUnavailable, "down")
 			return
 		}
 		d, known, changed := c.newest(mux.Vars(r)["environment"], faults.Serve)
 		if !known {
-			serve.Fail(w, http.StatusNotFound, "no such environment")
+			serve.WriteProblem(w, http.StatusNotFound, "no such environment")
 			return
 		}
 		if d.revision > after {
@@ -151,43 +151,43 @@
 	return out, out.revision > 0, c.changed
 }
 
-func (c *Config) promote(w http.ResponseWriter, r *http.Request) {
+func (c *Config) handlePromote(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxDocument))
 	if err != nil {
-		serve.Fail(w, http.StatusRequestEntityTooLarge, err.Error())
+		serve.WriteProblem(w, http.StatusRequestEntityTooLarge, err.Error())
 		return
 	}
-	revision, ok := c.keep(mux.Vars(r)["environment"], text)
+	revision, ok := c.store(mux.Vars(r)["environment"], text)
 	if !ok {
-		serve.Fail(w, http.StatusInsufficientStorage, "too many environments")
+		serve.WriteProblem(w, http.StatusInsufficientStorage, "too many environments")
 		return
 	}
 	serve.JSON(w, http.StatusOK, Promotion{Revision: revision})
 }
 
-func (c *Config) keep(environment string, text []byte) (uint64, bool) {
+func (c *Config) store(environment string, text []byte) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	past, known := c.history[environment]
+	history, known := c.history[environment]
 	if !known && len(c.history) >= maxEnvironments {
 		return 0, false
 	}
 	c.revision++
-	past = append(past, document{revision: c.revision, text: text})
-	c.history[environment] = past[max(0, len(past)-maxRevisions):]
+	history = append(history, document{revision: c.revision, text: text})
+	c.history[environment] = history[max(0, len(history)-maxRevisions):]
 	close(c.changed)
 	c.changed = make(chan struct{})
 	return c.revision, true
 }
 
-func (c *Config) count(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, Calls{Calls: c.calls.Load()})
+func (c *Config) handleCalls(w http.ResponseWriter, _ *http.Request) {
+	serve.JSON(w, http.StatusOK, CallCount{Calls: c.calls.Load()})
 }
 
 func (c *Config) setFaults(w http.ResponseWriter, r *http.Request) {
-	f, err := serve.Read[ConfigFaults](w, r)
+	f, err := serve.DecodeJSON[ConfigFaults](w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	c.faults.Set(f)
@@ -200,8 +200,8 @@
 	_, _ = w.Write(d.text)
 }
 
-// watchQuery reads after and wait; without after the call answers at once.
-func watchQuery(r *http.Request) (uint64, time.Duration, error) {
+// parseWatchQuery reads after and wait; without after the call answers at once.
+func parseWatchQuery(r *http.Request) (uint64, time.Duration, error) {
 	q := r.URL.Query()
 	if !q.Has("after") {
 		return 0, 0, nil
--- a/standin/platf/vms.go
+++ b/standin/platf/vms.go
@@ -34,7 +34,7 @@
 	Lag   time.Duration
 	Clock clockwork.Clock
 
-	faults serve.Setting[ListFaults]
+	faults serve.Observable[ListFaults]
 
 	mu      sync.Mutex
 	shown   map[string]fleet.VM
@@ -51,23 +51,23 @@
 // Handler returns the HTTP interface.
 func (l *List) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/vms", l.list).Methods(http.MethodGet)
-	r.HandleFunc("/control/vms/{name}", l.put).Methods(http.MethodPut)
-	r.HandleFunc("/control/vms/{name}", l.remove).Methods(http.MethodDelete)
+	r.HandleFunc("/v1/vms", l.handleList).Methods(http.MethodGet)
+	r.HandleFunc("/control/vms/{name}", l.handlePut).Methods(http.MethodPut)
+	r.HandleFunc("/control/vms/{name}", l.handleRemove).Methods(http.MethodDelete)
 	r.HandleFunc("/control/faults", l.setFaults).Methods(http.MethodPost)
 	return r
 }
 
-func (l *List) list(w http.ResponseWriter, _ *http.Request) {
+func (l *List) handleList(w http.ResponseWriter, _ *http.Request) {
 	if f, _ := l.faults.Get(); f.Down {
-		serve.Fail(w, http.StatusServiceUnavailable, "down")
+		serve.WriteProblem(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	serve.JSON(w, http.StatusOK, l.visible())
+	serve.JSON(w, http.StatusOK, l.applyDue())
 }
 
 // visible applies the changes that are due and returns the VMs by name.
-func (l *List) visible() []fleet.VM {
+func (l *List) applyDue() []fleet.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
@@ -91,31 +91,31 @@
 	return true
 }
 
-func (l *List) put(w http.ResponseWriter, r *http.Request) {
-	vm, err := serve.Read[fleet.VM](w, r)
+func (l *List) handlePut(w http.ResponseWriter, r *http.Request) {
+	vm, err := serve.DecodeJSON[fleet.VM](w, r)
 	if err == nil {
 		vm.Name = mux.Vars(r)["name"]
 		err = vm.Check()
 	}
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	l.accept(w, change{name: vm.Name, vm: &vm})
+	l.schedule(w, change{name: vm.Name, vm: &vm})
 }
 
-func (l *List) remove(w http.ResponseWriter, r *http.Request) {
-	l.accept(w, change{name: mux.Vars(r)["name"]})
+func (l *List) handleRemove(w http.ResponseWriter, r *http.Request) {
+	l.schedule(w, change{name: mux.Vars(r)["name"]})
 }
 
-func (l *List) accept(w http.ResponseWriter, c change) {
+func (l *List) schedule(w http.ResponseWriter, c change) {
 	faults, _ := l.faults.Get()
 	lag := cmp.Or(time.Duration(faults.Lag), l.Lag)
-	l.visible()
+	l.applyDue()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.pending) >= maxPending {
-		serve.Fail(w, http.StatusInsufficientStorage, "too many changes")
+		serve.WriteProblem(w, http.StatusInsufficientStorage, "too many changes")
 		return
 	}
 	c.due = l.Clock.Now().Add(lag)
@@ -124,9 +124,9 @@
 }
 
 func (l *List) setFaults(w http.ResponseWriter, r *http.Request) {
-	f, err := serve.Read[ListFaults](w, r)
+	f, err := serve.DecodeJSON[ListFaults](w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	l.faults.Set(f)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -28,7 +28,7 @@
 		clock := clockwork.NewRealClock()
 		c := &platf.Config{Rate: readRate, Clock: clock}
 		l := &platf.List{Lag: lag, Clock: clock}
-		return serve.Run(ctx, []serve.Site{
+		return serve.Run(ctx, []serve.Endpoint{
 			{Address: config, Handler: c.Handler()},
 			{Address: vms, Handler: l.Handler()},
 		})
--- a/standin/promote.go
+++ b/standin/promote.go
@@ -25,7 +25,7 @@
 	f.Int(&number, "", "number", "number of the version")
 	f.Duration(&limit, "", "limit", "longest wait")
 	return command{flags: f, run: func(ctx context.Context) error {
-		p, err := demo.Load(dir)
+		p, err := demo.LoadFleet(dir)
 		if err != nil {
 			return usageError{err}
 		}
--- a/standin/publish.go
+++ b/standin/publish.go
@@ -22,7 +22,7 @@
 	f.Int64(&size, "", "size", "bytes of the version")
 	f.Int64(&chunkSize, "", "chunk", "bytes of a chunk")
 	return command{flags: f, run: func(ctx context.Context) error {
-		p, err := demo.Load(dir)
+		p, err := demo.LoadFleet(dir)
 		if err != nil {
 			return usageError{err}
 		}
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -52,22 +52,22 @@
 // runRelay binds every address before it passes the first connection.
 func runRelay(ctx context.Context, routes []*relay.Route, control netip.AddrPort) error {
 	g, ctx := errgroup.WithContext(ctx)
-	var bound []net.Listener
+	var listeners []net.Listener
 	for _, t := range routes {
 		nl, err := net.Listen("tcp", t.Listen.String())
 		if err != nil {
-			for _, open := range bound {
+			for _, open := range listeners {
 				open.Close()
 			}
 			return errors.Wrapf(err, "listen on %s", t.Listen)
 		}
-		bound = append(bound, nl)
+		listeners = append(listeners, nl)
 	}
 	for i, t := range routes {
-		g.Go(func() error { return t.Run(ctx, bound[i]) })
+		g.Go(func() error { return t.Run(ctx, listeners[i]) })
 	}
 	g.Go(func() error {
-		return serve.Run(ctx, []serve.Site{{Address: control, Handler: relay.Handler(routes)}})
+		return serve.Run(ctx, []serve.Endpoint{{Address: control, Handler: relay.Handler(routes)}})
 	})
 	return g.Wait()
 }
--- a/standin/relay/pass.go
+++ b/standin/relay/forward.go
@@ -13,19 +13,19 @@
 )
 
 // piece is some bytes and when they came.
-type piece struct {
+type segment struct {
 	bytes []byte
 	at    time.Time
 }
 
 // pass moves bytes one way until either end closes. A silent pipe goes on
 // reading and drops what it reads, so that it ends with its ends.
-func (t *Route) pass(ctx context.Context, p *pipe, from, to net.Conn) {
-	pieces := make(chan piece, maxPieces)
+func (t *Route) forward(ctx context.Context, p *pipe, from, to net.Conn) {
+	segments := make(chan segment, maxSegments)
 	var wg sync.WaitGroup
-	wg.Go(func() { t.write(ctx, p, to, pieces) })
-	err := t.read(p, from, pieces)
-	close(pieces)
+	wg.Go(func() { t.write(ctx, p, to, segments) })
+	err := t.read(p, from, segments)
+	close(segments)
 	wg.Wait()
 	switch {
 	case p.isSilent():
@@ -36,15 +36,15 @@
 	}
 }
 
-func (t *Route) read(p *pipe, from net.Conn, pieces chan<- piece) error {
+func (t *Route) read(p *pipe, from net.Conn, segments chan<- segment) error {
 	for {
-		b := make([]byte, pieceSize)
+		b := make([]byte, readSize)
 		n, err := from.Read(b)
 		if err != nil {
 			return err
 		}
 		select {
-		case pieces <- piece{bytes: b[:n], at: t.Clock.Now()}:
+		case segments <- segment{bytes: b[:n], at: t.Clock.Now()}:
 		case <-p.silent:
 		}
 	}
@@ -52,9 +52,9 @@
 
 // write sends the pieces in order, each after the delay. After an error it
 // goes on taking pieces, so that the reader never waits for it.
-func (t *Route) write(ctx context.Context, p *pipe, to net.Conn, pieces <-chan piece) {
-	for x := range pieces {
-		if t.hold(ctx, p, x, to == p.near) != nil || p.isSilent() {
+func (t *Route) write(ctx context.Context, p *pipe, to net.Conn, segments <-chan segment) {
+	for x := range segments {
+		if t.waitToForward(ctx, p, x, to == p.client) != nil || p.isSilent() {
 			continue
 		}
 		if _, err := to.Write(x.bytes); err != nil {
@@ -64,10 +64,10 @@
 }
 
 // hold waits until a piece may go on.
-func (t *Route) hold(ctx context.Context, p *pipe, x piece, back bool) error {
+func (t *Route) waitToForward(ctx context.Context, p *pipe, x segment, reverse bool) error {
 	for {
 		f, changed := t.faults.Get()
-		if !f.holds(back) {
+		if !f.holds(reverse) {
 			return serve.Sleep(ctx, t.Clock, time.Duration(f.Delay)-t.Clock.Since(x.at))
 		}
 		select {
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -19,8 +19,8 @@
 // Bounds of a route.
 const (
 	maxConns    = 1024
-	pieceSize   = 16 << 10
-	maxPieces   = 64
+	readSize    = 16 << 10
+	maxSegments = 64
 	dialTimeout = 2 * time.Second
 )
 
@@ -36,8 +36,8 @@
 }
 
 // holds reports whether bytes of one way are held back.
-func (f Faults) holds(back bool) bool {
-	return f.Hold || (f.HoldBack && back) || (f.HoldThere && !back)
+func (f Faults) holds(reverse bool) bool {
+	return f.Hold || (f.HoldBack && reverse) || (f.HoldThere && !reverse)
 }
 
 // Route passes the connections that Listen accepts on to To. Set the exported
@@ -47,29 +47,29 @@
 	To     netip.AddrPort
 	Clock  clockwork.Clock
 
-	faults serve.Setting[Faults]
+	faults serve.Observable[Faults]
 	mu     sync.Mutex
 	pipes  map[*pipe]struct{}
 }
 
 // pipe is one connection through the route.
 type pipe struct {
-	near net.Conn
-	far  net.Conn
+	client   net.Conn
+	upstream net.Conn
 	// silent is closed when the pipe stops passing bytes for good.
-	silent chan struct{}
-	mute   sync.Once
+	silent      chan struct{}
+	silenceOnce sync.Once
 }
 
 func (p *pipe) close() {
-	p.near.Close()
-	p.far.Close()
+	p.client.Close()
+	p.upstream.Close()
 }
 
 // reset closes both ends with a reset: an end that was cut off must not take
 // what it got for the whole.
 func (p *pipe) reset() {
-	for _, nc := range []net.Conn{p.near, p.far} {
+	for _, nc := range []net.Conn{p.client, p.upstream} {
 		if tc, ok := nc.(*net.TCPConn); ok {
 			_ = tc.SetLinger(0)
 		}
@@ -96,14 +96,14 @@
 	}
 }
 
-func (t *Route) serve(ctx context.Context, near net.Conn) {
+func (t *Route) serve(ctx context.Context, client net.Conn) {
 	d := net.Dialer{Timeout: dialTimeout}
-	far, err := d.DialContext(ctx, "tcp", t.To.String())
+	upstream, err := d.DialContext(ctx, "tcp", t.To.String())
 	if err != nil {
-		near.Close()
+		client.Close()
 		return
 	}
-	p := &pipe{near: near, far: far, silent: make(chan struct{})}
+	p := &pipe{client: client, upstream: upstream, silent: make(chan struct{})}
 	defer p.close()
 	if !t.add(p) {
 		return
@@ -112,8 +112,8 @@
 	stop := context.AfterFunc(ctx, p.close)
 	defer stop()
 	var wg sync.WaitGroup
-	wg.Go(func() { t.pass(ctx, p, near, far) })
-	wg.Go(func() { t.pass(ctx, p, far, near) })
+	wg.Go(func() { t.forward(ctx, p, client, upstream) })
+	wg.Go(func() { t.forward(ctx, p, upstream, client) })
 	wg.Wait()
 }
 
@@ -137,7 +137,7 @@
 }
 
 // open are the connections that are open now.
-func (t *Route) open() []*pipe {
+func (t *Route) openPipes() []*pipe {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []*pipe
@@ -149,7 +149,7 @@
 
 // Cut closes the open connections and returns how many there were.
 func (t *Route) Cut() int {
-	open := t.open()
+	open := t.openPipes()
 	for _, p := range open {
 		p.close()
 	}
@@ -159,7 +159,7 @@
 // Reset ends the open connections with a reset at both ends and returns how
 // many there were.
 func (t *Route) Reset() int {
-	open := t.open()
+	open := t.openPipes()
 	for _, p := range open {
 		p.reset()
 	}
@@ -169,9 +169,9 @@
 // Silence stops the open connections from passing anything for good. Neither
 // end is told; connections made later work. It returns how many there were.
 func (t *Route) Silence() int {
-	open := t.open()
+	open := t.openPipes()
 	for _, p := range open {
-		p.mute.Do(func() { close(p.silent) })
+		p.silenceOnce.Do(func() { close(p.silent) })
 	}
 	return len(open)
 }
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -18,7 +18,7 @@
 )
 
 // echo sends every byte back.
-func echo(t *testing.T) netip.AddrPort {
+func startEcho(t *testing.T) netip.AddrPort {
 	t.Helper()
 	nl := listen(t)
 	go func() {
@@ -46,10 +46,10 @@
 	return nl
 }
 
-func start(t *testing.T) (*Route, http.Handler) {
+func startRoute(t *testing.T) (*Route, http.Handler) {
 	t.Helper()
 	nl := listen(t)
-	r := &Route{Listen: netip.MustParseAddrPort(nl.Addr().String()), To: echo(t), Clock: clockwork.NewRealClock()}
+	r := &Route{Listen: netip.MustParseAddrPort(nl.Addr().String()), To: startEcho(t), Clock: clockwork.NewRealClock()}
 	done := make(chan error, 1)
 	ctx := t.Context()
 	go func() { done <- r.Run(ctx, nl) }()
@@ -68,11 +68,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	say(t, nc, "hello")
+	roundTrip(t, nc, "hello")
 	return nc
 }
 
-func say(t *testing.T, nc net.Conn, text string) {
+func roundTrip(t *testing.T, nc net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(nc, text); err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 	}
 }
 
-func control(t *testing.T, h http.Handler, r *Route, path, body string) string {
+func postControl(t *testing.T, h http.Handler, r *Route, path, body string) string {
 	t.Helper()
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/control/routes/"+r.To.String()+"/"+path, strings.NewReader(body)))
@@ -100,9 +100,9 @@
 // the two ends has lost: what it sends vanishes, while a new connection to
 // the same address works.
 func TestSilence(t *testing.T) {
-	r, h := start(t)
+	r, h := startRoute(t)
 	old := dial(t, r)
-	if diff := cmp.Diff(`{"connections":1}`, control(t, h, r, "silence", "")); diff != "" {
+	if diff := cmp.Diff(`{"connections":1}`, postControl(t, h, r, "silence", "")); diff != "" {
 		t.Errorf("silenced (-want +got):\n%s", diff)
 	}
 	got := make(chan int, 1)
@@ -111,7 +111,7 @@
 		n, _ := old.Read(make([]byte, 8))
 		got <- n
 	}()
-	say(t, dial(t, r), "new")
+	roundTrip(t, dial(t, r), "new")
 	select {
 	case n := <-got:
 		t.Errorf("the silent connection gave %d bytes or an end", n)
@@ -125,25 +125,25 @@
 
 // A process sees its open connection end, and a new one works.
 func TestCut(t *testing.T) {
-	r, h := start(t)
+	r, h := startRoute(t)
 	old := dial(t, r)
-	control(t, h, r, "cut", "")
+	postControl(t, h, r, "cut", "")
 	if n, err := old.Read(make([]byte, 8)); err == nil {
 		t.Errorf("the cut connection gave %d bytes", n)
 	}
-	say(t, dial(t, r), "new")
+	roundTrip(t, dial(t, r), "new")
 }
 
 // A process sees its answer late: nothing passes while the route holds, and
 // nothing is lost.
 func TestHold(t *testing.T) {
-	r, h := start(t)
+	r, h := startRoute(t)
 	nc := dial(t, r)
-	control(t, h, r, "faults", `{"hold":true}`)
+	postControl(t, h, r, "faults", `{"hold":true}`)
 	if _, err := io.WriteString(nc, "held"); err != nil {
 		t.Fatal(err)
 	}
-	control(t, h, r, "faults", `{"delay":"1ms"}`)
+	postControl(t, h, r, "faults", `{"delay":"1ms"}`)
 	b := make([]byte, 4)
 	if _, err := io.ReadFull(nc, b); err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 // A process must not take what came before a reset for a whole answer: it sees
 // the reset, not an end.
 func TestReset(t *testing.T) {
-	r, _ := start(t)
+	r, _ := startRoute(t)
 	nc := dial(t, r)
 	r.Reset()
 	if _, err := nc.Read(make([]byte, 8)); !errors.Is(err, syscall.ECONNRESET) {
@@ -167,7 +167,7 @@
 // One way is cut: what is sent arrives, and its answer only once the way back
 // is open again.
 func TestHoldBack(t *testing.T) {
-	r, _ := start(t)
+	r, _ := startRoute(t)
 	nc := dial(t, r)
 	r.SetFaults(Faults{HoldBack: true})
 	if _, err := io.WriteString(nc, "held"); err != nil {
--- a/standin/serve/json.go
+++ b/standin/serve/json.go
@@ -25,20 +25,20 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// Fail answers with a problem.
-func Fail(w http.ResponseWriter, status int, detail string) {
+// WriteProblem answers with a problem.
+func WriteProblem(w http.ResponseWriter, status int, detail string) {
 	JSON(w, status, Problem{Status: status, Detail: detail})
 }
 
-// TooMany answers 429 and asks the client to wait.
-func TooMany(w http.ResponseWriter, wait time.Duration) {
+// WriteTooManyRequests answers 429 and asks the client to wait.
+func WriteTooManyRequests(w http.ResponseWriter, wait time.Duration) {
 	seconds := max(1, int(wait.Round(time.Second)/time.Second))
 	w.Header().Set("Retry-After", strconv.Itoa(seconds))
-	Fail(w, http.StatusTooManyRequests, "over the rate")
+	WriteProblem(w, http.StatusTooManyRequests, "over the rate")
 }
 
-// Read decodes a JSON request body of the type T and refuses unknown fields.
-func Read[T any](w http.ResponseWriter, r *http.Request) (T, error) {
+// DecodeJSON decodes a JSON request body of the type T and refuses unknown fields.
+func DecodeJSON[T any](w http.ResponseWriter, r *http.Request) (T, error) {
 	var v T
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody))
 	dec.DisallowUnknownFields()
@@ -46,8 +46,8 @@
 	return v, errors.Wrap(err, "decode body")
 }
 
-// ReadLoose decodes a JSON request body and ignores unknown fields.
-func ReadLoose[T any](w http.ResponseWriter, r *http.Request) (T, error) {
+// DecodeJSONLenient decodes a JSON request body and ignores unknown fields.
+func DecodeJSONLenient[T any](w http.ResponseWriter, r *http.Request) (T, error) {
 	var v T
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, MaxBody)).Decode(&v)
 	return v, errors.Wrap(err, "decode body")
--- a/standin/serve/setting.go
+++ b/standin/serve/observable.go
@@ -2,16 +2,16 @@
 
 import "sync"
 
-// Setting is a value that is replaced whole and whose replacement can be
+// Observable is a value that is replaced whole and whose replacement can be
 // waited for, such as the faults of a stand-in.
-type Setting[T any] struct {
+type Observable[T any] struct {
 	mu      sync.Mutex
 	value   T
 	changed chan struct{}
 }
 
 // Get returns the value and a channel that is closed when it is replaced.
-func (s *Setting[T]) Get() (T, <-chan struct{}) {
+func (s *Observable[T]) Get() (T, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.changed == nil {
@@ -21,7 +21,7 @@
 }
 
 // Set replaces the value.
-func (s *Setting[T]) Set(v T) {
+func (s *Observable[T]) Set(v T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value = v
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -16,14 +16,14 @@
 // headerTimeout bounds the wait for a request's headers.
 const headerTimeout = 10 * time.Second
 
-// Site is a handler and the address that it is served on.
-type Site struct {
+// Endpoint is a handler and the address that it is served on.
+type Endpoint struct {
 	Address netip.AddrPort
 	Handler http.Handler
 }
 
-// Addresses reads a comma-separated list of IP and port.
-func Addresses(list string) ([]netip.AddrPort, error) {
+// ParseAddresses reads a comma-separated list of IP and port.
+func ParseAddresses(list string) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
 	for s := range strings.SplitSeq(list, ",") {
 		a, err := netip.ParseAddrPort(strings.TrimSpace(s))
@@ -37,8 +37,8 @@
 
 // Run serves the sites until ctx ends. It binds every address before it
 // serves the first, so that an address in use leaves nothing half started.
-func Run(ctx context.Context, sites []Site) error {
-	listeners, err := bind(sites)
+func Run(ctx context.Context, sites []Endpoint) error {
+	listeners, err := listenAll(sites)
 	if err != nil {
 		return err
 	}
@@ -46,12 +46,12 @@
 	for i, s := range sites {
 		srv := &http.Server{Handler: s.Handler, ReadHeaderTimeout: headerTimeout}
 		context.AfterFunc(ctx, func() { srv.Close() })
-		g.Go(func() error { return ended(srv.Serve(listeners[i])) })
+		g.Go(func() error { return ignoreServerClosed(srv.Serve(listeners[i])) })
 	}
 	return g.Wait()
 }
 
-func bind(sites []Site) ([]net.Listener, error) {
+func listenAll(sites []Endpoint) ([]net.Listener, error) {
 	var out []net.Listener
 	for _, s := range sites {
 		nl, err := net.Listen("tcp", s.Address.String())
@@ -70,7 +70,7 @@
 	}
 }
 
-func ended(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/standin/service.go
+++ b/standin/service.go
@@ -22,11 +22,11 @@
 	f.String(&name, "", "name", "name of the service")
 	f.Duration(&delay, "", "delay", "time that each call takes")
 	return command{flags: f, run: func(ctx context.Context) error {
-		addresses, err := serve.Addresses(listen)
+		addresses, err := serve.ParseAddresses(listen)
 		if err != nil {
 			return usageError{err}
 		}
-		var sites []serve.Site
+		var sites []serve.Endpoint
 		for _, a := range addresses {
 			s := &plain.Service{
 				Name:    name,
@@ -34,7 +34,7 @@
 				Delay:   delay,
 				Clock:   clockwork.NewRealClock(),
 			}
-			sites = append(sites, serve.Site{Address: a, Handler: s.Handler()})
+			sites = append(sites, serve.Endpoint{Address: a, Handler: s.Handler()})
 		}
 		return serve.Run(ctx, sites)
 	}}
--- a/standin/silence.go
+++ b/standin/silence.go
@@ -17,7 +17,7 @@
 	f.String(&dir, "", "fleet", "directory of the plan, laid out with a relay")
 	f.String(&name, "", "name", "name of the side")
 	return command{flags: f, run: func(ctx context.Context) error {
-		p, err := demo.Load(dir)
+		p, err := demo.LoadFleet(dir)
 		if err != nil {
 			return usageError{err}
 		}
--- a/standin/table.go
+++ b/standin/table.go
@@ -30,7 +30,7 @@
 		if err := r.Print(os.Stdout); err != nil {
 			return err
 		}
-		if missed := r.Missed(); len(missed) > 0 {
+		if missed := r.Failures(); len(missed) > 0 {
 			return errors.Newf("missed: %s", strings.Join(missed, "; "))
 		}
 		return nil
--- a/standin/weight/origin.go
+++ b/standin/weight/origin.go
@@ -16,9 +16,9 @@
 	"hawthornferry/standin/serve"
 )
 
-// linkPiece is how many bytes are sent at a time; the link's rate is kept to
+// writeSize is how many bytes are sent at a time; the link's rate is kept to
 // within one piece for each transfer.
-const linkPiece = 16 << 10
+const writeSize = 16 << 10
 
 // retryAfter is what a client over MaxTransfers is asked to wait.
 const retryAfter = time.Second
@@ -35,8 +35,8 @@
 	StatusEvery  uint64 `json:"statusEvery"`
 }
 
-// Bytes is the count of chunk bytes that the origin sent.
-type Bytes struct {
+// TransferCount is the count of chunk bytes that the origin sent.
+type TransferCount struct {
 	Bytes    int64 `json:"bytes"`
 	Requests int64 `json:"requests"`
 }
@@ -44,46 +44,46 @@
 // Origin holds the chunks behind a link of Link bytes a second, shared by at
 // most MaxTransfers transfers. Set the exported fields before it serves.
 type Origin struct {
-	Shelf        *Shelf
-	Link         int64
+	Catalog      *Catalog
+	LinkRate     int64
 	MaxTransfers int64
 	Clock        clockwork.Clock
 
-	once      sync.Once
+	initOnce  sync.Once
 	limiter   *rate.Limiter
 	transfers atomic.Int64
 	requests  atomic.Uint64
-	sent      atomic.Int64
-	faults    serve.Setting[OriginFaults]
+	sentBytes atomic.Int64
+	faults    serve.Observable[OriginFaults]
 }
 
 // Handler returns the HTTP interface.
 func (o *Origin) Handler() http.Handler {
-	o.once.Do(func() { o.limiter = rate.NewLimiter(rate.Limit(o.Link), 4*linkPiece) })
+	o.initOnce.Do(func() { o.limiter = rate.NewLimiter(rate.Limit(o.LinkRate), 4*writeSize) })
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/chunks/{digest}", o.chunk).Methods(http.MethodGet)
-	r.HandleFunc("/control/versions", addVersion(o.Shelf)).Methods(http.MethodPut)
-	r.HandleFunc("/control/bytes", o.count).Methods(http.MethodGet)
+	r.HandleFunc("/v1/chunks/{digest}", o.handleChunk).Methods(http.MethodGet)
+	r.HandleFunc("/control/versions", addVersion(o.Catalog)).Methods(http.MethodPut)
+	r.HandleFunc("/control/bytes", o.handleBytes).Methods(http.MethodGet)
 	r.HandleFunc("/control/faults", o.setFaults).Methods(http.MethodPost)
 	return r
 }
 
-func (o *Origin) chunk(w http.ResponseWriter, r *http.Request) {
+func (o *Origin) handleChunk(w http.ResponseWriter, r *http.Request) {
 	if o.transfers.Add(1) > o.MaxTransfers {
 		o.transfers.Add(-1)
-		serve.TooMany(w, retryAfter)
+		serve.WriteTooManyRequests(w, retryAfter)
 		return
 	}
 	defer o.transfers.Add(-1)
 	n := o.requests.Add(1)
 	f, changed := o.faults.Get()
-	if every(n, f.StatusEvery) && f.Status != 0 {
-		serve.Fail(w, f.Status, "fault")
+	if isNth(n, f.StatusEvery) && f.Status != 0 {
+		serve.WriteProblem(w, f.Status, "fault")
 		return
 	}
-	b, ok := o.Shelf.Chunk(chunk.Digest(mux.Vars(r)["digest"]))
+	b, ok := o.Catalog.Chunk(chunk.Digest(mux.Vars(r)["digest"]))
 	if !ok {
-		serve.Fail(w, http.StatusNotFound, "no such chunk")
+		serve.WriteProblem(w, http.StatusNotFound, "no such chunk")
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
@@ -94,18 +94,18 @@
 // transfer sends a chunk with the faults that its request number meets.
 func (o *Origin) transfer(ctx context.Context, w http.ResponseWriter, b []byte, n uint64, f OriginFaults, changed <-chan struct{}) {
 	half := len(b) / 2
-	if every(n, f.CorruptEvery) {
+	if isNth(n, f.CorruptEvery) {
 		b[half] ^= 1
 	}
 	if o.send(ctx, w, b[:half]) != nil {
 		return
 	}
-	if every(n, f.ShortEvery) {
+	if isNth(n, f.ShortEvery) {
 		serve.Cut(w)
 	}
-	if every(n, f.StallEvery) {
+	if isNth(n, f.StallEvery) {
 		_ = http.NewResponseController(w).Flush()
-		await(ctx, changed)
+		waitForChange(ctx, changed)
 	}
 	_ = o.send(ctx, w, b[half:])
 }
@@ -113,7 +113,7 @@
 // send writes b at the rate of the link.
 func (o *Origin) send(ctx context.Context, w http.ResponseWriter, b []byte) error {
 	for len(b) > 0 {
-		n := min(len(b), linkPiece)
+		n := min(len(b), writeSize)
 		now := o.Clock.Now()
 		wait := o.limiter.ReserveN(now, n).DelayFrom(now)
 		if err := serve.Sleep(ctx, o.Clock, wait); err != nil {
@@ -122,29 +122,29 @@
 		if _, err := w.Write(b[:n]); err != nil {
 			return err
 		}
-		o.sent.Add(int64(n))
+		o.sentBytes.Add(int64(n))
 		b = b[n:]
 	}
 	return nil
 }
 
-func (o *Origin) count(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, Bytes{Bytes: o.sent.Load(), Requests: int64(o.requests.Load())})
+func (o *Origin) handleBytes(w http.ResponseWriter, _ *http.Request) {
+	serve.JSON(w, http.StatusOK, TransferCount{Bytes: o.sentBytes.Load(), Requests: int64(o.requests.Load())})
 }
 
 func (o *Origin) setFaults(w http.ResponseWriter, r *http.Request) {
-	f, err := serve.Read[OriginFaults](w, r)
+	f, err := serve.DecodeJSON[OriginFaults](w, r)
 	if err != nil {
-		serve.Fail(w, http.StatusBadRequest, err.Error())
+		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	o.faults.Set(f)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func every(n, each uint64) bool { return each > 0 && n%each == 0 }
+func isNth(n, each uint64) bool { return each > 0 && n%each == 0 }
 
-func await(ctx context.Context, changed <-chan struct{}) {
+func waitForChange(ctx context.Context, changed <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-changed:
--- a/standin/weight/weight.go
+++ b/standin/weight/weight.go
@@ -34,14 +34,14 @@
 }
 
 // source is what a chunk's bytes are made from.
-type source struct {
+type chunkSource struct {
 	Seed  uint64
 	Index int
 	Size  int64
 }
 
 // bytes makes the chunk's content.
-func (s source) bytes() []byte {
+func (s chunkSource) generate() []byte {
 	var in [16]byte
 	binary.BigEndian.PutUint64(in[:8], s.Seed)
 	binary.BigEndian.PutUint64(in[8:], uint64(s.Index))
@@ -50,22 +50,22 @@
 	return b
 }
 
-// Shelf holds the versions: their manifests, and where each chunk's bytes
+// Catalog holds the versions: their manifests, and where each chunk's bytes
 // come from.
-type Shelf struct {
+type Catalog struct {
 	mu        sync.Mutex
 	manifests map[chunk.Digest][]byte
-	sources   map[chunk.Digest]source
-	layouts   map[chunk.Digest][]source
+	sources   map[chunk.Digest]chunkSource
+	layouts   map[chunk.Digest][]chunkSource
 }
 
 // Add makes a version and returns its manifest's digest and its chunk count.
-func (s *Shelf) Add(spec Spec) (chunk.Digest, int, error) {
-	layout, err := s.layout(spec)
+func (s *Catalog) Add(spec Spec) (chunk.Digest, int, error) {
+	layout, err := s.planChunks(spec)
 	if err != nil {
 		return "", 0, err
 	}
-	m := manifestOf(spec, layout)
+	m := buildManifest(spec, layout)
 	if err := m.Check(); err != nil {
 		return "", 0, err
 	}
@@ -73,27 +73,27 @@
 	if err != nil {
 		return "", 0, err
 	}
-	return s.keep(m, b, layout)
+	return s.store(m, b, layout)
 }
 
 // layout lists the sources of the version's chunks in order.
-func (s *Shelf) layout(spec Spec) ([]source, error) {
+func (s *Catalog) planChunks(spec Spec) ([]chunkSource, error) {
 	if spec.Size <= 0 || spec.Size > maxSize {
 		return nil, errors.Newf("size %d: want 1 to %d bytes", spec.Size, int64(maxSize))
 	}
 	if spec.ChunkSize <= 0 || spec.ChunkSize > chunk.MaxChunkSize {
 		return nil, errors.Newf("chunkSize %d: want 1 to %d bytes", spec.ChunkSize, chunk.MaxChunkSize)
 	}
-	var out []source
-	for at := int64(0); at < spec.Size; at += spec.ChunkSize {
-		size := min(spec.ChunkSize, spec.Size-at)
-		out = append(out, source{Seed: spec.Seed, Index: len(out), Size: size})
+	var out []chunkSource
+	for offset := int64(0); offset < spec.Size; offset += spec.ChunkSize {
+		size := min(spec.ChunkSize, spec.Size-offset)
+		out = append(out, chunkSource{Seed: spec.Seed, Index: len(out), Size: size})
 	}
-	return out, s.share(spec, out)
+	return out, s.reuseChunks(spec, out)
 }
 
 // share replaces the first chunks by those of an earlier version.
-func (s *Shelf) share(spec Spec, layout []source) error {
+func (s *Catalog) reuseChunks(spec Spec, layout []chunkSource) error {
 	if spec.ShareWith == "" {
 		return nil
 	}
@@ -116,25 +116,25 @@
 	return nil
 }
 
-func manifestOf(spec Spec, layout []source) chunk.Manifest {
+func buildManifest(spec Spec, layout []chunkSource) chunk.Manifest {
 	m := chunk.Manifest{Model: spec.Model, Version: spec.Version, Size: spec.Size}
-	whole := sha256.New()
+	contentHash := sha256.New()
 	for _, src := range layout {
-		b := src.bytes()
-		_, _ = whole.Write(b)
+		b := src.generate()
+		_, _ = contentHash.Write(b)
 		m.Chunks = append(m.Chunks, chunk.Ref{Digest: chunk.DigestOf(b), Size: src.Size})
 	}
-	m.ContentDigest = chunk.Digest("sha256:" + hex.EncodeToString(whole.Sum(nil)))
+	m.ContentDigest = chunk.Digest("sha256:" + hex.EncodeToString(contentHash.Sum(nil)))
 	return m
 }
 
-func (s *Shelf) keep(m chunk.Manifest, b []byte, layout []source) (chunk.Digest, int, error) {
+func (s *Catalog) store(m chunk.Manifest, b []byte, layout []chunkSource) (chunk.Digest, int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.manifests == nil {
 		s.manifests = map[chunk.Digest][]byte{}
-		s.sources = map[chunk.Digest]source{}
-		s.layouts = map[chunk.Digest][]source{}
+		s.sources = map[chunk.Digest]chunkSource{}
+		s.layouts = map[chunk.Digest][]chunkSource{}
 	}
 	if len(s.manifests) >= maxVersions {
 		return "", 0, errors.Newf("more than %d versions", maxVersions)
@@ -149,7 +149,7 @@
 }
 
 // Manifest returns the canonical bytes of a manifest.
-func (s *Shelf) Manifest(d chunk.Digest) ([]byte, bool) {
+func (s *Catalog) Manifest(d chunk.Digest) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.manifests[d]
@@ -157,12 +157,12 @@
 }
 
 // Chunk makes the bytes of a chunk.
-func (s *Shelf) Chunk(d chunk.Digest) ([]byte, bool) {
+func (s *Catalog) Chunk(d chunk.Digest) ([]byte, bool) {
 	s.mu.Lock()
 	src, ok := s.sources[d]
 	s.mu.Unlock()
 	if !ok {
 		return nil, false
 	}
-	return src.bytes(), true
+	return src.generate(), true
 }
--- a/standin/weight/weight_test.go
+++ b/standin/weight/weight_test.go
@@ -17,7 +17,7 @@
 
 const kib = 1 << 10
 
-func added(t *testing.T, s *Shelf, spec Spec) (chunk.Digest, chunk.Manifest) {
+func mustAdd(t *testing.T, s *Catalog, spec Spec) (chunk.Digest, chunk.Manifest) {
 	t.Helper()
 	d, _, err := s.Add(spec)
 	if err != nil {
@@ -31,10 +31,10 @@
 	return d, m
 }
 
-func TestVersionAddsUp(t *testing.T) {
-	s := &Shelf{}
+func TestManifestMatchesChunks(t *testing.T) {
+	s := &Catalog{}
 	spec := Spec{Model: "m", Version: "1", Size: 10*kib + 1, ChunkSize: 4 * kib, Seed: 1}
-	_, m := added(t, s, spec)
+	_, m := mustAdd(t, s, spec)
 	var whole []byte
 	for _, c := range m.Chunks {
 		b, _ := s.Chunk(c.Digest)
@@ -48,12 +48,12 @@
 	}
 }
 
-func TestShared(t *testing.T) {
-	s := &Shelf{}
+func TestSharedChunks(t *testing.T) {
+	s := &Catalog{}
 	spec := Spec{Model: "m", Version: "1", Size: 16 * kib, ChunkSize: 4 * kib, Seed: 1}
-	d, one := added(t, s, spec)
+	d, one := mustAdd(t, s, spec)
 	spec.Version, spec.Seed, spec.ShareWith, spec.Shared = "2", 2, d, 3
-	_, two := added(t, s, spec)
+	_, two := mustAdd(t, s, spec)
 	var got []bool
 	for i := range one.Chunks {
 		got = append(got, one.Chunks[i] == two.Chunks[i])
@@ -74,7 +74,7 @@
 		{name: "nothing to share with", spec: Spec{Model: "m", Version: "1", Size: 1, ChunkSize: 1, ShareWith: "sha256:0"}},
 	}
 	for _, tc := range tests {
-		if _, _, err := (&Shelf{}).Add(tc.spec); err == nil {
+		if _, _, err := (&Catalog{}).Add(tc.spec); err == nil {
 			t.Errorf("%s: no error", tc.name)
 		}
 	}
@@ -84,8 +84,8 @@
 // refusal or a whole chunk, in turn: the origin's faults hit each so manyth
 // request, and only the bytes that left are counted.
 func TestOriginFaults(t *testing.T) {
-	s := &Shelf{}
-	_, m := added(t, s, Spec{Model: "m", Version: "1", Size: 8 * kib, ChunkSize: 8 * kib, Seed: 1})
+	s := &Catalog{}
+	_, m := mustAdd(t, s, Spec{Model: "m", Version: "1", Size: 8 * kib, ChunkSize: 8 * kib, Seed: 1})
 	tests := []struct {
 		name   string
 		faults string
@@ -101,7 +101,7 @@
 		{name: "every second", faults: `{"corruptEvery":2}`, status: 200, whole: true, good: true, bytes: 8 * kib},
 	}
 	for _, tc := range tests {
-		o := &Origin{Shelf: s, Link: 1 << 30, MaxTransfers: 4, Clock: clockwork.NewRealClock()}
+		o := &Origin{Catalog: s, LinkRate: 1 << 30, MaxTransfers: 4, Clock: clockwork.NewRealClock()}
 		srv := httptest.NewServer(o.Handler())
 		setFaults(t, srv.URL, tc.faults)
 		resp, err := http.Get(srv.URL + "/v1/chunks/" + string(m.Chunks[0].Digest))
@@ -110,7 +110,7 @@
 		}
 		b, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		got := []any{resp.StatusCode, err == nil, chunk.DigestOf(b) == m.Chunks[0].Digest, o.sent.Load()}
+		got := []any{resp.StatusCode, err == nil, chunk.DigestOf(b) == m.Chunks[0].Digest, o.sentBytes.Load()}
 		if diff := cmp.Diff([]any{tc.status, tc.whole, tc.good, tc.bytes}, got); diff != "" {
 			t.Errorf("%s: status, whole, good, bytes (-want +got):\n%s", tc.name, diff)
 		}
@@ -120,10 +120,10 @@
 
 // A side sees half of a chunk and then nothing: the transfer halts with the
 // connection open. Lifting the fault lets the rest through.
-func TestStall(t *testing.T) {
-	s := &Shelf{}
-	_, m := added(t, s, Spec{Model: "m", Version: "1", Size: 8 * kib, ChunkSize: 8 * kib, Seed: 1})
-	o := &Origin{Shelf: s, Link: 1 << 30, MaxTransfers: 4, Clock: clockwork.NewRealClock()}
+func TestStalledTransfer(t *testing.T) {
+	s := &Catalog{}
+	_, m := mustAdd(t, s, Spec{Model: "m", Version: "1", Size: 8 * kib, ChunkSize: 8 * kib, Seed: 1})
+	o := &Origin{Catalog: s, LinkRate: 1 << 30, MaxTransfers: 4, Clock: clockwork.NewRealClock()}
 	srv := httptest.NewServer(o.Handler())
 	defer srv.Close()
 	setFaults(t, srv.URL, `{"stallEvery":1}`)
@@ -153,9 +153,9 @@
 // A client over the bound of transfers is told to come back, and the link is
 // left to those under way.
 func TestTooManyTransfers(t *testing.T) {
-	s := &Shelf{}
-	_, m := added(t, s, Spec{Model: "m", Version: "1", Size: kib, ChunkSize: kib, Seed: 1})
-	o := &Origin{Shelf: s, Link: 1 << 30, MaxTransfers: 0, Clock: clockwork.NewRealClock()}
+	s := &Catalog{}
+	_, m := mustAdd(t, s, Spec{Model: "m", Version: "1", Size: kib, ChunkSize: kib, Seed: 1})
+	o := &Origin{Catalog: s, LinkRate: 1 << 30, MaxTransfers: 0, Clock: clockwork.NewRealClock()}
 	w := httptest.NewRecorder()
 	o.Handler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/chunks/"+string(m.Chunks[0].Digest), nil))
 	if diff := cmp.Diff("429 1", fmt.Sprint(w.Code, " ", w.Header().Get("Retry-After"))); diff != "" {
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -27,10 +27,10 @@
 	f.Int64(&transfers, "", "transfers", "transfers of the origin at once")
 	return command{flags: f, run: func(ctx context.Context) error {
 		clock := clockwork.NewRealClock()
-		shelf := &weight.Shelf{}
-		s := &weight.Store{Shelf: shelf, Rate: requests, Clock: clock}
-		o := &weight.Origin{Shelf: shelf, Link: link, MaxTransfers: transfers, Clock: clock}
-		return serve.Run(ctx, []serve.Site{
+		shelf := &weight.Catalog{}
+		s := &weight.Store{Catalog: shelf, Rate: requests, Clock: clock}
+		o := &weight.Origin{Catalog: shelf, LinkRate: link, MaxTransfers: transfers, Clock: clock}
+		return serve.Run(ctx, []serve.Endpoint{
 			{Address: store, Handler: s.Handler()},
 			{Address: origin, Handler: o.Handler()},
 		})
