--- a/standin/serve/observable.go
+++ b/standin/serve/observable.go
@@ -2,15 +2,16 @@
 
 import "sync"
 
-// Observable is a value that is replaced whole and whose replacement can be
-// waited for, such as the faults of a stand-in.
+// Observable is a value, such as the faults of a stand-in, whose replacement a
+// reader can wait for. Its zero value holds the zero value of T.
 type Observable[T any] struct {
 	mu      sync.Mutex
 	value   T
 	changed chan struct{}
 }
 
-// Get returns the value and a channel that is closed when it is replaced.
+// Get returns the value and a channel that is closed when the value is
+// replaced.
 func (s *Observable[T]) Get() (T, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,7 +21,7 @@
 	return s.value, s.changed
 }
 
-// Set replaces the value.
+// Set replaces the value and closes the channel that Get returned before.
 func (s *Observable[T]) Set(v T) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -1,4 +1,6 @@
-// Package serve runs the HTTP servers of the stand-ins.
+// Package serve has the HTTP helpers that all stand-ins share: it runs their
+// servers, reads and writes JSON bodies, and holds the faults that a control
+// call replaces. The commands of standin and the soak test use it.
 package serve
 
 import (
@@ -13,16 +15,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// headerTimeout bounds the wait for a request's headers.
+// headerTimeout is the longest time that a client may take to send a
+// request's headers.
 const headerTimeout = 10 * time.Second
 
-// Endpoint is a handler and the address that it is served on.
+// Endpoint is a handler and the address on which it is served.
 type Endpoint struct {
 	Address netip.AddrPort
 	Handler http.Handler
 }
 
-// ParseAddresses reads a comma-separated list of IP and port.
+// ParseAddresses parses a comma-separated list of IP:port.
 func ParseAddresses(list string) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
 	for s := range strings.SplitSeq(list, ",") {
@@ -35,29 +38,30 @@
 	return out, nil
 }
 
-// Run serves the sites until ctx ends. It binds every address before it
-// serves the first, so that an address in use leaves nothing half started.
-func Run(ctx context.Context, sites []Endpoint) error {
-	listeners, err := listenAll(sites)
+// Run serves the endpoints until ctx ends. It listens on every address before
+// it serves the first, so that it fails without having accepted a connection
+// when an address is in use.
+func Run(ctx context.Context, endpoints []Endpoint) error {
+	listeners, err := listenAll(endpoints)
 	if err != nil {
 		return err
 	}
 	g, ctx := errgroup.WithContext(ctx)
-	for i, s := range sites {
-		srv := &http.Server{Handler: s.Handler, ReadHeaderTimeout: headerTimeout}
+	for i, e := range endpoints {
+		srv := &http.Server{Handler: e.Handler, ReadHeaderTimeout: headerTimeout}
 		context.AfterFunc(ctx, func() { srv.Close() })
 		g.Go(func() error { return ignoreServerClosed(srv.Serve(listeners[i])) })
 	}
 	return g.Wait()
 }
 
-func listenAll(sites []Endpoint) ([]net.Listener, error) {
+func listenAll(endpoints []Endpoint) ([]net.Listener, error) {
 	var out []net.Listener
-	for _, s := range sites {
-		nl, err := net.Listen("tcp", s.Address.String())
+	for _, e := range endpoints {
+		nl, err := net.Listen("tcp", e.Address.String())
 		if err != nil {
 			closeAll(out)
-			return nil, errors.Wrapf(err, "listen on %s", s.Address)
+			return nil, errors.Wrapf(err, "listen on %s", e.Address)
 		}
 		out = append(out, nl)
 	}
--- a/standin/serve/sleep.go
+++ b/standin/serve/sleep.go
@@ -7,7 +7,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Sleep waits for d or until ctx ends, and returns the error of ctx.
+// Sleep waits for d. It returns the error of ctx when ctx ends first.
 func Sleep(ctx context.Context, clock clockwork.Clock, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/standin/serve/span.go
+++ b/standin/serve/span.go
@@ -7,15 +7,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Span is a duration that JSON writes as a string such as "1.5s".
+// Span is a duration that is encoded in JSON as a string such as "1.5s".
 type Span time.Duration
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON encodes the duration as a string.
 func (s Span) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(s).String())
 }
 
-// UnmarshalJSON reads a string such as "200ms"; it refuses a negative one.
+// UnmarshalJSON decodes a string such as "200ms". A negative duration is an
+// error.
 func (s *Span) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
