--- a/standin/expect/expect.go
+++ b/standin/expect/expect.go
@@ -1,5 +1,7 @@
-// Package expect says what a stand-in engine answers, so that a caller can
-// tell a whole answer of one version from any other.
+// Package expect computes the answers of the stand-in engine, which depend only
+// on the manifest, the prompt and the token's position. The engine generates
+// its answers with it, and package caller checks with it that an answer is
+// complete and comes from one version.
 package expect
 
 import (
@@ -16,8 +18,8 @@
 	Content string `json:"content"`
 }
 
-// Prompt is the text that stands for a chat: role, newline, content and
-// newline of each message in order.
+// Prompt returns a chat as one text: for each message in order the role, a
+// newline, the content and a newline.
 func Prompt(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -34,8 +36,8 @@
 	seed uint64
 }
 
-// NewAnswer returns the answer that an engine serving the manifest gives to
-// the prompt.
+// NewAnswer returns the answer to the prompt of an engine that serves the
+// manifest.
 func NewAnswer(manifest chunk.Digest, prompt string) Answer {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(manifest))
@@ -44,13 +46,13 @@
 	return Answer{seed: h.Sum64()}
 }
 
-// Token is the token at a position, the first being 0. It ends in a space.
+// Token returns the token at a position, counted from 0. It ends in a space.
 func (a Answer) Token(position int) string {
 	x := mix(a.seed + uint64(position)*0x9e3779b97f4a7c15)
 	return strconv.FormatUint(x>>32, 36) + " "
 }
 
-// Text is the first n tokens.
+// Text returns the first n tokens as one string.
 func (a Answer) Text(n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -59,8 +61,8 @@
 	return b.String()
 }
 
-// Match returns the version among candidates whose answer to the prompt is
-// exactly text of n tokens, and false when none is.
+// Match returns the candidate whose first n tokens of the answer to the prompt
+// are exactly text. It returns false when there is none.
 func Match(candidates []chunk.Digest, prompt, text string, n int) (chunk.Digest, bool) {
 	for _, c := range candidates {
 		if NewAnswer(c, prompt).Text(n) == text {
@@ -70,8 +72,8 @@
 	return "", false
 }
 
-// mix is the finalizer of a 64-bit hash: every input bit reaches the high
-// bits, of which the tokens are made.
+// mix is the finalizer of the 64-bit MurmurHash3: every input bit affects the
+// high bits, from which Token makes the token.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/standin/expect/prefix.go
+++ b/standin/expect/prefix.go
@@ -5,15 +5,18 @@
 	"strconv"
 )
 
-// Bounds of a prompt's prefixes.
 const (
+	// BlockSize is the size in bytes of a block of a prompt.
 	BlockSize = 64
+	// MaxBlocks is the number of leading blocks that are hashed; a longer
+	// prompt has no further prefixes.
 	MaxBlocks = 256
 )
 
-// Prefixes returns the hashes of the prompt's leading whole blocks of
-// BlockSize bytes, the shortest prefix first: the FNV-1a 64 of the first
-// block, of the first two, and so on, in hexadecimal without leading zeros.
+// Prefixes returns the hashes of the prompt's prefixes that are whole blocks of
+// BlockSize bytes, the shortest prefix first: the 64-bit FNV-1a hash of the
+// first block, of the first two, and so on, in hexadecimal without leading
+// zeros. An incomplete block at the end has no hash.
 func Prefixes(prompt string) []string {
 	n := min(len(prompt)/BlockSize, MaxBlocks)
 	out := make([]string, 0, n)
