--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,5 +1,7 @@
-// Package plain stands in for a plain service, such as a booking service. It
-// counts how often each key runs, so that a duplicate shows.
+// Package plain is a stand-in for a plain service, that is a target that is not
+// a model engine, such as a booking service. It counts how often the call with
+// each key was executed, so that package caller can find calls that were
+// executed twice. The service command of standin runs it.
 package plain
 
 import (
@@ -15,12 +17,15 @@
 	"hawthornferry/standin/serve"
 )
 
-// maxKeys bounds the table of executions.
+// maxKeys is the number of keys whose executions are counted. A call with a
+// further key gets status 507.
 const maxKeys = 1 << 20
 
-// Faults are the faults of a plain service. CutBeforeRun closes the
-// connection before the call runs, CutAfterRun after it ran. Times bounds how
-// many calls meet a cut or Status; 0 is every call.
+// Faults are the faults that a plain service injects. Delay is added to the
+// time of every call. CutBeforeRun closes the connection before the call is
+// executed, CutAfterRun afterwards. Status is returned in place of executing the
+// call. Times is how many calls get CutBeforeRun, CutAfterRun or Status; 0 is
+// every call.
 type Faults struct {
 	Delay        serve.Span `json:"delay"`
 	CutBeforeRun bool       `json:"cutBeforeRun"`
@@ -29,7 +34,8 @@
 	Times        int        `json:"times"`
 }
 
-// Answer tells what ran. Executions is how often Key has run here.
+// Answer describes the call that was executed. Executions is how often this
+// replica has executed calls with Key.
 type Answer struct {
 	Service    string `json:"service"`
 	Replica    string `json:"replica"`
@@ -40,12 +46,13 @@
 	Executions int    `json:"executions"`
 }
 
-// Executions counts the runs of each key.
+// Executions has the number of executions of each key at one replica.
 type Executions struct {
 	Executions map[string]int `json:"executions"`
 }
 
-// Service is one replica. Set the exported fields before it serves.
+// Service is one replica of a plain service. Set the exported fields before
+// calling Handler. Delay is how long each call takes.
 type Service struct {
 	Name    string
 	Replica string
@@ -58,7 +65,8 @@
 	executions   map[string]int
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the service's calls and of the control calls
+// that read the executions and set the faults.
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter().SkipClean(true)
 	r.HandleFunc("/control/executions", s.handleExecutions).Methods(http.MethodGet)
@@ -95,6 +103,8 @@
 	serve.JSON(w, http.StatusOK, a)
 }
 
+// execute counts the call's key and returns the answer, and false when there
+// are too many keys. A call without a key isn't counted.
 func (s *Service) execute(r *http.Request, body []byte) (Answer, bool) {
 	a := Answer{
 		Service: s.Name,
@@ -120,7 +130,7 @@
 	return a, true
 }
 
-// bodyKey is the key field of a JSON body, empty when there is none.
+// bodyKey returns the key field of a JSON body, empty when there is none.
 func bodyKey(body []byte) string {
 	var v struct {
 		Key string `json:"key"`
@@ -131,7 +141,8 @@
 	return v.Key
 }
 
-// hit returns the faults that the call meets.
+// nextFaults returns the faults for the next call, and counts the calls that
+// get a fault limited by Times.
 func (s *Service) nextFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -11,9 +11,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// A caller sees a connection that closed without an answer. Cut before the
-// run, its call never ran; cut after, it ran once. The caller can't tell the
-// two apart, and only the count of executions can.
+// The connection closes without an answer both when the fault comes before the
+// call is executed and when it comes after. A caller can't tell the two cases
+// apart; the number of executions, 0 or 1, does.
 func TestFaultClosesConnection(t *testing.T) {
 	tests := []struct {
 		name   string
