--- a/standin/weight/origin.go
+++ b/standin/weight/origin.go
@@ -16,17 +16,18 @@
 	"hawthornferry/standin/serve"
 )
 
-// writeSize is how many bytes are sent at a time; the link's rate is kept to
-// within one piece for each transfer.
+// writeSize is the number of bytes of one write. Each write waits for the rate
+// limiter, so that a transfer is at most one write ahead of the link's rate.
 const writeSize = 16 << 10
 
-// retryAfter is what a client over MaxTransfers is asked to wait.
+// retryAfter is sent to a client whose request exceeds MaxTransfers.
 const retryAfter = time.Second
 
-// OriginFaults are the faults of the origin. Every Nth chunk request is hit;
-// 0 hits none. A corrupted chunk has one bit changed, a stalled one halts
-// half way until the client leaves or the faults are replaced, a short one
-// ends half way.
+// OriginFaults are the faults that the origin injects, each in every N-th chunk
+// request; 0 injects none. A corrupted chunk has one bit flipped. A stalled
+// transfer stops half way until the client closes the connection or the faults
+// are replaced. A short one closes the connection half way. Status is returned
+// in place of every StatusEvery-th chunk.
 type OriginFaults struct {
 	CorruptEvery uint64 `json:"corruptEvery"`
 	StallEvery   uint64 `json:"stallEvery"`
@@ -35,14 +36,17 @@
 	StatusEvery  uint64 `json:"statusEvery"`
 }
 
-// TransferCount is the count of chunk bytes that the origin sent.
+// TransferCount is the number of chunk bytes that the origin has sent and of
+// chunk requests that it has accepted. A request beyond MaxTransfers isn't
+// counted.
 type TransferCount struct {
 	Bytes    int64 `json:"bytes"`
 	Requests int64 `json:"requests"`
 }
 
-// Origin holds the chunks behind a link of Link bytes a second, shared by at
-// most MaxTransfers transfers. Set the exported fields before it serves.
+// Origin serves the chunks of a catalog. All transfers together send at most
+// LinkRate bytes a second, and a request beyond MaxTransfers concurrent ones
+// gets status 429. Set the exported fields before calling Handler.
 type Origin struct {
 	Catalog      *Catalog
 	LinkRate     int64
@@ -57,7 +61,8 @@
 	faults    serve.Observable[OriginFaults]
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the chunks and of the control calls that add a
+// version, read the number of bytes sent and set the faults.
 func (o *Origin) Handler() http.Handler {
 	o.initOnce.Do(func() { o.limiter = rate.NewLimiter(rate.Limit(o.LinkRate), 4*writeSize) })
 	r := mux.NewRouter()
@@ -91,7 +96,8 @@
 	o.transfer(r.Context(), w, b, n, f, changed)
 }
 
-// transfer sends a chunk with the faults that its request number meets.
+// transfer sends the chunk b with the faults f that apply to request n. changed
+// is closed when the faults are replaced.
 func (o *Origin) transfer(ctx context.Context, w http.ResponseWriter, b []byte, n uint64, f OriginFaults, changed <-chan struct{}) {
 	half := len(b) / 2
 	if isNth(n, f.CorruptEvery) {
@@ -110,7 +116,7 @@
 	_ = o.send(ctx, w, b[half:])
 }
 
-// send writes b at the rate of the link.
+// send writes b at the link's rate.
 func (o *Origin) send(ctx context.Context, w http.ResponseWriter, b []byte) error {
 	for len(b) > 0 {
 		n := min(len(b), writeSize)
@@ -142,6 +148,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// isNth reports whether n is a multiple of each. It is false when each is 0.
 func isNth(n, each uint64) bool { return each > 0 && n%each == 0 }
 
 func waitForChange(ctx context.Context, changed <-chan struct{}) {
--- a/standin/weight/store.go
+++ b/standin/weight/store.go
@@ -13,8 +13,9 @@
 	"hawthornferry/standin/serve"
 )
 
-// Store is the weight store: it holds the manifests and is limited to Rate
-// requests a second. Set the exported fields before it serves.
+// Store is the weight store. It serves the manifests of a catalog to all clients
+// together at most Rate times a second. Set the exported fields before calling
+// Handler.
 type Store struct {
 	Catalog *Catalog
 	Rate    float64
@@ -24,13 +25,15 @@
 	limiter  *rate.Limiter
 }
 
-// AddedVersion is the answer to a new version.
+// AddedVersion is the response to the request for a new version: the digest of
+// its manifest and its number of chunks.
 type AddedVersion struct {
 	Manifest chunk.Digest `json:"manifest"`
 	Chunks   int          `json:"chunks"`
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the manifests and of the control call that adds
+// a version.
 func (s *Store) Handler() http.Handler {
 	s.initOnce.Do(func() { s.limiter = rate.NewLimiter(rate.Limit(s.Rate), max(1, int(s.Rate))) })
 	r := mux.NewRouter()
--- a/standin/weight/weight.go
+++ b/standin/weight/weight.go
@@ -1,5 +1,7 @@
-// Package weight stands in for the weight store and the origin. The bytes of
-// a version are a function of its seed and are made anew for each request.
+// Package weight is a stand-in for the weight store, which serves manifests, and
+// for the origin, which serves chunks. The bytes of a version are computed from
+// its seed for each request and aren't stored. The weights command of standin
+// runs both.
 package weight
 
 import (
@@ -14,15 +16,17 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Bounds of the store.
+// Limits of a catalog: the bytes of one version, which are all generated when
+// it is added, and the number of versions.
 const (
 	maxSize     = 1 << 34
 	maxVersions = 1024
 )
 
-// Spec asks for a version. ShareWith is the manifest digest of an earlier
-// version of the same size and chunk size, whose first Shared chunks the new
-// version starts with; Shared 0 means half of them.
+// Spec is the request for a new version. When ShareWith, the manifest digest of
+// an earlier version, is set, the new version has that version's first Shared
+// chunks as its own first chunks, which must have the same sizes; Shared 0
+// means half of the new version's chunks.
 type Spec struct {
 	Model     string       `json:"model"`
 	Version   string       `json:"version"`
@@ -33,14 +37,14 @@
 	Shared    int          `json:"shared"`
 }
 
-// source is what a chunk's bytes are made from.
+// source is the input from which a chunk's bytes are generated.
 type chunkSource struct {
 	Seed  uint64
 	Index int
 	Size  int64
 }
 
-// bytes makes the chunk's content.
+// generate returns the chunk's bytes.
 func (s chunkSource) generate() []byte {
 	var in [16]byte
 	binary.BigEndian.PutUint64(in[:8], s.Seed)
@@ -50,8 +54,8 @@
 	return b
 }
 
-// Catalog holds the versions: their manifests, and where each chunk's bytes
-// come from.
+// Catalog holds the versions that were added: their manifests and the source of
+// each chunk.
 type Catalog struct {
 	mu        sync.Mutex
 	manifests map[chunk.Digest][]byte
@@ -59,7 +63,8 @@
 	layouts   map[chunk.Digest][]chunkSource
 }
 
-// Add makes a version and returns its manifest's digest and its chunk count.
+// Add adds a version and returns its manifest's digest and its number of
+// chunks.
 func (s *Catalog) Add(spec Spec) (chunk.Digest, int, error) {
 	layout, err := s.planChunks(spec)
 	if err != nil {
@@ -76,7 +81,7 @@
 	return s.store(m, b, layout)
 }
 
-// layout lists the sources of the version's chunks in order.
+// planChunks returns the sources of the version's chunks in order.
 func (s *Catalog) planChunks(spec Spec) ([]chunkSource, error) {
 	if spec.Size <= 0 || spec.Size > maxSize {
 		return nil, errors.Newf("size %d: want 1 to %d bytes", spec.Size, int64(maxSize))
@@ -92,7 +97,7 @@
 	return out, s.reuseChunks(spec, out)
 }
 
-// share replaces the first chunks by those of an earlier version.
+// reuseChunks replaces the first sources by those of the version ShareWith.
 func (s *Catalog) reuseChunks(spec Spec, layout []chunkSource) error {
 	if spec.ShareWith == "" {
 		return nil
@@ -116,6 +121,7 @@
 	return nil
 }
 
+// buildManifest generates every chunk to compute the digests.
 func buildManifest(spec Spec, layout []chunkSource) chunk.Manifest {
 	m := chunk.Manifest{Model: spec.Model, Version: spec.Version, Size: spec.Size}
 	contentHash := sha256.New()
@@ -156,7 +162,7 @@
 	return b, ok
 }
 
-// Chunk makes the bytes of a chunk.
+// Chunk generates the bytes of a chunk.
 func (s *Catalog) Chunk(d chunk.Digest) ([]byte, bool) {
 	s.mu.Lock()
 	src, ok := s.sources[d]
--- a/standin/weight/weight_test.go
+++ b/standin/weight/weight_test.go
@@ -80,9 +80,9 @@
 	}
 }
 
-// A side sees a chunk with another digest, an answer that ends early, a
-// refusal or a whole chunk, in turn: the origin's faults hit each so manyth
-// request, and only the bytes that left are counted.
+// Each fault of the origin shows in the response: a chunk with another digest, a
+// body that ends early or an error status. A fault for every second request
+// leaves the first one alone. Only the bytes that were sent are counted.
 func TestOriginFaults(t *testing.T) {
 	s := &Catalog{}
 	_, m := mustAdd(t, s, Spec{Model: "m", Version: "1", Size: 8 * kib, ChunkSize: 8 * kib, Seed: 1})
@@ -118,8 +118,8 @@
 	}
 }
 
-// A side sees half of a chunk and then nothing: the transfer halts with the
-// connection open. Lifting the fault lets the rest through.
+// A stalled transfer sends half of the chunk and then nothing, with the
+// connection open. Once the fault is removed it sends the rest.
 func TestStalledTransfer(t *testing.T) {
 	s := &Catalog{}
 	_, m := mustAdd(t, s, Spec{Model: "m", Version: "1", Size: 8 * kib, ChunkSize: 8 * kib, Seed: 1})
@@ -150,8 +150,8 @@
 	}
 }
 
-// A client over the bound of transfers is told to come back, and the link is
-// left to those under way.
+// A request beyond MaxTransfers gets status 429 with Retry-After, so that it
+// takes no bandwidth from the transfers under way.
 func TestTooManyTransfers(t *testing.T) {
 	s := &Catalog{}
 	_, m := mustAdd(t, s, Spec{Model: "m", Version: "1", Size: kib, ChunkSize: kib, Seed: 1})
