--- a/standin/relay/control.go
+++ b/standin/relay/control.go
@@ -8,13 +8,13 @@
 	"hawthornferry/standin/serve"
 )
 
-// ConnectionCount is how many connections a control call met.
+// ConnectionCount is the number of connections that a control call affected.
 type ConnectionCount struct {
 	Connections int `json:"connections"`
 }
 
-// Handler is the control of the routes, each named by the address to which
-// it leads.
+// Handler returns the handler of the routes' control calls. A route is named by
+// its address To.
 func Handler(routes []*Route) http.Handler {
 	byTarget := map[string]*Route{}
 	for _, t := range routes {
--- a/standin/relay/forward.go
+++ b/standin/relay/forward.go
@@ -12,14 +12,15 @@
 	"hawthornferry/standin/serve"
 )
 
-// piece is some bytes and when they came.
+// segment is the bytes of one read and the time of the read.
 type segment struct {
 	bytes []byte
 	at    time.Time
 }
 
-// pass moves bytes one way until either end closes. A silent pipe goes on
-// reading and drops what it reads, so that it ends with its ends.
+// forward copies bytes in one direction until either end closes. On a silent
+// pipe it goes on reading and drops what it reads, so that it notices when an
+// end closes.
 func (t *Route) forward(ctx context.Context, p *pipe, from, to net.Conn) {
 	segments := make(chan segment, maxSegments)
 	var wg sync.WaitGroup
@@ -50,8 +51,8 @@
 	}
 }
 
-// write sends the pieces in order, each after the delay. After an error it
-// goes on taking pieces, so that the reader never waits for it.
+// write sends the segments in order, each after the delay. After an error it
+// goes on receiving segments, so that the reader isn't blocked.
 func (t *Route) write(ctx context.Context, p *pipe, to net.Conn, segments <-chan segment) {
 	for x := range segments {
 		if t.waitToForward(ctx, p, x, to == p.client) != nil || p.isSilent() {
@@ -63,7 +64,7 @@
 	}
 }
 
-// hold waits until a piece may go on.
+// waitToForward waits until the faults let the segment x pass.
 func (t *Route) waitToForward(ctx context.Context, p *pipe, x segment, reverse bool) error {
 	for {
 		f, changed := t.faults.Get()
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay passes TCP connections on to a process and brings about the
-// faults of a network: delay, connections that close, and connections that
-// go silent for good while new ones work.
+// Package relay forwards TCP connections to a process and injects network
+// faults: delay, connections that are closed or reset, and connections that go
+// silent, that is stay open and pass nothing any more, while new ones work. The
+// relay command of standin and the soak test use it.
 package relay
 
 import (
@@ -16,7 +17,9 @@
 	"hawthornferry/standin/serve"
 )
 
-// Bounds of a route.
+// Limits of a route: the open connections, the bytes of one read, the reads
+// that are buffered for each direction of a connection, and the time to connect
+// to To.
 const (
 	maxConns    = 1024
 	readSize    = 16 << 10
@@ -24,10 +27,10 @@
 	dialTimeout = 2 * time.Second
 )
 
-// Faults are the faults of a route; each control call replaces them all.
-// Delay holds every byte back, each way. Hold passes nothing on any
-// connection until the faults are replaced; what is sent meanwhile arrives
-// then. HoldThere and HoldBack do the same one way, towards To and back.
+// Faults are the faults of a route; each control call replaces them all. Delay
+// is added to every byte in both directions. Hold buffers what is sent on any
+// connection until the faults are replaced, and then delivers it. HoldThere and
+// HoldBack do the same in one direction: towards To, and from To to the client.
 type Faults struct {
 	Delay     serve.Span `json:"delay"`
 	Hold      bool       `json:"hold"`
@@ -35,13 +38,14 @@
 	HoldBack  bool       `json:"holdBack,omitempty"`
 }
 
-// holds reports whether bytes of one way are held back.
+// holds reports whether the bytes of a direction are held. reverse is the
+// direction from To to the client.
 func (f Faults) holds(reverse bool) bool {
 	return f.Hold || (f.HoldBack && reverse) || (f.HoldThere && !reverse)
 }
 
-// Route passes the connections that Listen accepts on to To. Set the exported
-// fields before Run.
+// Route forwards the connections that are accepted on Listen to To. Set the
+// exported fields before Run.
 type Route struct {
 	Listen netip.AddrPort
 	To     netip.AddrPort
@@ -52,7 +56,8 @@
 	pipes  map[*pipe]struct{}
 }
 
-// pipe is one connection through the route.
+// pipe is one forwarded connection: the one accepted from the client and the
+// one made to To.
 type pipe struct {
 	client   net.Conn
 	upstream net.Conn
@@ -66,8 +71,8 @@
 	p.upstream.Close()
 }
 
-// reset closes both ends with a reset: an end that was cut off must not take
-// what it got for the whole.
+// reset closes both connections with a TCP reset, since a receiver that saw an
+// ordinary end could take the bytes before it for the complete message.
 func (p *pipe) reset() {
 	for _, nc := range []net.Conn{p.client, p.upstream} {
 		if tc, ok := nc.(*net.TCPConn); ok {
@@ -77,7 +82,7 @@
 	p.close()
 }
 
-// Run accepts on nl until ctx ends.
+// Run accepts connections on nl until ctx ends, and then closes the open ones.
 func (t *Route) Run(ctx context.Context, nl net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { nl.Close() })
 	defer stop()
@@ -136,7 +141,7 @@
 	delete(t.pipes, p)
 }
 
-// open are the connections that are open now.
+// openPipes returns the connections that are open now.
 func (t *Route) openPipes() []*pipe {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,8 +161,8 @@
 	return len(open)
 }
 
-// Reset ends the open connections with a reset at both ends and returns how
-// many there were.
+// Reset closes the open connections with a TCP reset at both ends and returns
+// how many there were.
 func (t *Route) Reset() int {
 	open := t.openPipes()
 	for _, p := range open {
@@ -166,8 +171,9 @@
 	return len(open)
 }
 
-// Silence stops the open connections from passing anything for good. Neither
-// end is told; connections made later work. It returns how many there were.
+// Silence makes the open connections drop everything from now on, without
+// closing either end. Connections made later work. It returns how many there
+// were.
 func (t *Route) Silence() int {
 	open := t.openPipes()
 	for _, p := range open {
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -17,7 +17,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// echo sends every byte back.
+// startEcho starts a server that sends every byte back and returns its address.
 func startEcho(t *testing.T) netip.AddrPort {
 	t.Helper()
 	nl := listen(t)
@@ -96,9 +96,9 @@
 	return strings.TrimSpace(w.Body.String())
 }
 
-// A process sees no answer and no end on a connection that something between
-// the two ends has lost: what it sends vanishes, while a new connection to
-// the same address works.
+// A silent connection, as when a device between the two ends has lost its state,
+// gives no bytes and no end, and what is sent on it is dropped, while a new
+// connection to the same address works.
 func TestSilence(t *testing.T) {
 	r, h := startRoute(t)
 	old := dial(t, r)
@@ -123,7 +123,7 @@
 	}
 }
 
-// A process sees its open connection end, and a new one works.
+// An open connection is closed, and a new one works.
 func TestCut(t *testing.T) {
 	r, h := startRoute(t)
 	old := dial(t, r)
@@ -134,8 +134,8 @@
 	roundTrip(t, dial(t, r), "new")
 }
 
-// A process sees its answer late: nothing passes while the route holds, and
-// nothing is lost.
+// What is sent while the route holds arrives after the hold ends; nothing is
+// lost.
 func TestHold(t *testing.T) {
 	r, h := startRoute(t)
 	nc := dial(t, r)
@@ -153,8 +153,8 @@
 	}
 }
 
-// A process must not take what came before a reset for a whole answer: it sees
-// the reset, not an end.
+// The client gets ECONNRESET and not an end of stream, which would make the
+// bytes before it look like a complete response.
 func TestReset(t *testing.T) {
 	r, _ := startRoute(t)
 	nc := dial(t, r)
@@ -164,8 +164,8 @@
 	}
 }
 
-// One way is cut: what is sent arrives, and its answer only once the way back
-// is open again.
+// With HoldBack the request arrives at To, and the response reaches the client
+// only once the fault is removed.
 func TestHoldBack(t *testing.T) {
 	r, _ := startRoute(t)
 	nc := dial(t, r)
@@ -175,7 +175,7 @@
 	}
 	_ = nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := nc.Read(make([]byte, 4)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read while the way back is cut: %v", err)
+		t.Errorf("read while responses are held: %v", err)
 	}
 	r.SetFaults(Faults{})
 	_ = nc.SetReadDeadline(time.Now().Add(time.Second))
