--- a/standin/platf/config.go
+++ b/standin/platf/config.go
@@ -1,5 +1,6 @@
-// Package platf stands in for the platform's configuration service and its
-// list of VMs.
+// Package platf is a stand-in for two services of the platform: the
+// configuration service, which serves the environment documents, and the VM
+// list. The platform command of standin runs both.
 package platf
 
 import (
@@ -18,7 +19,9 @@
 	"hawthornferry/standin/serve"
 )
 
-// Bounds of the configuration service.
+// Limits of the configuration service: the bytes of a document, the longest
+// wait of a watch, the number of environments, and the revisions that are kept
+// of each.
 const (
 	MaxDocument     = 1 << 20
 	MaxWait         = 60 * time.Second
@@ -26,16 +29,18 @@
 	maxRevisions    = 256
 )
 
-// ConfigFaults are the faults of the configuration service. Serve pins the
-// answers to the newest revision that is not above it; 0 pins nothing.
+// ConfigFaults are the faults that the configuration service injects. Down makes
+// every read fail with status 503, also the watches under way. Serve makes it
+// serve the newest revision that is at most Serve, as a stale replica would; 0
+// serves the newest one. Delay is added to every read.
 type ConfigFaults struct {
 	Down  bool       `json:"down"`
 	Serve uint64     `json:"serve"`
 	Delay serve.Span `json:"delay"`
 }
 
-// Config is the configuration service. Set the exported fields before it
-// serves. Rate is in calls a second over all readers.
+// Config is the configuration service. Rate is the number of reads a second that
+// it answers over all readers. Set the exported fields before calling Handler.
 type Config struct {
 	Rate  float64
 	Clock clockwork.Clock
@@ -56,17 +61,18 @@
 	text     []byte
 }
 
-// Promotion is the answer to a promotion.
+// Promotion is the response to a promotion: the revision of the new document.
 type Promotion struct {
 	Revision uint64 `json:"revision"`
 }
 
-// CallCount is the count of calls that readers made.
+// CallCount is the number of reads since the start, refused ones included.
 type CallCount struct {
 	Calls uint64 `json:"calls"`
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the reads and of the control calls that promote
+// a document, read the number of calls and set the faults.
 func (c *Config) Handler() http.Handler {
 	c.initOnce.Do(c.init)
 	r := mux.NewRouter()
@@ -105,6 +111,8 @@
 	c.respond(w, r, after, wait)
 }
 
+// respond waits until there is a document with a revision above after and
+// writes it, or writes status 304 when wait has passed.
 func (c *Config) respond(w http.ResponseWriter, r *http.Request, after uint64, wait time.Duration) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
@@ -137,8 +145,9 @@
 	}
 }
 
-// newest returns the newest document of an environment that is not above
-// pin, and whether there is one at all.
+// newest returns the newest document of an environment with a revision of at
+// most pin, or of any revision when pin is 0, whether there is one, and a
+// channel that is closed at the next promotion.
 func (c *Config) newest(environment string, pin uint64) (document, bool, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,6 +174,8 @@
 	serve.JSON(w, http.StatusOK, Promotion{Revision: revision})
 }
 
+// store adds a document to the environment's history and returns its revision,
+// and false when there are too many environments.
 func (c *Config) store(environment string, text []byte) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,7 +211,8 @@
 	_, _ = w.Write(d.text)
 }
 
-// parseWatchQuery reads after and wait; without after the call answers at once.
+// parseWatchQuery returns the query parameters after and wait, the latter at
+// most MaxWait. Without after the call is answered at once.
 func parseWatchQuery(r *http.Request) (uint64, time.Duration, error) {
 	q := r.URL.Query()
 	if !q.Has("after") {
--- a/standin/platf/platf_test.go
+++ b/standin/platf/platf_test.go
@@ -54,9 +54,9 @@
 	check(t, "calls", response{Status: 200, Body: `{"calls":3}`}, request(h, http.MethodGet, "/control/calls", ""))
 }
 
-// A reader of a stale service sees an older document after a newer one: the
-// fault pins revision 1 when revision 2 was already read. A watch after
-// revision 2 then ends without a document until the fault is lifted.
+// A stale replica of the service returns an older document after a newer one:
+// the fault serves revision 1 although revision 2 exists. A watch for a newer
+// revision then ends without a document until the fault is removed.
 func TestStaleService(t *testing.T) {
 	h := newConfig(t, "one", "two")
 	request(h, http.MethodPost, "/control/faults", `{"serve":1}`)
@@ -66,8 +66,8 @@
 	check(t, "lifted", response{Status: 200, Revision: "2", Body: "two"}, request(h, http.MethodGet, documents+"?after=1&wait=1ms", ""))
 }
 
-// A reader that watches gets 503 the moment the service goes down, although
-// its call was accepted while the service was up.
+// A watch that was accepted before the service went down gets status 503 as soon
+// as it does.
 func TestDownEndsWatch(t *testing.T) {
 	h := newConfig(t, "one")
 	got := make(chan response)
@@ -98,8 +98,8 @@
 	}
 }
 
-// A reader of the VM list sees a VM that is already gone, and misses one that
-// is already there: each change shows only after the lag.
+// The list shows a VM that was added, and drops one that was removed, only after
+// the lag.
 func TestListShowsChangesAfterLag(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(0, 0))
 	h := (&List{Lag: 2 * time.Second, Clock: clock}).Handler()
--- a/standin/platf/vms.go
+++ b/standin/platf/vms.go
@@ -15,21 +15,22 @@
 	"hawthornferry/standin/serve"
 )
 
-// Bounds of the VM list.
+// Limits of the VM list: the VMs that it shows and the changes that it doesn't
+// show yet.
 const (
 	maxVMs     = 100_000
 	maxPending = 100_000
 )
 
-// ListFaults are the faults of the VM list. Lag, when above zero, replaces
-// the lag that the list started with.
+// ListFaults are the faults that the VM list injects. Down makes every read fail
+// with status 503. Lag, when above zero, replaces the Lag of the List.
 type ListFaults struct {
 	Down bool       `json:"down"`
 	Lag  serve.Span `json:"lag"`
 }
 
-// List is the VM list: it shows a change only after a lag. Set the exported
-// fields before it serves.
+// List is the VM list. It shows a change only after Lag. Set the exported fields
+// before calling Handler.
 type List struct {
 	Lag   time.Duration
 	Clock clockwork.Clock
@@ -41,14 +42,16 @@
 	pending []change
 }
 
-// change is a VM's new entry, or its removal, and when the list shows it.
+// change is a VM's new entry, or its removal when vm is nil. The list shows it
+// from due on.
 type change struct {
 	due  time.Time
 	name string
 	vm   *fleet.VM
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the list and of the control calls that add and
+// remove VMs and set the faults.
 func (l *List) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/vms", l.handleList).Methods(http.MethodGet)
@@ -66,7 +69,8 @@
 	serve.JSON(w, http.StatusOK, l.applyDue())
 }
 
-// visible applies the changes that are due and returns the VMs by name.
+// applyDue applies the changes that are due and returns the VMs that are shown,
+// sorted by name.
 func (l *List) applyDue() []fleet.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,6 +81,8 @@
 	return append([]fleet.VM{}, out...)
 }
 
+// apply carries out the change and returns true if it is due. A new VM beyond
+// maxVMs is dropped.
 func (l *List) apply(c change, now time.Time) bool {
 	if c.due.After(now) {
 		return false
@@ -108,6 +114,7 @@
 	l.schedule(w, change{name: mux.Vars(r)["name"]})
 }
 
+// schedule queues the change until the lag has passed and writes the response.
 func (l *List) schedule(w http.ResponseWriter, c change) {
 	faults, _ := l.faults.Get()
 	lag := cmp.Or(time.Duration(faults.Lag), l.Lag)
