--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -10,7 +10,8 @@
 	"hawthornferry/standin/serve"
 )
 
-// Bounds of the events.
+// Limits of the cache's events: how many are kept, and how many one response
+// has.
 const (
 	maxEvents  = 4096
 	eventsPage = 512
@@ -19,27 +20,27 @@
 // EventAction says what happened to a prefix.
 type EventAction string
 
-// The actions of an event.
+// The actions of an event: a prefix was added to the cache or removed from it.
 const (
 	EventStored  EventAction = "stored"
 	EventEvicted EventAction = "evicted"
 )
 
-// Event tells of one prefix in the cache. Seq grows; a number left out is a
-// lost event.
+// Event reports a change of one prefix in the cache. Seq grows by 1; a gap in the
+// numbers is a lost event.
 type Event struct {
 	Seq    uint64      `json:"seq"`
 	Action EventAction `json:"action"`
 	Prefix string      `json:"prefix"`
 }
 
-// Events is a page of events.
+// Events is the response to a request for events.
 type Events struct {
 	Events []Event `json:"events"`
 }
 
-// cache holds the prefixes of recent prompts, the least recently used one
-// going first. Its events show after lag, and every gap-th is lost.
+// prefixCache is an LRU cache of the prefixes of prompts. Its events are
+// delayed by lag, and every gap-th one is left out.
 type prefixCache struct {
 	maxBlocks int
 	lag       time.Duration
@@ -57,7 +58,8 @@
 	due time.Time
 }
 
-// use stores the prefixes of a prompt and returns how many were not cached.
+// touch marks the prefixes of a prompt as used, adds the missing ones and returns
+// how many were missing.
 func (c *prefixCache) touch(prefixes []string, now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,7 +80,8 @@
 	return missed
 }
 
-// clear drops the cache, whose content belongs to one version.
+// clear empties the cache when another version is served, since cached prefixes
+// are valid for one version only.
 func (c *prefixCache) clear(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +107,8 @@
 	c.events = c.events[max(0, len(c.events)-maxEvents):]
 }
 
-// after returns the events above seq that are due.
+// eventsAfter returns the events with a number above seq that are due, at most
+// eventsPage of them.
 func (c *prefixCache) eventsAfter(seq uint64, now time.Time) []Event {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -134,4 +138,5 @@
 	serve.JSON(w, http.StatusOK, Events{Events: e.cache.eventsAfter(after, e.Clock.Now())})
 }
 
+// isNth reports whether n is a multiple of each. It is false when each is 0.
 func isNth(n, each uint64) bool { return each > 0 && n%each == 0 }
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -12,27 +12,29 @@
 	"hawthornferry/standin/serve"
 )
 
-// Bounds of a completion.
+// The number of tokens of a request that sets no max_tokens, and the largest
+// max_tokens.
 const (
 	defaultTokens = 16
 	maxTokens     = 1 << 16
 )
 
-// The headers of a chat.
+// The headers of a chat request and its response.
 const (
 	headerManifest = "X-Manifest"
 	headerResume   = "X-Resume-From"
 	headerPriority = "X-Priority"
 )
 
-// priorityBatch marks a generation that waits behind interactive ones.
+// priorityBatch is the X-Priority of a request that is queued behind all
+// interactive ones.
 const priorityBatch = "batch"
 
-// queueRetry is what a caller is asked to wait when the queue is full.
+// queueRetry is sent as Retry-After when the queue is full.
 const queueRetry = time.Second
 
-// Request is a chat completion request; other fields of the usual form change
-// nothing here.
+// Request is a chat completion request. Other fields of the OpenAI form are
+// ignored.
 type Request struct {
 	Model     string           `json:"model"`
 	Messages  []expect.Message `json:"messages"`
@@ -40,7 +42,7 @@
 	MaxTokens int              `json:"max_tokens"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first field with an invalid value.
 func (q Request) Check() error {
 	if len(q.Messages) == 0 {
 		return errors.New("messages are empty")
@@ -51,7 +53,8 @@
 	return nil
 }
 
-// generation is one answer under way.
+// generation is one answer that is being generated: the tokens from up to, and
+// without, tokens.
 type generation struct {
 	request  Request
 	manifest chunk.Digest
@@ -118,8 +121,9 @@
 	return q, from, nil
 }
 
-// served returns the version in service. A generation keeps the version that
-// it began with to its end.
+// servingManifest returns the version that the engine serves. It returns false
+// when there is none or a load is in its SwitchTime. A generation keeps to the
+// version with which it began.
 func (e *Engine) servingManifest() (chunk.Digest, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -135,13 +139,14 @@
 	return g
 }
 
-// prefill takes time for each block of the prompt that is not cached.
+// prefill waits PrefillDelay for each block of the prompt that is not cached.
 func (e *Engine) prefill(r *http.Request, q Request) error {
 	missed := e.cache.touch(expect.Prefixes(expect.Prompt(q.Messages)), e.Clock.Now())
 	return serve.Sleep(r.Context(), e.Clock, time.Duration(missed)*e.PrefillDelay)
 }
 
-// step waits for the token at a position, with the faults that it meets.
+// waitForToken waits as long as the token at a position takes, or closes the
+// connection if CutAfter tokens were sent.
 func (e *Engine) waitForToken(w http.ResponseWriter, r *http.Request, g *generation, position int) error {
 	if g.faults.CutAfter != nil && position-g.from >= *g.faults.CutAfter {
 		serve.Cut(w)
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -12,16 +12,16 @@
 	"hawthornferry/standin/serve"
 )
 
-// The object names of the usual form.
+// The object names of the OpenAI chat completions API.
 const (
 	objectCompletion = "chat.completion"
 	objectChunk      = "chat.completion.chunk"
 )
 
-// finishStop ends an answer that is whole.
+// finishStop is the finish reason of a complete answer.
 const finishStop = "stop"
 
-// Delta is the text that a chunk of a stream adds.
+// Delta is the text that a chunk adds to the answer.
 type Delta struct {
 	Content string `json:"content,omitempty"`
 }
@@ -34,8 +34,8 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Chunk is one event of a stream. Position is the position of its token; the
-// last chunk has no token, and its position is the count of tokens.
+// Chunk is one event of a streamed answer. Position is the position of its
+// token. The last chunk has no token, and its Position is the number of tokens.
 type Chunk struct {
 	ID       string        `json:"id"`
 	Object   string        `json:"object"`
@@ -45,19 +45,19 @@
 	Choices  []ChunkChoice `json:"choices"`
 }
 
-// Choice is the one choice of a whole answer.
+// Choice is the one choice of an answer that is not streamed.
 type Choice struct {
 	Index        int            `json:"index"`
 	Message      expect.Message `json:"message"`
 	FinishReason string         `json:"finish_reason"`
 }
 
-// Usage counts the tokens of a whole answer.
+// Usage is the number of tokens of an answer that is not streamed.
 type Usage struct {
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// Completion is a whole answer.
+// Completion is an answer that is not streamed.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -116,7 +116,7 @@
 	_, _ = fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// send writes one event and flushes it to the caller.
+// writeEvent writes one event of a stream and flushes it.
 func writeEvent(w http.ResponseWriter, c Chunk) error {
 	b, err := json.Marshal(c)
 	if err != nil {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,6 +1,8 @@
-// Package engine stands in for a model engine: it stages chunks, takes orders
-// to load a version, and streams chat completions whose tokens are a function
-// of version, prompt and position.
+// Package engine is a stand-in for a model engine: it stages chunks, accepts
+// orders to load a version, and answers chat completions whose tokens depend
+// only on the version, the prompt and the position, as package expect computes
+// them. The engine command of standin runs it; package caller uses its request
+// and response types.
 package engine
 
 import (
@@ -16,27 +18,30 @@
 	"hawthornferry/standin/serve"
 )
 
-// Engine is one model engine. Set the exported fields before it serves.
+// Engine is one model engine. Set the exported fields before calling Handler.
 type Engine struct {
+	// Boot identifies this run of the engine. Fencing says whether an order
+	// whose number is not above the last one's is refused.
 	Boot    string
 	Fencing envdoc.Fencing
-	// ChunkPool holds the staged bytes; engines of one process may share it.
+	// Pool holds the staged bytes; the engines of one process may share it.
 	Pool *ChunkPool
-	// LoadTime is how long a load takes, SwitchTime the moment at its end in
-	// which the engine answers 503.
+	// LoadTime is how long a load takes, SwitchTime how long the engine answers
+	// 503 after that before it serves the new version.
 	LoadTime   time.Duration
 	SwitchTime time.Duration
-	// TokenDelay is the time for each token, PrefillDelay for each block of
-	// the prompt that is not cached.
+	// TokenDelay is the time that each token takes, PrefillDelay the time for
+	// each block of the prompt that is not cached.
 	TokenDelay   time.Duration
 	PrefillDelay time.Duration
-	// Capacity is how many generations run at once, MaxQueue how many wait.
+	// Capacity is the number of concurrent generations, MaxQueue the number of
+	// those that may wait.
 	Capacity int
 	MaxQueue int
-	// ReportLag is how old the load in the state may be.
+	// ReportLag is the greatest age of the running and queued counts in State.
 	ReportLag time.Duration
-	// CacheBlocks bounds the prefix cache, EventLag delays its events and
-	// every EventGap-th one is lost; 0 loses none.
+	// CacheBlocks is the size of the prefix cache. Its events are delayed by
+	// EventLag, and every EventGap-th one is left out; 0 leaves out none.
 	CacheBlocks int
 	EventLag    time.Duration
 	EventGap    uint64
@@ -52,16 +57,16 @@
 	serving    chunk.Manifest
 	manifest   chunk.Digest
 	loading    chunk.Digest
-	switching  int // loads that are in their switch
+	switching  int // number of loads within their SwitchTime
 	lastOrder  uint64
 	lastError  string
-	newestLoad int // number of the newest load, so that an older one gives up
+	newestLoad int // counts the loads; one with a lower number is superseded
 	refused    int
 	loads      []Load
 }
 
-// State is the engine's account of itself. LastError says why the newest load
-// failed, empty when none did.
+// State is the response to a state request. LastError says why the newest load
+// failed; it is empty when that load didn't fail.
 type State struct {
 	Boot      string       `json:"boot"`
 	Model     string       `json:"model"`
@@ -75,7 +80,8 @@
 	LastError string       `json:"lastError,omitempty"`
 }
 
-// Handler returns the HTTP interface.
+// Handler returns the handler of the engine's requests and of the control calls
+// that set the faults and list the loads.
 func (e *Engine) Handler() http.Handler {
 	e.slots.capacity = e.Capacity
 	e.slots.maxQueue = e.MaxQueue
@@ -96,7 +102,7 @@
 	return r
 }
 
-// work holds a request back while the engine is paused or silent.
+// waitWhilePaused delays a request while the engine is paused or silent.
 func (e *Engine) waitWhilePaused(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if e.faults.waitWhilePaused(r.Context(), e.Clock) != nil {
@@ -124,7 +130,8 @@
 	})
 }
 
-// report is a load reading that is renewed only when it is older than a lag.
+// loadReport holds the running and queued counts, which are read anew only when
+// they are at least as old as a lag.
 type loadReport struct {
 	mu      sync.Mutex
 	at      time.Time
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -19,7 +19,7 @@
 	"hawthornferry/standin/expect"
 )
 
-// bench is an engine behind a server, and two versions for it.
+// fixture is an engine behind a test server, and two versions for it.
 type fixture struct {
 	t      *testing.T
 	engine *Engine
@@ -114,7 +114,7 @@
 	return resp.StatusCode
 }
 
-// settle waits until no load runs and returns the state.
+// waitLoaded waits until no load runs and returns the state.
 func (b *fixture) waitLoaded() State {
 	b.t.Helper()
 	for {
@@ -181,9 +181,9 @@
 	check(t, "resumed", b.one.answer().Token(3), rest)
 }
 
-// A side that sends an order with an old number, such as one that slept, is
-// refused by an engine that checks numbers. One that ignores them loads the
-// old version again: the order's sender has to prevent that.
+// An order with an old number, for example of a side that was suspended, is
+// refused by an engine that checks numbers. An engine that ignores them loads
+// the old version again, which the sender of the order has to prevent.
 func TestOldOrder(t *testing.T) {
 	tests := []struct {
 		fencing envdoc.Fencing
@@ -204,9 +204,9 @@
 	}
 }
 
-// A load of weights of which one chunk was corrupted on its way ends in a
-// failure that the state tells, and callers go on getting answers of the
-// version before: the engine verifies the whole before it switches.
+// A load with a chunk that was corrupted in transfer fails, the state has the
+// error, and the previous version is still served, since the engine verifies
+// the content digest before it switches.
 func TestCorruptedWeightsAreNotServed(t *testing.T) {
 	b := newFixture(t, nil)
 	b.load(1, b.one)
@@ -220,8 +220,8 @@
 	check(t, "loads", []LoadOutcome{LoadDone, LoadFailed}, outcomes(b.engine))
 }
 
-// A version that is replaced while it loads is never served: the later order
-// takes over, and the earlier load ends as superseded.
+// A version is not served when a later order is accepted while it loads; its load
+// ends as superseded.
 func TestSupersededLoad(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	b := newFixture(t, func(e *Engine) { e.Clock, e.LoadTime = clock, time.Second })
@@ -250,8 +250,9 @@
 	return out
 }
 
-// A caller sees its stream break off after two tokens, without a finish and
-// without [DONE]: the connection closes. The next stream is whole.
+// With cutAfter 2 and times 1 the first stream's connection closes after two
+// tokens, without a finish reason and without [DONE], and the next stream is
+// complete.
 func TestCutStream(t *testing.T) {
 	b := newFixture(t, nil)
 	b.load(1, b.one)
@@ -271,8 +272,8 @@
 	check(t, "streams", []string{"token token cut", "token token token token finish done "}, got)
 }
 
-// A request to a silent engine gets no answer and no error: its connection
-// stays open. It goes on once the fault is lifted.
+// A request to a silent engine gets no answer and no error, and its connection
+// stays open. It is answered once the fault is removed.
 func TestSilent(t *testing.T) {
 	b := newFixture(t, nil)
 	b.load(1, b.one)
@@ -291,9 +292,8 @@
 	check(t, "answer", b.one.answer().Text(4), <-got)
 }
 
-// Callers over the engine's capacity wait, and over its queue are refused
-// with Retry-After; an interactive call goes before a batch call that came
-// earlier.
+// Generations beyond the capacity wait, those beyond the queue get errFull, and
+// an interactive one gets a slot before a batch one that came earlier.
 func TestSlots(t *testing.T) {
 	s := &generationSlots{capacity: 1, maxQueue: 2}
 	if err := s.acquire(t.Context(), false); err != nil {
@@ -322,9 +322,8 @@
 	check(t, "order", []string{"interactive", "batch"}, []string{first, <-turns})
 }
 
-// Readers of the cache's events learn of a prefix late and miss some: an
-// event shows after the lag, and every third is lost, which the sequence
-// numbers tell.
+// An event of the cache is returned only after the lag, and every third one is
+// left out, which shows as a gap in the sequence numbers.
 func TestCacheEvents(t *testing.T) {
 	now := time.Unix(0, 0)
 	c := &prefixCache{maxBlocks: 2, lag: time.Second, gap: 3}
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -11,12 +11,12 @@
 	"hawthornferry/standin/serve"
 )
 
-// FaultSettings are the faults of an engine; each control call replaces them all.
-// Pause holds every request back for a while, Silent until the faults are
-// replaced; connections stay open meanwhile. TokenDelay replaces the time for
-// each token. Status answers every chat. CutAfter closes the connection after
-// that many tokens. Times bounds how many chats meet Status or CutAfter; 0 is
-// every one.
+// FaultSettings are the faults that an engine injects; each control call replaces
+// them all. Pause delays every request until that time has passed, Silent until
+// the faults are replaced; connections stay open meanwhile. TokenDelay replaces
+// the engine's own. Status is returned for a chat. CutAfter closes a chat's
+// connection after that many tokens. Times is how many chats get Status or
+// CutAfter; 0 is every chat.
 type FaultSettings struct {
 	Pause      serve.Span `json:"pause"`
 	TokenDelay serve.Span `json:"tokenDelay"`
@@ -26,7 +26,8 @@
 	Times      int        `json:"times"`
 }
 
-// faultState holds the faults in force.
+// faultState holds the current faults, the time at which a pause ends and the
+// number of chats that counted towards Times.
 type faultState struct {
 	settings     serve.Observable[FaultSettings]
 	mu           sync.Mutex
@@ -48,7 +49,7 @@
 	return f.pauseEnd
 }
 
-// gate waits while the engine is paused or silent.
+// waitWhilePaused waits while the engine is paused or silent.
 func (f *faultState) waitWhilePaused(ctx context.Context, clock clockwork.Clock) error {
 	for {
 		s, changed := f.settings.Get()
@@ -78,7 +79,8 @@
 	}
 }
 
-// hit returns the faults that a chat meets.
+// nextForChat returns the faults for the next chat, and counts the chats that get
+// a fault limited by Times.
 func (f *faultState) nextForChat() FaultSettings {
 	s, _ := f.settings.Get()
 	if s.Status == 0 && s.CutAfter == nil {
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -14,13 +14,13 @@
 	"hawthornferry/standin/serve"
 )
 
-// maxLoads bounds the list of past loads.
+// maxLoads is the number of loads that are listed; older ones are dropped.
 const maxLoads = 1024
 
-// Action is what an order asks for.
+// Action is the action that an order requests.
 type Action string
 
-// ActionLoad asks the engine to serve a version.
+// ActionLoad requests that the engine load a version and serve it.
 const ActionLoad Action = "load"
 
 // Order is an order to the engine. Body is the manifest whose canonical bytes
@@ -32,7 +32,8 @@
 	Body     chunk.Manifest `json:"body"`
 }
 
-// OrderConflict is the answer to an order with an old number.
+// OrderConflict is the response to an order that is refused because its number
+// is not above LastOrder.
 type OrderConflict struct {
 	LastOrder uint64 `json:"lastOrder"`
 }
@@ -40,7 +41,8 @@
 // LoadOutcome says how a load ended.
 type LoadOutcome string
 
-// The outcomes of a load. A superseded load gave way to a later order.
+// The outcomes of a load. A superseded load was dropped because a later order was
+// accepted before it began to switch.
 const (
 	LoadRunning    LoadOutcome = "running"
 	LoadDone       LoadOutcome = "done"
@@ -48,7 +50,7 @@
 	LoadSuperseded LoadOutcome = "superseded"
 )
 
-// Load is one order that the engine took.
+// Load is one order that the engine accepted. Reason says why it failed.
 type Load struct {
 	Number   uint64       `json:"number"`
 	Manifest chunk.Digest `json:"manifest"`
@@ -56,14 +58,14 @@
 	Reason   string       `json:"reason,omitempty"`
 }
 
-// Loads lists the orders that the engine took, the oldest first. Refused
-// counts those that it refused for an old number.
+// Loads lists the orders that the engine accepted, the oldest first. Refused is
+// the number of orders that it refused with an OrderConflict.
 type Loads struct {
 	Loads   []Load `json:"loads"`
 	Refused int    `json:"refused"`
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first field that is invalid.
 func (o Order) Check() error {
 	if o.Action != ActionLoad {
 		return errors.Newf("order: unknown action %q", o.Action)
@@ -104,8 +106,9 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// hold returns the bytes of every chunk, or an error naming one that is not
-// staged. A chunk deleted later stays with the load that began before.
+// stagedChunks returns the bytes of every chunk, or an error that names one that
+// is not staged. A load keeps the bytes of a chunk that is deleted while it
+// runs.
 func (e *Engine) stagedChunks(m chunk.Manifest) ([][]byte, error) {
 	out := make([][]byte, 0, len(m.Chunks))
 	for _, c := range m.Chunks {
@@ -118,7 +121,9 @@
 	return out, nil
 }
 
-// accept records the order unless its number is old and the engine checks.
+// recordOrder accepts the order and returns the number n of its load. It returns
+// false when the engine checks order numbers and o.Number is not above the last
+// order's.
 func (e *Engine) recordOrder(o Order) (last uint64, n int, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,8 +139,8 @@
 	return e.lastOrder, e.newestLoad, true
 }
 
-// load takes LoadTime, verifies the whole and switches to it, unless a later
-// order came meanwhile.
+// load waits LoadTime, verifies the content digest and switches to the version,
+// unless a later order was accepted in the meantime.
 func (e *Engine) load(n int, o Order, chunks [][]byte) {
 	ctx := context.Background()
 	_ = serve.Sleep(ctx, e.Clock, e.LoadTime)
@@ -172,8 +177,8 @@
 	return true
 }
 
-// finish records how load n ended. A load that was overtaken while it
-// switched still ends its switch.
+// finish records how load n ended. A load that was superseded within its
+// SwitchTime is served nevertheless, until the later load is done.
 func (e *Engine) finish(n int, o Order, out LoadOutcome, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/pool.go
+++ b/standin/engine/pool.go
@@ -6,7 +6,8 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// ChunkPool holds bytes once, however many engines of the process staged them.
+// ChunkPool holds the bytes of staged chunks by digest, with a reference count,
+// so that engines of one process that stage the same chunk hold it once.
 type ChunkPool struct {
 	mu    sync.Mutex
 	items map[chunk.Digest]*pooledChunk
@@ -17,7 +18,7 @@
 	refs  int
 }
 
-// hold keeps b and returns the digest of what it holds.
+// retain adds b, or a reference to it if it is there, and returns its digest.
 func (p *ChunkPool) retain(b []byte) chunk.Digest {
 	d := chunk.DigestOf(b)
 	p.mu.Lock()
@@ -34,6 +35,7 @@
 	return d
 }
 
+// release drops a reference and frees the bytes with the last one.
 func (p *ChunkPool) release(d chunk.Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/engine/slots.go
+++ b/standin/engine/slots.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errFull is returned when the queue has no room.
+// errFull is returned when MaxQueue generations are waiting.
 var errFull = errors.New("queue is full")
 
-// slots bounds how many generations run, with a bounded queue in which batch
-// generations wait behind interactive ones.
+// generationSlots limits the number of concurrent generations. Further ones wait
+// in a queue of limited length, batch generations behind interactive ones.
 type generationSlots struct {
 	capacity int
 	maxQueue int
@@ -22,7 +22,7 @@
 	batch       []chan struct{}
 }
 
-// acquire waits for a slot.
+// acquire waits for a slot. It returns errFull when the queue is full.
 func (s *generationSlots) acquire(ctx context.Context, batch bool) error {
 	s.mu.Lock()
 	if s.running < s.capacity {
@@ -50,7 +50,8 @@
 	}
 }
 
-// abandon leaves the queue, or gives the slot back when the turn had come.
+// abandon removes a waiter from the queue, or releases its slot if it was granted
+// in the meantime.
 func (s *generationSlots) abandon(granted chan struct{}) {
 	s.mu.Lock()
 	left := remove(&s.interactive, granted) || remove(&s.batch, granted)
@@ -70,7 +71,7 @@
 	return false
 }
 
-// release hands the slot to the next in the queue.
+// release passes the slot to the next waiter, if there is one.
 func (s *generationSlots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,6 +87,7 @@
 	*q = (*q)[1:]
 }
 
+// load returns the number of generations that run and that wait.
 func (s *generationSlots) load() (running, queued int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/engine/staging.go
+++ b/standin/engine/staging.go
@@ -13,18 +13,18 @@
 	"hawthornferry/standin/serve"
 )
 
-// maxStaged bounds the staging area.
+// maxStaged is the number of chunks that fit into the staging area.
 const maxStaged = 1 << 16
 
-// stage maps the name under which a chunk was put to the digest of the bytes
-// that came. The two differ for a chunk that was corrupted on its way: the
-// engine keeps it, and the load finds out.
+// stagingArea maps the digest under which a chunk was put to the digest of the
+// bytes that were received. They differ for a chunk that was corrupted in
+// transfer: the engine keeps it, and the load that uses it fails.
 type stagingArea struct {
 	mu    sync.Mutex
 	items map[chunk.Digest]chunk.Digest
 }
 
-// StagedChunks lists the chunks in the staging area.
+// StagedChunks is the list of the chunks in the staging area.
 type StagedChunks struct {
 	Chunks []chunk.Digest `json:"chunks"`
 }
@@ -36,8 +36,8 @@
 	return actual, ok
 }
 
-// put records a chunk and returns what it replaces, and false when the area
-// is full.
+// put records a chunk and returns the digest of the bytes that it replaces. It
+// returns false when the area is full.
 func (s *stagingArea) put(d, actual chunk.Digest) (chunk.Digest, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,8 +97,9 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// readChunk reads the body into a slice of its exact size when the client
-// tells it, since a grown slice would hold up to twice the memory.
+// readChunk reads the body. If there is a Content-Length it allocates exactly
+// that size, since a slice that grows while reading can take up to twice the
+// memory.
 func readChunk(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body := http.MaxBytesReader(w, r.Body, chunk.MaxChunkSize)
 	if r.ContentLength < 0 || r.ContentLength > chunk.MaxChunkSize {
