--- a/standin/caller/call.go
+++ b/standin/caller/call.go
@@ -13,18 +13,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Outcome is what the caller was told of its call.
+// Outcome is the outcome of a call as the caller knows it.
 type Outcome string
 
-// The outcomes. Done is told by a whole answer, NotRun and Unknown by the
-// outcome field of a problem; a call that ends without an answer is Unknown.
+// The outcomes. A complete answer means Done. The outcome field of an error body
+// says NotRun or Unknown. A call that was sent and got no answer is Unknown.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "notRun"
 	Unknown Outcome = "unknown"
 )
 
-// The headers of a call.
+// The headers of a call and its answer.
 const (
 	headerCustomer = "X-Customer"
 	headerTicket   = "X-Ticket"
@@ -32,14 +32,17 @@
 	headerManifest = "X-Manifest"
 )
 
-// Bounds of an answer and of the wait between attempts.
+// The largest answer that is read, and the longest and shortest wait between
+// attempts.
 const (
 	maxAnswer    = 16 << 20
 	maxRetryWait = 2 * time.Second
 	retryWait    = 100 * time.Millisecond
 )
 
-// call is one call with all its attempts.
+// call is one call with all its attempts. key is the key in the body of a
+// once-call, by which its executions are counted; ticket and idemKey make
+// another attempt of it safe.
 type call struct {
 	load     *LoadTest
 	kind     Kind
@@ -52,16 +55,17 @@
 	start    time.Time
 
 	attempts int
-	// unsure is set once an attempt ended in Unknown: a later attempt that
-	// could not be sent then leaves the call unknown, not unrun.
+	// maybeRan is set when the last attempt's outcome was Unknown. If the next
+	// one can't be sent, the call's outcome is still Unknown and not NotRun.
 	maybeRan   bool
 	firstToken time.Duration
 	result     result
 }
 
-// result is what one attempt came to. Unsent is set when the request never
-// left. Fault says why an answer that looked
-// complete was not whole, or why there was none.
+// result is the result of one attempt. notSent is set when no connection could be
+// made, so that nothing was sent. notWhole is set for an answer that looked
+// complete and was wrong, cut for one that ended early. fault says why the
+// answer was wrong, or why there was none.
 type result struct {
 	outcome    Outcome
 	notSent    bool
@@ -73,7 +77,7 @@
 	fault      string
 }
 
-// do makes attempts until one is final.
+// run makes attempts until one is final or there were Attempts of them.
 func (c *call) run() {
 	for c.attempts < c.load.Attempts {
 		c.attempts++
@@ -86,8 +90,9 @@
 	}
 }
 
-// settle fits the attempt's result to those before it. A ticket or key whose
-// call will never run is given up, so that the next attempt takes a new one.
+// updateState combines the attempt's result with the one before. After NotRun,
+// the call with this ticket or idempotency key won't be executed any more, so
+// that the next attempt needs a new one.
 func (c *call) updateState() {
 	if c.result.notSent && c.maybeRan {
 		c.result.outcome = Unknown
@@ -114,9 +119,10 @@
 	}
 }
 
-// final reports whether the outcome settles the call. A call that did not run
-// may be made again. One of which the outcome is unknown may be made again
-// only when it can do no harm: not a once-call without a ticket or a key.
+// isFinal reports whether there is no further attempt. A call that was not
+// executed may be repeated. One with an unknown outcome may be repeated only if
+// a second execution does no harm or is prevented: a lookup, or a once-call with
+// a ticket or an idempotency key.
 func (c *call) isFinal() bool {
 	switch c.result.outcome {
 	case Done:
@@ -133,10 +139,12 @@
 	<-c.load.Clock.After(wait)
 }
 
-// route numbers the attempt, so that the next one goes to another address.
+// attemptIndex selects the address of the attempt. It differs between attempts,
+// so that the next one goes to another address.
 func (c *call) attemptIndex() uint64 { return c.serial + uint64(c.attempts) }
 
-// send makes a request; the caller closes the body of the response.
+// send sends a request with the headers of the call. The response's body has to
+// be closed.
 func (c *call) send(ctx context.Context, method, url string, body any) (*http.Response, error) {
 	var r io.Reader
 	if body != nil {
@@ -163,8 +171,8 @@
 	return c.load.client.Do(req)
 }
 
-// lost is the result of a request without an answer. A connection that could
-// not be made carried nothing, so that the call did not run.
+// requestFailed is the result of a request without a response. If no connection
+// could be made, nothing was sent and the call was not executed.
 func requestFailed(err error) result {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -173,13 +181,13 @@
 	return result{outcome: Unknown, fault: "lost"}
 }
 
-// problem is the body of a refusal.
+// problem is the part of an error body that is read.
 type problem struct {
 	Outcome Outcome `json:"outcome"`
 }
 
-// refused reads a response other than 200. A refusal that tells no outcome
-// leaves it unknown.
+// readProblem returns the result of a response with a status other than 200. The
+// outcome is Unknown if the body names none.
 func readProblem(resp *http.Response) result {
 	res := result{outcome: Unknown, status: resp.StatusCode, fault: "status " + strconv.Itoa(resp.StatusCode)}
 	if s, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
@@ -193,13 +201,14 @@
 	return res
 }
 
-// partial is the result of an answer that broke off in the caller's sight.
+// truncated is the result of an answer that ended early, which the caller could
+// see.
 func truncated(status int) result {
 	return result{outcome: Unknown, status: status, cut: true, fault: "cut"}
 }
 
-// wrong is the result of an answer that looked complete and was not the
-// caller's whole answer.
+// invalidAnswer is the result of an answer that looked complete and was not the
+// complete answer to the request.
 func invalidAnswer(status int, why string) result {
 	return result{outcome: Done, status: status, notWhole: true, fault: why}
 }
--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -23,7 +23,7 @@
 
 var versions = []chunk.Digest{chunk.DigestOf([]byte("one")), chunk.DigestOf([]byte("two"))}
 
-// address is where a test server listens.
+// address starts a test server and returns its address.
 func address(t *testing.T, h http.Handler) netip.AddrPort {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -42,7 +42,7 @@
 	return l
 }
 
-// one makes one call of a kind against the handler.
+// makeCall makes one call of a kind to a server with the handler.
 func makeCall(t *testing.T, k Kind, h http.HandlerFunc) result {
 	t.Helper()
 	l := newLoad(address(t, h))
@@ -51,7 +51,8 @@
 	return c.result
 }
 
-// streamHandler writes the given versions' tokens, one a position, and the end.
+// streamHandler streams at each position k a token of the version
+// tokenVersions[k], then a finish reason and [DONE] if they are asked for.
 func streamHandler(finish, done bool, tokenVersions ...chunk.Digest) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var q engine.Request
@@ -77,9 +78,9 @@
 	fmt.Fprintf(w, "data: %s\n\n", b)
 }
 
-// A caller has to tell four streams apart: a whole one, one that broke off in
-// its sight, one that was ended properly but mixes two versions, and one that
-// was ended properly but is too short. Only the last two count as not whole.
+// A stream that ended early, without a finish reason and [DONE] or with an error
+// event, counts as cut. One that ended properly but mixes two versions or is too
+// short, and one without a finish reason before [DONE], counts as not whole.
 func TestStreams(t *testing.T) {
 	a, b := versions[0], versions[1]
 	tests := []struct {
@@ -105,31 +106,31 @@
 	}
 }
 
-// A caller that is told "not run" may ask again without harm; one that is
-// told "unknown" may not, since the call may have run.
+// A once-call without a ticket or a key is repeated after NotRun, and not after
+// Unknown, since it may have been executed.
 func TestOnceIsRepeatedOnlyAfterNotRun(t *testing.T) {
 	tests := []struct {
-		told Outcome
-		want int
+		outcome Outcome
+		want    int
 	}{
-		{told: NotRun, want: 2},
-		{told: Unknown, want: 1},
+		{outcome: NotRun, want: 2},
+		{outcome: Unknown, want: 1},
 	}
 	for _, tc := range tests {
 		n := 0
 		got := makeCall(t, KindOnce, func(w http.ResponseWriter, _ *http.Request) {
 			n++
 			w.WriteHeader(http.StatusServiceUnavailable)
-			_ = json.NewEncoder(w).Encode(problem{Outcome: tc.told})
+			_ = json.NewEncoder(w).Encode(problem{Outcome: tc.outcome})
 		})
-		if diff := cmp.Diff([]any{tc.told, tc.want}, []any{got.outcome, n}); diff != "" {
-			t.Errorf("%s: outcome, attempts (-want +got):\n%s", tc.told, diff)
+		if diff := cmp.Diff([]any{tc.outcome, tc.want}, []any{got.outcome, n}); diff != "" {
+			t.Errorf("%s: outcome, attempts (-want +got):\n%s", tc.outcome, diff)
 		}
 	}
 }
 
-// A caller with a ticket hears nothing of its first attempt and asks again:
-// the second attempt carries the same ticket, so that the call runs once.
+// A once-call with a ticket whose first attempt got no answer is repeated with the
+// same ticket, by which the system prevents a second execution.
 func TestTicketIsSentAgain(t *testing.T) {
 	var mu sync.Mutex
 	var seen []string
@@ -161,29 +162,29 @@
 	}
 }
 
-// A caller that named its call by a key asks again under the same key after
-// an unknown outcome, and under a new one after "not run": the first key's
-// call never will run.
+// A once-call with an idempotency key is repeated with the same key after Unknown
+// and with a new one after NotRun, since the call with the first key won't be
+// executed any more.
 func TestKeyIsSentAgain(t *testing.T) {
 	tests := []struct {
-		told Outcome
-		want []string
+		outcome Outcome
+		want    []string
 	}{
-		{told: Unknown, want: []string{"-1-1", "-1-1"}},
-		{told: NotRun, want: []string{"-1-1", "-1-2"}},
+		{outcome: Unknown, want: []string{"-1-1", "-1-1"}},
+		{outcome: NotRun, want: []string{"-1-1", "-1-2"}},
 	}
 	for _, tc := range tests {
 		var seen []string
 		l := newLoad(address(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			seen = append(seen, r.Header.Get(headerKey))
 			w.WriteHeader(http.StatusServiceUnavailable)
-			_ = json.NewEncoder(w).Encode(problem{Outcome: tc.told})
+			_ = json.NewEncoder(w).Encode(problem{Outcome: tc.outcome})
 		})))
 		l.KeyEvery = 3
 		c := &call{load: l, kind: KindOnce, route: &l.Entries, serial: 1, customer: "a", start: l.Clock.Now()}
 		c.run()
 		if diff := cmp.Diff(tc.want, seen); diff != "" {
-			t.Errorf("%s: keys (-want +got):\n%s", tc.told, diff)
+			t.Errorf("%s: keys (-want +got):\n%s", tc.outcome, diff)
 		}
 	}
 }
@@ -204,8 +205,8 @@
 	}
 }
 
-// What callers were told is compared with what ran: a key that ran twice, one
-// told "not run" that ran, and one told "done" that did not, each show.
+// A key that was executed twice, one with outcome NotRun that was executed, and
+// one with outcome Done that was not are each counted.
 func TestCompare(t *testing.T) {
 	e := &onceOutcomes{reported: map[string]Outcome{"twice": Done, "ran": NotRun, "never": Done, "maybe": Unknown, "good": Done}}
 	got := e.compare(map[string]int{"twice": 2, "ran": 1, "maybe": 1, "good": 1})
@@ -215,8 +216,8 @@
 	}
 }
 
-// The whole tool against a plain stand-in: both lanes are used in turn, and
-// every key that was told to be done ran once.
+// A whole run against the stand-in for a plain service uses both routes in turn,
+// and every once-call is executed once.
 func TestRunUsesBothRoutes(t *testing.T) {
 	s := &plain.Service{Name: "booking", Clock: clockwork.NewRealClock()}
 	target := s.Handler()
@@ -241,7 +242,8 @@
 	}
 }
 
-// cancelWhenRowsDone ends the run once every row has a call that was done.
+// cancelWhenRowsDone returns a context that is cancelled once four rows have a
+// call that was done.
 func cancelWhenRowsDone(t *testing.T, l *LoadTest) (context.Context, context.CancelFunc) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/standin/caller/chat.go
+++ b/standin/caller/chat.go
@@ -13,8 +13,9 @@
 	"hawthornferry/standin/expect"
 )
 
-// prefaceLines is how long each customer's instructions are; they are the
-// same in all its prompts, so that an engine's prefix cache can hold them.
+// prefaceLines is the number of lines of a customer's system message. It is the
+// same in all prompts of the customer, so that an engine's prefix cache can hold
+// it.
 const prefaceLines = 12
 
 func (c *call) request(stream bool) engine.Request {
@@ -55,7 +56,9 @@
 	return c.checkAnswer(resp, q, a.Choices[0].Message.Content)
 }
 
-// judge checks the text of an answer that ended as a complete one does.
+// checkAnswer checks that the text of an answer that ended properly is the
+// complete answer of one of the expected versions, and of the one that the
+// response names.
 func (c *call) checkAnswer(resp *http.Response, q engine.Request, text string) result {
 	named := resp.Header.Get(headerManifest)
 	candidates := c.load.Manifests
--- a/standin/caller/count.go
+++ b/standin/caller/count.go
@@ -7,23 +7,25 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the latency histograms, in microseconds, and their precision.
+// The range of the latency histograms in microseconds, and their number of
+// significant digits.
 const (
 	minLatency = 1
 	maxLatency = 120_000_000
 	precision  = 3
 )
 
-// maxFaults bounds the distinct faults that are counted.
+// maxFaults is the number of distinct fault texts that are counted for a row;
+// further ones are left out.
 const maxFaults = 64
 
-// slot names one row of the counts.
+// rowKey identifies one row of the counts.
 type rowKey struct {
 	route string
 	kind  Kind
 }
 
-// tally is one row of the counts.
+// tally has the counts and latencies of one row.
 type tally struct {
 	started    int64
 	ended      int64
@@ -46,7 +48,7 @@
 	}
 }
 
-// counts are the counts of a run.
+// counts has the rows of a run, and the answers by version and by customer.
 type counts struct {
 	mu        sync.Mutex
 	rows      map[rowKey]*tally
@@ -111,7 +113,7 @@
 	}
 }
 
-// time records the latencies of a call that was done.
+// recordLatency records the latencies of a call that was done.
 func (t *tally) recordLatency(k *call, now time.Time) {
 	_ = t.whole.RecordValue(now.Sub(k.start).Microseconds())
 	if k.firstToken > 0 {
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -1,6 +1,7 @@
-// Package caller is a load of many simulated customers. Each answer is
-// checked to be whole, the caller's own and of one version, and each call's
-// outcome is counted as the caller was told it.
+// Package caller is a load test by simulated customers. It checks that each
+// answer is complete, belongs to its request and comes from one version, and
+// counts the outcome that the system reported for each call. The callers command
+// of standin runs it, and package demo reads its summary.
 package caller
 
 import (
@@ -20,11 +21,12 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Kind is what a worker asks for.
+// Kind is the kind of a call.
 type Kind string
 
-// The kinds of call: chat completions streamed and whole, lookups, and calls
-// that must run at most once.
+// The kinds of call: chat completions that are streamed and that are not,
+// lookups, which may be executed any number of times, and calls that must be
+// executed at most once (once-calls).
 const (
 	KindStream Kind = "stream"
 	KindWhole  Kind = "whole"
@@ -32,19 +34,24 @@
 	KindOnce   Kind = "once"
 )
 
-// Work is how many workers make calls of a kind, and how many calls a second
-// they make together; Rate 0 is as many as they can.
+// Workload is the number of concurrent workers that make calls of a kind, and the
+// number of calls a second that they make together; Rate 0 is no limit.
 type Workload struct {
 	Kind    Kind
 	Workers int
 	Rate    float64
 }
 
-// LoadTest is one run. Set the exported fields before Run. Direct is empty
-// unless the same calls go past the entries in every other Slice. TicketEvery
-// makes every so manyth once-call take a ticket, KeyEvery every so manyth carry
-// an idempotency key; 0 makes none. Replicas are
-// the stand-ins whose executions are read at the end.
+// LoadTest is one run of the load test. Set the exported fields before Run.
+//
+// Calls go over the route Entries. Unless Direct is empty, they go over Direct
+// in every other Slice, so that the two can be compared. Calls are begun for
+// Duration; each has at most Attempts attempts, each of at most Timeout. Every
+// TicketEvery-th once-call gets a ticket, and every KeyEvery-th one carries an
+// idempotency key; 0 is none. An answer must come from one of Manifests, or, if
+// there are none, from the one that its response names. Replicas are the
+// stand-ins for plain services whose executions are read at the end. Progress
+// gets a line every second unless it is nil.
 type LoadTest struct {
 	Entries       Route
 	Direct        Route
@@ -75,15 +82,15 @@
 	onceOutcomes onceOutcomes
 }
 
-// Bounds of a run: the idle connections to one address, and the calls, of
-// which each once-call is kept until the end.
+// Limits of a run: the idle connections to one address, and the calls, since the
+// outcome of each once-call is kept in memory until the end.
 const (
 	maxIdleConns = 256
 	maxCalls     = 4 << 20
 )
 
-// Run makes calls until Duration is over or ctx ends, lets the calls under
-// way finish and returns the counts.
+// Run begins calls until Duration is over or ctx ends, waits for the calls under
+// way and returns the summary.
 func (l *LoadTest) Run(ctx context.Context) (Summary, error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}
 	defer transport.CloseIdleConnections()
@@ -125,7 +132,8 @@
 	}
 }
 
-// turn waits for the rate and returns false once the run has stopped.
+// waitTurn waits until the rate allows the next call. It returns false once the
+// run has stopped or has made maxCalls calls.
 func (l *LoadTest) waitTurn(limiter *rate.Limiter, stopped <-chan struct{}) bool {
 	now := l.Clock.Now()
 	t := l.Clock.NewTimer(limiter.ReserveN(now, 1).DelayFrom(now))
@@ -143,8 +151,8 @@
 	}
 }
 
-// call makes one call and counts how it ended. It is not tied to the end of
-// the run, so that the calls under way get their answers.
+// call makes one call and counts its result. The end of the run doesn't cancel
+// it, so that the calls under way get their answers.
 func (l *LoadTest) call(k Kind) {
 	n := l.serial.Add(1)
 	c := &call{
@@ -161,7 +169,7 @@
 	l.onceOutcomes.record(c)
 }
 
-// lane is the lane of the current slice.
+// currentRoute returns the route of the current slice.
 func (l *LoadTest) currentRoute() *Route {
 	if l.Direct.Name == "" {
 		return &l.Entries
--- a/standin/caller/once.go
+++ b/standin/caller/once.go
@@ -12,7 +12,7 @@
 	"hawthornferry/standin/plain"
 )
 
-// endings holds what the callers were told of each once-call.
+// onceOutcomes holds the outcome of each once-call by its key.
 type onceOutcomes struct {
 	mu       sync.Mutex
 	reported map[string]Outcome
@@ -30,9 +30,10 @@
 	e.reported[c.key] = c.result.outcome
 }
 
-// Once compares what the callers were told with what ran. Duplicates are
-// keys that ran more than once, FalseNotRun keys that were told not to have
-// run and did, FalseDone keys that were told to be done and did not run.
+// OnceCheck compares the outcomes of the once-calls with their executions. Ran is
+// the number of keys that were executed, Duplicates of those that were executed
+// more than once. FalseNotRun is the number of keys with outcome NotRun that were
+// executed, FalseDone of keys with outcome Done that were not.
 type OnceCheck struct {
 	Calls       int `json:"calls"`
 	Ran         int `json:"ran"`
@@ -41,7 +42,8 @@
 	FalseDone   int `json:"falseDone"`
 }
 
-// compare judges the calls by the executions summed over all replicas.
+// compare checks the outcomes against the executions by key, summed over all
+// replicas.
 func (e *onceOutcomes) compare(ran map[string]int) OnceCheck {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -62,7 +64,7 @@
 	return o
 }
 
-// executions sums the runs of each key over the replicas.
+// executions reads the executions of each key and sums them over the replicas.
 func (l *LoadTest) executions() (map[string]int, error) {
 	sum := map[string]int{}
 	for _, a := range l.Replicas {
--- a/standin/caller/plain.go
+++ b/standin/caller/plain.go
@@ -11,12 +11,14 @@
 	"hawthornferry/standin/plain"
 )
 
-// onceBody is the body of a once-call: its key shows how often it ran.
+// onceBody is the body of a once-call. The plain stand-in counts the executions
+// of its key.
 type onceBody struct {
 	Key string `json:"key"`
 }
 
-// lookup asks for a path of its own, which the answer has to name.
+// lookup requests a path that no other call has, and checks that the answer names
+// it.
 func (c *call) lookup(ctx context.Context) result {
 	path := fmt.Sprintf("%s/%s-%d", c.load.LookupPath, c.load.runID, c.serial)
 	url := c.route.plainURL(c.attemptIndex(), c.load.LookupService, path)
@@ -55,7 +57,7 @@
 	return res
 }
 
-// readPlain reads the answer of a plain service.
+// readPlain reads the answer of the stand-in for a plain service.
 func readPlain(resp *http.Response) (plain.Answer, result) {
 	var a plain.Answer
 	if resp.StatusCode != http.StatusOK {
--- a/standin/caller/progress.go
+++ b/standin/caller/progress.go
@@ -8,7 +8,8 @@
 // progressInterval is the time between progress lines.
 const progressInterval = time.Second
 
-// progress writes a line every second until the run stops.
+// startProgress writes a line to Progress every progressInterval until the run
+// stops. The returned channel is closed after the last line.
 func (l *LoadTest) startProgress(stopped <-chan struct{}) <-chan struct{} {
 	ended := make(chan struct{})
 	go func() {
--- a/standin/caller/route.go
+++ b/standin/caller/route.go
@@ -5,28 +5,30 @@
 	"strings"
 )
 
-// Route is a way to the services: through the entries, or past them to one
-// stand-in. Chats and Plain are the addresses of each kind of service.
+// Route is a way to reach the services: through the entries, or directly at the
+// targets. Chats and Plain are the addresses for calls to model engines and to
+// plain services.
 type Route struct {
 	Name  string
 	Chats []netip.AddrPort
 	Plain []netip.AddrPort
-	// Direct is set when the addresses are the targets themselves.
+	// Direct is set when the addresses are those of the targets, which have
+	// other paths and accept no tickets or idempotency keys.
 	Direct bool
 }
 
-// The names of the lanes.
+// The names of the routes.
 const (
 	RouteEntry  = "entry"
 	RouteDirect = "direct"
 )
 
-// chatURL is where the n-th attempt of a chat goes.
+// chatURL returns the URL of a chat. n selects the address.
 func (l *Route) chatURL(n uint64) string {
 	return "http://" + addressFor(l.Chats, n).String() + "/v1/chat/completions"
 }
 
-// plainURL is where the n-th attempt of a call to a plain service goes.
+// plainURL returns the URL of a call to a plain service. n selects the address.
 func (l *Route) plainURL(n uint64, service, path string) string {
 	path = strings.TrimPrefix(path, "/")
 	base := "http://" + addressFor(l.Plain, n).String() + "/"
@@ -36,7 +38,8 @@
 	return base + "v1/services/" + service + "/" + path
 }
 
-// ticketURL is where a ticket is asked for.
+// ticketURL returns the URL at which an entry issues tickets. n selects the
+// address.
 func (l *Route) ticketURL(n uint64) string {
 	return "http://" + addressFor(l.Plain, n).String() + "/v1/tickets"
 }
@@ -45,14 +48,15 @@
 	return addresses[n%uint64(len(addresses))]
 }
 
-// Customer is a simulated customer and its weight among the others.
+// Customer is a simulated customer. Weight is its share of the calls, relative
+// to the other customers' weights.
 type Customer struct {
 	Name   string
 	Weight int
 }
 
-// pick returns the customer of the n-th call: a fixed order in which each
-// comes as often as its weight.
+// customerFor returns the customer of the n-th call. The customers come in a
+// fixed order in which each has Weight calls in a row.
 func (l *LoadTest) customerFor(n uint64) string {
 	total := 0
 	for _, c := range l.Customers {
--- a/standin/caller/stream.go
+++ b/standin/caller/stream.go
@@ -13,17 +13,20 @@
 	"hawthornferry/standin/engine"
 )
 
-// The framing of a stream.
+// The framing of a stream of server-sent events, and the longest line.
 const (
 	dataField  = "data:"
 	streamDone = "[DONE]"
 	maxLine    = 1 << 20
 )
 
-// errOutOfOrder is an event out of its place.
+// errOutOfOrder is returned for an event that can't be decoded or isn't the next
+// one.
 var errOutOfOrder = errors.New("position out of order")
 
-// answer is what a stream has brought so far.
+// streamState is the part of a stream that was read so far: the text, the next
+// position, whether there were a finish reason and [DONE], and the outcome if
+// the stream had an error event.
 type streamState struct {
 	text     strings.Builder
 	next     int
@@ -59,7 +62,7 @@
 	return c.checkAnswer(resp, q, a.text.String())
 }
 
-// readEvents reads until the end of the stream or the first fault.
+// readEvents reads until the end of the stream or the first error.
 func (c *call) readEvents(r io.Reader, a *streamState) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLine)
@@ -75,7 +78,7 @@
 	return s.Err()
 }
 
-// event takes one event: a chunk, a problem, or the end.
+// handleEvent handles one event: a chunk, an error with an outcome, or [DONE].
 func (c *call) handleEvent(data string, a *streamState) error {
 	if data == streamDone {
 		a.ended = true
--- a/standin/caller/summary.go
+++ b/standin/caller/summary.go
@@ -8,16 +8,17 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Latency is in microseconds.
+// Latency has the percentiles of a latency in microseconds.
 type Latency struct {
 	P50 int64 `json:"p50"`
 	P99 int64 `json:"p99"`
 	Max int64 `json:"max"`
 }
 
-// Row is what became of the calls of one kind in one lane. Cut counts answers
-// that broke off in the caller's sight; NotWhole those that looked complete
-// and were not.
+// Row counts the calls of one kind over one route by their result. Cut is the
+// number of answers that ended early, NotWhole of those that looked complete and
+// were wrong. Retried is the number of attempts after the first. Whole is the
+// latency of the calls that were done, FirstToken that of a stream's first token.
 type Row struct {
 	Route      string           `json:"lane"`
 	Kind       Kind             `json:"kind"`
@@ -34,8 +35,9 @@
 	Faults     map[string]int64 `json:"faults,omitempty"`
 }
 
-// Overhead is what the entries add to a call of one kind, in microseconds, and
-// the calls a second through them as a part of those past them.
+// Overhead compares the calls of one kind through the entries with direct ones:
+// the added latency in microseconds, and the calls a second as a fraction of the
+// direct ones.
 type Overhead struct {
 	Kind  Kind    `json:"kind"`
 	P50   int64   `json:"p50"`
@@ -43,8 +45,8 @@
 	Ratio float64 `json:"ratio"`
 }
 
-// Total sums the rows of the first lane, which goes through the entries
-// unless the run goes past them altogether.
+// Total sums the rows of the route LoadTest.Entries, which leads through the
+// entries unless all calls of the run are direct.
 type Total struct {
 	Done     int64 `json:"done"`
 	NotRun   int64 `json:"notRun"`
@@ -53,7 +55,7 @@
 	NotWhole int64 `json:"notWhole"`
 }
 
-// Summary is the account of a run.
+// Summary is the result of a run, which the callers command prints as JSON.
 type Summary struct {
 	Seconds   float64          `json:"seconds"`
 	Total     Total            `json:"total"`
@@ -64,7 +66,8 @@
 	Customers map[string]int64 `json:"customers"`
 }
 
-// Valid reports whether every outcome that must hold did.
+// Valid reports whether no answer was wrong, no once-call was executed twice and
+// no once-call's outcome was false.
 func (s Summary) Valid() bool {
 	return s.Total.NotWhole == 0 && s.Once.Duplicates == 0 && s.Once.FalseNotRun == 0 && s.Once.FalseDone == 0
 }
@@ -95,7 +98,7 @@
 	return s, nil
 }
 
-// share is how long the lane was in use.
+// routeTime returns how long calls were begun over the route.
 func (l *LoadTest) routeTime(route string, elapsed time.Duration) time.Duration {
 	if l.Direct.Name == "" {
 		return elapsed
@@ -148,7 +151,7 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Route, b.Route))
 }
 
-// added compares the lanes of each kind.
+// overheads compares the two routes for each kind of call.
 func overheads(rows []Row) []Overhead {
 	var out []Overhead
 	for _, e := range rows {
--- a/standin/caller/ticket.go
+++ b/standin/caller/ticket.go
@@ -8,12 +8,12 @@
 	"net/http"
 )
 
-// ticketRequest asks for a ticket for one call of a service.
+// ticketRequest is the request for a ticket for one call of a service.
 type ticketRequest struct {
 	Service string `json:"service"`
 }
 
-// ticketAnswer carries the ticket.
+// ticketAnswer is the response with the ticket.
 type ticketAnswer struct {
 	Ticket string `json:"ticket"`
 }
@@ -23,12 +23,13 @@
 	return every > 0 && c.serial%every == 0 && c.ticket == "" && !c.route.Direct
 }
 
-// keyRemainder is the remainder of the calls that carry a key, so that with the
-// same period for both a call carries a ticket or a key and not both.
+// keyRemainder is the remainder modulo KeyEvery of the serials whose calls carry
+// an idempotency key. Calls with a ticket have remainder 0 modulo TicketEvery, so
+// that with the same period no call is due for both.
 const keyRemainder = 1
 
-// assignKey gives the call an idempotency key of its own if it is its turn.
-// After a "not run" the attempts count makes it a new one.
+// assignKey gives the call an idempotency key if it is due for one. The key
+// contains the number of attempts, so that it is a new one after NotRun.
 func (c *call) assignKey() {
 	every := uint64(c.load.KeyEvery)
 	if every == 0 || c.serial%every != keyRemainder%every || c.ticket != "" || c.idemKey != "" || c.route.Direct {
@@ -37,8 +38,8 @@
 	c.idemKey = fmt.Sprintf("%s-%d", c.key, c.attempts)
 }
 
-// requestTicket takes a ticket. Without one the call has not run: nothing of it
-// was sent.
+// requestTicket gets a ticket from an entry. If that fails the outcome is NotRun,
+// since nothing of the call was sent.
 func (c *call) requestTicket(ctx context.Context) (result, bool) {
 	resp, err := c.send(ctx, http.MethodPost, c.route.ticketURL(c.attemptIndex()), ticketRequest{Service: c.load.OnceService})
 	if err != nil {
