--- a/standin/demo/demo_test.go
+++ b/standin/demo/demo_test.go
@@ -23,8 +23,8 @@
 	return filepath.Join("..", "..", "examples", deployment+".ini")
 }
 
-// Every process of both deployments gets settings that the system accepts,
-// and no two listen on the same address.
+// Every process of both deployments gets settings that the system's parser
+// accepts, and no two processes listen on the same address.
 func TestPlan(t *testing.T) {
 	tests := []struct {
 		deployment string
@@ -89,8 +89,8 @@
 	}
 }
 
-// The rendered document differs from the example in the version and digest
-// of the models alone, and is sound.
+// The written document can be parsed and differs from the example only in the
+// version and manifest of the model.
 func TestWriteDocument(t *testing.T) {
 	f, err := Plan(example("pindan"), Layout{Net: 20, Entries: 2})
 	if err != nil {
--- a/standin/demo/fleet.go
+++ b/standin/demo/fleet.go
@@ -1,6 +1,7 @@
-// Package demo plans and drives the demonstration: the fleet of a document,
-// the settings of its processes, the promotion of versions and the table of
-// outcomes. It starts no process; script/demo.sh does.
+// Package demo has the steps of the demonstration: it plans the processes for an
+// environment document, writes their settings, publishes and promotes versions,
+// and prints the table of results. It starts no process; script/demo.sh does,
+// and runs the steps as commands of standin.
 package demo
 
 import (
@@ -15,10 +16,10 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// Fleet is every process of a demonstration and where it listens. Document is
-// the path of the document that it was planned from. Relay takes the control
-// calls of the relay that leads to the sides, and is the zero address when
-// there is none.
+// Fleet is the plan of a demonstration: every process and the addresses on which
+// it listens. Document is the path of the environment document from which it was
+// planned. Relay is the control address of the relay that forwards connections
+// to the sides, and the zero address when there is no relay.
 type Fleet struct {
 	Environment string         `json:"environment"`
 	Document    string         `json:"document"`
@@ -39,10 +40,10 @@
 	Region  int64 `json:"region"`
 }
 
-// Node is one process of the system, an entry or a side with its target.
-// Listed is the address under which the platform lists it, its own or a
-// relay's that leads to it. Callers is an entry's address for them; Target, Kind, Fencing and
-// Model are a side's.
+// Node is one process of the system: an entry, or a side with its target. Listed
+// is the address that the platform's VM list has for it, either its own or that
+// of a relay's route to it. Callers, the address on which callers are served, is
+// set for an entry; Target, Kind, Fencing and Model are set for a side.
 type Node struct {
 	VM      fleet.VM           `json:"vm"`
 	Listed  netip.AddrPort     `json:"listed"`
@@ -54,7 +55,7 @@
 	Model   string             `json:"model,omitempty"`
 }
 
-// fleetFile is where the plan is kept in the demonstration's directory.
+// fleetFile is the file with the plan in the demonstration's directory.
 const fleetFile = "fleet.json"
 
 // LoadFleet reads the plan from the demonstration's directory.
@@ -64,17 +65,17 @@
 	return &f, err
 }
 
-// Engines are the sides whose target is a model engine.
+// Engines returns the sides whose target is a model engine.
 func (f *Fleet) Engines() []Node {
 	return f.filterSides(func(n Node) bool { return n.Kind == envdoc.KindEngine })
 }
 
-// Plain are the sides whose target is a plain service.
+// Plain returns the sides whose target is a plain service.
 func (f *Fleet) Plain() []Node {
 	return f.filterSides(func(n Node) bool { return n.Kind == envdoc.KindPlain })
 }
 
-// Service are the sides of a service.
+// Service returns the sides of a service.
 func (f *Fleet) Service(name string) []Node {
 	return f.filterSides(func(n Node) bool { return n.VM.Service == name })
 }
@@ -89,7 +90,7 @@
 	return out
 }
 
-// Nodes are all processes of the system.
+// Nodes returns all processes of the system, the sides first.
 func (f *Fleet) Nodes() []Node {
 	return append(append([]Node{}, f.Sides...), f.Entries...)
 }
--- a/standin/demo/http.go
+++ b/standin/demo/http.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of an exchange with a process. A connection that is refused is tried
-// again for a while, since the process may only just have been started.
+// Limits of a request. A request that gets no response is repeated after a pause,
+// since the process may only just have been started.
 const (
 	requestTimeout = 60 * time.Second
 	maxAttempts    = 50
@@ -21,8 +21,8 @@
 	maxAnswer      = 16 << 20
 )
 
-// exchange sends a body as JSON, or as it is when it is bytes, and reads the
-// JSON answer into out unless that is nil.
+// sendJSON sends body as JSON, or unchanged when it is a []byte, and decodes the
+// JSON response into out unless that is nil.
 func sendJSON(ctx context.Context, method string, to netip.AddrPort, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -51,6 +51,8 @@
 	return json.Unmarshal(answer, out)
 }
 
+// sendWithRetry sends a request until there is a response, at most maxAttempts
+// times.
 func sendWithRetry(ctx context.Context, method, url string, body []byte) (*http.Response, error) {
 	var last error
 	for range maxAttempts {
@@ -72,7 +74,8 @@
 	return nil, last
 }
 
-// ask is one short exchange that is not tried again.
+// getJSON sends one GET request without repeating it, and decodes the JSON
+// response into out unless that is nil.
 func getJSON(ctx context.Context, to netip.AddrPort, path string, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, getTimeout)
 	defer cancel()
@@ -94,5 +97,5 @@
 	return json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out)
 }
 
-// getTimeout bounds a short exchange.
+// getTimeout is the time that getJSON waits for the response.
 const getTimeout = 2 * time.Second
--- a/standin/demo/plan.go
+++ b/standin/demo/plan.go
@@ -11,7 +11,8 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// The ports of a demonstration. Processes differ by IP number.
+// The ports of a demonstration. Processes of one group have the same ports and
+// different IP addresses.
 const (
 	portConfig  = 6001
 	portVMList  = 6002
@@ -24,7 +25,7 @@
 	portRelay   = 7900
 )
 
-// The third number of the IP of each group of processes.
+// The third byte of the IP address of each group of processes.
 const (
 	groupPlatform = 0
 	groupEntry    = 1
@@ -33,26 +34,27 @@
 	groupRelay    = 4
 )
 
-// maxGroupSize bounds a group of processes.
+// maxGroupSize is the number of processes that a group may have.
 const maxGroupSize = 60
 
-// The origin's link carries four copies, and a machine's link two, in the
-// time in which a thin region link carries one.
+// The rates of the origin's link and of a machine's link, as multiples of the rate
+// of the slowest region link: the number of copies of a version that they carry
+// in the time in which that link carries one.
 const (
 	machineCopies = 2
 	originCopies  = 4
 )
 
-// Layout says how a fleet is laid out: the second number of its IP numbers,
-// 127.Net.x.y, the number of entries, which go in turn over the zones, and
-// whether the sides are reached through a relay.
+// Layout has the parameters of a plan: the second byte of all IP addresses,
+// 127.Net.x.y; the number of entries, which are spread over the zones in turn;
+// and whether the sides are reached through a relay.
 type Layout struct {
 	Net     int
 	Entries int
 	Relay   bool
 }
 
-// Check reports the first field that is out of its domain.
+// Check returns an error for the first field with an invalid value.
 func (l Layout) Check() error {
 	if l.Net < 0 || l.Net > 255 {
 		return errors.Newf("net %d: want 0 to 255", l.Net)
@@ -63,7 +65,7 @@
 	return nil
 }
 
-// Plan lays out the fleet of the document at path.
+// Plan plans the fleet for the environment document at path.
 func Plan(path string, l Layout) (*Fleet, error) {
 	if err := l.Check(); err != nil {
 		return nil, err
@@ -101,16 +103,19 @@
 	return f, nil
 }
 
+// planner makes the parts of a Fleet.
 type planner struct {
 	doc    *envdoc.Document
 	layout Layout
 }
 
+// address returns the address of the i-th process of a group.
 func (p planner) address(group, i int, port uint16) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(p.layout.Net), byte(group), byte(i + 1)}), port)
 }
 
-// links sets all links by the thinnest region link.
+// links returns the rates of all links, which follow from the slowest region
+// link.
 func (p planner) links() Links {
 	var slowest int64
 	for _, r := range p.doc.Regions {
@@ -138,7 +143,7 @@
 	}
 }
 
-// sides adds a side for each replica of the service.
+// sides appends a side for each replica of the service to out.
 func (p planner) sides(out []Node, s envdoc.Service) []Node {
 	n := 0
 	for _, replicas := range s.Replicas {
@@ -150,6 +155,8 @@
 	return out
 }
 
+// side returns the side of replica n of the service, which is the i-th side of
+// the fleet, both as numbered in names and addresses.
 func (p planner) side(i, n int, s envdoc.Service, zone string) Node {
 	z, _ := p.doc.ZoneByName(zone)
 	listed := p.address(groupSide, i, portPeers)
--- a/standin/demo/rollout.go
+++ b/standin/demo/rollout.go
@@ -19,9 +19,11 @@
 	"hawthornferry/standin/weight"
 )
 
-// Rollout is how a promotion went. Ready is set when every replica served and
-// every entry was ready. Bound is the least time in seconds that
-// the links allow: one copy over the thinnest link on every replica's way.
+// Rollout is the result of a promotion. Serving of Replicas engines served the
+// version at the end. Ready is set when all of them did and every entry was
+// ready. Seconds is the time that it took, and Bound the least time that the
+// links allow: that of one copy over the slowest link on the way to a replica.
+// OriginBytes is the number of chunk bytes that the origin sent meanwhile.
 type Rollout struct {
 	Version     Version `json:"version"`
 	Revision    uint64  `json:"revision"`
@@ -33,10 +35,11 @@
 	OriginBytes int64   `json:"originBytes"`
 }
 
-// Served reports whether every replica came to serve the version.
+// Served reports whether every replica served the version.
 func (r Rollout) Served() bool { return r.Serving == r.Replicas && r.Replicas > 0 }
 
-// Copies is how many copies of the version were drawn from the origin.
+// Copies returns the bytes that the origin sent as a number of copies of the
+// version.
 func (r Rollout) Copies() float64 {
 	if r.Version.Size == 0 {
 		return 0
@@ -44,7 +47,8 @@
 	return float64(r.OriginBytes) / float64(r.Version.Size)
 }
 
-// Watcher promotes a version and follows it. Set the fields before Run.
+// Watcher promotes a version and watches the replicas until they serve it. Set
+// the exported fields before Run.
 type Watcher struct {
 	Fleet *Fleet
 	Dir   string
@@ -57,14 +61,15 @@
 	originBefore int64
 }
 
-// The times between two looks at the replicas and between two lines.
+// The times between two queries of the replicas and between two progress lines.
 const (
 	pollInterval  = 200 * time.Millisecond
 	printInterval = time.Second
 )
 
-// Run promotes the version and returns once every replica serves it and every
-// entry is ready, or once Limit is over, which the result tells.
+// Run promotes the version and waits until every replica serves it and every
+// entry is ready, or until Limit has passed. Ready of the result tells the two
+// apart.
 func (w *Watcher) Run(ctx context.Context, number int) (*Rollout, error) {
 	v, err := LoadVersion(w.Dir, number)
 	if err != nil {
@@ -100,13 +105,14 @@
 	return p.Revision, errors.Wrap(err, "promote")
 }
 
+// minSeconds returns the Bound of the rollout.
 func (w *Watcher) minSeconds() float64 {
 	l := w.Fleet.Links
 	return float64(w.version.Size) / float64(min(l.Origin, l.Machine, l.Region))
 }
 
-// follow looks at the replicas until they all serve and the entries are
-// ready, or the limit is over.
+// waitServed queries the replicas until they all serve the version and the
+// entries are ready, or until Limit has passed, and updates r.
 func (w *Watcher) waitServed(ctx context.Context, r *Rollout) error {
 	line := w.start
 	for {
@@ -136,7 +142,8 @@
 	}
 }
 
-// sight is what one look at the replicas showed.
+// replicaStatus is the result of one query of all replicas. stagedChunks is the
+// number of chunks in all staging areas.
 type replicaStatus struct {
 	replicas     int
 	serving      int
@@ -197,7 +204,7 @@
 		r.Seconds, r.Version.Number, s.serving, s.replicas, strings.Join(zones, ", "), s.stagedChunks, r.Copies())
 }
 
-// ready reports whether every entry takes calls.
+// ready reports whether every entry's readiness check succeeds.
 func (w *Watcher) ready(ctx context.Context) bool {
 	for _, n := range w.Fleet.Entries {
 		if getJSON(ctx, n.Admin, "/readyz", nil) != nil {
--- a/standin/demo/silence.go
+++ b/standin/demo/silence.go
@@ -9,8 +9,8 @@
 	"hawthornferry/standin/relay"
 )
 
-// Silence makes the open connections to a side go silent for good and returns
-// how many there were.
+// Silence makes the relay drop everything on the connections to a side that are
+// open now, without closing them, and returns how many there were.
 func (f *Fleet) Silence(ctx context.Context, name string) (int, error) {
 	if !f.Relay.IsValid() {
 		return 0, errors.New("silence: the fleet has no relay")
--- a/standin/demo/table.go
+++ b/standin/demo/table.go
@@ -14,17 +14,18 @@
 	"hawthornferry/standin/caller"
 )
 
-// The files that the script writes: the callers' summary, that of the run
-// through the entries and past them in turn if there was one, and a line for each
-// reading of a process's resident memory: when, name, KiB.
+// The files that script/demo.sh writes: the summary of the callers, the summary
+// of the run that alternates between entries and direct calls, if there was one,
+// and the resident memory of the processes, a line for each reading with the
+// moment, the process's name and KiB.
 const (
 	callersFile  = "callers.json"
 	overheadFile = "overhead.json"
 	memoryFile   = "memory"
 )
 
-// Report is what a demonstration came to. Calm is set for a run without
-// faults, in which no call's outcome may be unknown.
+// Report has the results of a demonstration. NoFaults is set for a run without
+// injected faults, in which no call's outcome may be unknown.
 type Report struct {
 	Fleet    *Fleet
 	Rollout  Rollout
@@ -34,7 +35,8 @@
 	NoFaults bool
 }
 
-// MemoryReading is the resident memory of a process at a moment of the run.
+// MemoryReading is the resident memory of a process at a moment of the run, which
+// When names.
 type MemoryReading struct {
 	When string
 	Name string
@@ -80,12 +82,12 @@
 	return out, s.Err()
 }
 
-// Failures lists the outcomes that were missed.
+// Failures returns a text for each result that is not as required.
 func (r *Report) Failures() []string {
 	c := r.Callers
 	var out []string
-	check := func(missed bool, format string, args ...any) {
-		if missed {
+	check := func(failed bool, format string, args ...any) {
+		if failed {
 			out = append(out, fmt.Sprintf(format, args...))
 		}
 	}
@@ -103,7 +105,7 @@
 	return out
 }
 
-// Print writes the table.
+// Print writes the results as a table.
 func (r *Report) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	line := func(name, format string, args ...any) { fmt.Fprintf(w, name+"\t"+format+"\n", args...) }
@@ -143,7 +145,7 @@
 
 func millis(us int64) string { return fmt.Sprintf("%.1f ms", float64(us)/1000) }
 
-// memory is the greatest reading of a role at each moment.
+// memory returns the greatest reading of a role's processes at each moment.
 func (r *Report) memory(role string) string {
 	var moments []string
 	most := map[string]int64{}
--- a/standin/demo/version.go
+++ b/standin/demo/version.go
@@ -14,8 +14,9 @@
 	"hawthornferry/standin/weight"
 )
 
-// Version is one version of every model of the document, and the document
-// that names it.
+// Version is one version of every model of the environment document. Document is
+// the path of the document with this version, Manifests has the manifest digest
+// of each model, and Chunks is the number of chunks of one model's version.
 type Version struct {
 	Number    int                     `json:"number"`
 	Size      int64                   `json:"size"`
@@ -24,8 +25,8 @@
 	Chunks    int                     `json:"chunks"`
 }
 
-// Publish has the weight store make version number of every model with size
-// bytes, writes the document that names it, and registers the VMs.
+// Publish adds version number of every model, with size bytes, to the weight
+// store, writes the document with that version and registers the VMs.
 func (f *Fleet) Publish(ctx context.Context, dir string, number int, size, chunkSize int64) (*Version, error) {
 	v := &Version{
 		Number:    number,
@@ -57,7 +58,7 @@
 	return filepath.Join(dir, fmt.Sprintf("version-%d.json", number))
 }
 
-// LoadVersion reads what Publish wrote.
+// LoadVersion reads a version that Publish wrote.
 func LoadVersion(dir string, number int) (*Version, error) {
 	var v Version
 	err := readJSON(versionPath(dir, number), &v)
@@ -79,7 +80,7 @@
 
 func versionName(number int) string { return fmt.Sprintf("demo-%d", number) }
 
-// register puts every VM on the platform's list.
+// register adds every VM to the platform's VM list.
 func (f *Fleet) register(ctx context.Context) error {
 	for _, n := range f.Nodes() {
 		listed := n.VM
@@ -92,8 +93,8 @@
 	return nil
 }
 
-// render writes the document with the version's names and digests in place
-// of those that it was planned with.
+// writeDocument writes a copy of the fleet's document in which each model has the
+// version's name and manifest digest.
 func (f *Fleet) writeDocument(v *Version) error {
 	text, err := os.ReadFile(f.Document)
 	if err != nil {
@@ -108,7 +109,8 @@
 	return errors.Wrap(os.WriteFile(v.Document, []byte(strings.Join(out, "")), fileMode), "write document")
 }
 
-// modelAt is the model whose section the line is in, empty for none.
+// modelAt returns the model in whose section the line is, empty if it is in
+// another section. current is the result for the line before.
 func modelAt(line, current string) string {
 	section, ok := strings.CutPrefix(strings.TrimSpace(line), "[")
 	if !ok {
@@ -121,6 +123,8 @@
 	return strings.TrimSuffix(model, "]")
 }
 
+// replaceValue returns the line with the version's value if it sets the version
+// or the manifest of one of its models, and unchanged otherwise.
 func (v *Version) replaceValue(line, model string) string {
 	digest, ok := v.Manifests[model]
 	key, _, hasValue := strings.Cut(line, "=")
--- a/standin/demo/write.go
+++ b/standin/demo/write.go
@@ -12,21 +12,21 @@
 )
 
 // The files of a demonstration's directory. The processes file has a line for
-// each process: its name, its program and the program's arguments, in the
-// order in which they start.
+// each process, in the order in which script/demo.sh starts them: its name, its
+// program and the program's arguments.
 const (
 	processesFile = "processes"
 	settingsDir   = "settings"
 	dirMode       = 0o755
 )
 
-// The programs.
+// The programs that are started.
 const (
 	programStandin = "standin"
 	programSystem  = "hawthornferry"
 )
 
-// maxSeeds bounds the peers that a process asks at its start.
+// maxSeeds is the number of peers that a process's settings name as seeds.
 const maxSeeds = 3
 
 // Write writes the plan, the settings of each process and the list of
@@ -52,7 +52,7 @@
 	return filepath.Join(dir, settingsDir, n.VM.Name+".ini")
 }
 
-// settings is the settings file of a process.
+// settings returns the text of the settings file of a process.
 func (f *Fleet) settings(dir string, n Node) string {
 	var b strings.Builder
 	line := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
@@ -90,6 +90,7 @@
 	return b.String()
 }
 
+// seeds returns the addresses of the first other processes, entries first.
 func (f *Fleet) seeds(self Node) []string {
 	var out []string
 	for _, n := range append(append([]Node{}, f.Entries...), f.Sides...) {
@@ -100,7 +101,7 @@
 	return out
 }
 
-// processes lists the processes in the order in which they start.
+// processes returns the lines of the processes file.
 func (f *Fleet) processes(dir string) []string {
 	out := []string{
 		fmt.Sprintf("platform %s platform --config %s --vms %s", programStandin, f.Config, f.VMList),
@@ -118,7 +119,7 @@
 	return out
 }
 
-// relay is the process through which the sides are reached.
+// relay returns the line of the relay through which the sides are reached.
 func (f *Fleet) relay() string {
 	var routes []string
 	for _, n := range f.Sides {
@@ -127,7 +128,7 @@
 	return fmt.Sprintf("relay %s relay --control %s --routes %s", programStandin, f.Relay, strings.Join(routes, ","))
 }
 
-// services are the names of the services, in the order of the sides.
+// services returns the names of the services in the order of the sides.
 func (f *Fleet) services() []string {
 	var out []string
 	for _, n := range f.Sides {
@@ -138,7 +139,8 @@
 	return out
 }
 
-// targets is the process that stands in for all targets of a service.
+// targets returns the line of the process that is the stand-in for all targets of
+// a service.
 func (f *Fleet) targets(service string) string {
 	var listen []string
 	var node Node
