--- a/standin/callers.go
+++ b/standin/callers.go
@@ -47,10 +47,11 @@
 	progress      bool
 }
 
-// errChecksFailed is returned when an outcome that must hold did not.
-var errChecksFailed = errors.New("an answer was not whole, a call ran twice, or an outcome was false")
+// errChecksFailed is returned when the summary isn't valid, see
+// caller.Summary.Valid.
+var errChecksFailed = errors.New("an answer was not whole, a once-call was executed twice, or a reported outcome was false")
 
-// callersCommand runs a bounded load and prints its summary.
+// callersCommand runs a load test of limited duration and prints its summary.
 func callersCommand() command {
 	v := callersFlags{
 		slice:       2 * time.Second,
@@ -74,7 +75,7 @@
 	f.Description = "simulated customers; prints a JSON summary and stops by itself"
 	v.addressFlags(f)
 	v.callFlags(f)
-	f.Duration(&v.duration, "", "duration", "how long calls are begun; an interrupt ends it early")
+	f.Duration(&v.duration, "", "duration", "how long new calls are made; an interrupt ends it early")
 	f.Duration(&v.timeout, "", "timeout", "how long one attempt may take")
 	f.Bool(&v.progress, "", "progress", "print a line to standard error each second")
 	return command{flags: f, run: v.run}
@@ -82,13 +83,13 @@
 
 func (v *callersFlags) addressFlags(f *flaggy.Subcommand) {
 	f.String(&v.fleet, "", "fleet", "directory of a demonstration's plan: its entries, replicas, customers and versions")
-	f.Bool(&v.direct, "", "direct", "with a plan, call its targets past the entries in every other slice")
+	f.Bool(&v.direct, "", "direct", "with a plan, call its targets directly in every other slice")
 	f.String(&v.entries, "", "entries", "IP:port of each entry, separated by commas")
-	f.String(&v.directEngine, "", "direct-engine", "IP:port of engines that are called past the entries")
-	f.String(&v.directService, "", "direct-service", "IP:port of plain services that are called past the entries")
+	f.String(&v.directEngine, "", "direct-engine", "IP:port of engines that are called directly")
+	f.String(&v.directService, "", "direct-service", "IP:port of plain services that are called directly")
 	f.Duration(&v.slice, "", "slice", "with entries and direct addresses, how long each is called in turn")
 	f.String(&v.replicas, "", "replicas", "IP:port of the plain stand-ins whose executions are read at the end")
-	f.String(&v.manifests, "", "manifests", "manifest digests that answers may come from; none: the one that the answer names")
+	f.String(&v.manifests, "", "manifests", "manifest digests of the versions that may answer; none: the one that the response names")
 }
 
 func (v *callersFlags) callFlags(f *flaggy.Subcommand) {
@@ -96,10 +97,10 @@
 	f.String(&v.whole, "", "whole", "whole chats: workers/calls a second")
 	f.String(&v.lookups, "", "lookups", "lookups: workers/calls a second")
 	f.String(&v.onces, "", "onces", "once-calls: workers/calls a second")
-	f.Int(&v.attempts, "", "attempts", "most attempts of a call that may be made again")
+	f.Int(&v.attempts, "", "attempts", "most attempts of a call that may be repeated")
 	f.Int(&v.tokens, "", "tokens", "tokens of each chat")
-	f.Int(&v.ticketEvery, "", "ticket-every", "every so manyth once-call takes a ticket; 0 takes none")
-	f.Int(&v.keyEvery, "", "key-every", "every so manyth once-call carries an idempotency key; 0 carries none")
+	f.Int(&v.ticketEvery, "", "ticket-every", "N: every N-th once-call gets a ticket; 0: none")
+	f.Int(&v.keyEvery, "", "key-every", "N: every N-th once-call carries an idempotency key; 0: none")
 	f.String(&v.chat, "", "chat-service", "service of the chats")
 	f.String(&v.lookup, "", "lookup-service", "service of the lookups")
 	f.String(&v.once, "", "once-service", "service of the once-calls")
@@ -161,8 +162,8 @@
 	return l, nil
 }
 
-// lanes sets the ways to the services: the entries, the targets themselves,
-// or both in turn.
+// setRoutes sets the routes of the calls: through the entries, directly to the
+// targets, or both in turn.
 func (v *callersFlags) setRoutes(l *caller.LoadTest) error {
 	entries, err := parseOptional(v.entries)
 	if err != nil {
@@ -182,7 +183,7 @@
 	}
 	direct := caller.Route{Name: caller.RouteDirect, Chats: engines, Plain: services, Direct: true}
 	if len(entries) == 0 && len(engines)+len(services) == 0 {
-		return errors.New("entries: missing, and no direct address either")
+		return errors.New("entries: no address of an entry and no direct address")
 	}
 	if len(entries) == 0 {
 		l.Entries = direct
@@ -195,6 +196,7 @@
 	return nil
 }
 
+// parseOptional parses a list of addresses that may be empty.
 func parseOptional(list string) ([]netip.AddrPort, error) {
 	if list == "" {
 		return nil, nil
@@ -224,9 +226,11 @@
 	return v.checkAddresses(l)
 }
 
-// maxWorkers bounds the workers of a kind.
+// maxWorkers is the number of workers that a kind of call may have.
 const maxWorkers = 4096
 
+// parseWorkload parses workers/calls a second; without the latter there is no
+// limit.
 func parseWorkload(kind caller.Kind, text string) (caller.Workload, error) {
 	workers, perSecond, _ := strings.Cut(text, "/")
 	w := caller.Workload{Kind: kind}
@@ -245,16 +249,16 @@
 	return w, err
 }
 
-// covered reports a kind of call that a lane has no address for.
+// checkAddresses returns an error if a route has no address for a kind of call.
 func (v *callersFlags) checkAddresses(l *caller.LoadTest) error {
 	for _, route := range []caller.Route{l.Entries, l.Direct} {
 		for _, w := range l.Workloads {
 			chat := w.Kind == caller.KindStream || w.Kind == caller.KindWhole
 			if route.Name != "" && chat && len(route.Chats) == 0 {
-				return errors.Newf("%s calls: no address in lane %s", w.Kind, route.Name)
+				return errors.Newf("%s calls: route %s has no address of an engine", w.Kind, route.Name)
 			}
 			if route.Name != "" && !chat && len(route.Plain) == 0 {
-				return errors.Newf("%s calls: no address in lane %s", w.Kind, route.Name)
+				return errors.Newf("%s calls: route %s has no address of a plain service", w.Kind, route.Name)
 			}
 		}
 	}
--- a/standin/callersfleet.go
+++ b/standin/callersfleet.go
@@ -7,10 +7,11 @@
 	"hawthornferry/standin/demo"
 )
 
-// demoVersions is how many versions a demonstration rolls out.
+// demoVersions is the number of versions that a demonstration rolls out.
 const demoVersions = 2
 
-// applyFleet sets the addresses and versions of a demonstration.
+// applyFleet sets the flags of the addresses, the chat service and the manifests
+// from the plan of a demonstration, if one is given.
 func (v *callersFlags) applyFleet() error {
 	if v.fleet == "" {
 		return nil
@@ -40,6 +41,7 @@
 	return nil
 }
 
+// joinAddresses returns one address of each node as a comma-separated list.
 func joinAddresses(nodes []demo.Node, addressOf func(demo.Node) netip.AddrPort) string {
 	var out []string
 	for _, n := range nodes {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -30,7 +30,7 @@
 	eventGap     uint64
 }
 
-// engineCommand serves one model engine on each address.
+// engineCommand runs a stand-in for a model engine on each address.
 func engineCommand() command {
 	v := engineFlags{
 		listen:       "127.0.0.1:7001",
@@ -56,10 +56,10 @@
 	f.Duration(&v.prefillDelay, "", "prefill-delay", "time for each block of the prompt that is not cached")
 	f.Int(&v.capacity, "", "capacity", "generations that run at once")
 	f.Int(&v.queue, "", "queue", "generations that wait")
-	f.Duration(&v.reportLag, "", "report-lag", "how old the reported load may be")
+	f.Duration(&v.reportLag, "", "report-lag", "greatest age of the reported numbers of running and queued generations")
 	f.Int(&v.cacheBlocks, "", "cache-blocks", "prompt blocks in the prefix cache")
-	f.Duration(&v.eventLag, "", "event-lag", "how late cache events show")
-	f.UInt64(&v.eventGap, "", "event-gap", "every so many cache events one is lost; 0 loses none")
+	f.Duration(&v.eventLag, "", "event-lag", "delay of cache events")
+	f.UInt64(&v.eventGap, "", "event-gap", "N: every N-th cache event is left out; 0: none")
 	return command{flags: f, run: v.run}
 }
 
@@ -73,11 +73,11 @@
 		return usageError{errors.Newf("fencing %q: want checked or ignored", v.fencing)}
 	}
 	pool := &engine.ChunkPool{}
-	var sites []serve.Endpoint
+	var endpoints []serve.Endpoint
 	for _, a := range addresses {
-		sites = append(sites, serve.Endpoint{Address: a, Handler: v.engine(fencing, pool).Handler()})
+		endpoints = append(endpoints, serve.Endpoint{Address: a, Handler: v.engine(fencing, pool).Handler()})
 	}
-	return serve.Run(ctx, sites)
+	return serve.Run(ctx, endpoints)
 }
 
 func (v *engineFlags) engine(fencing envdoc.Fencing, pool *engine.ChunkPool) *engine.Engine {
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,6 @@
-// Command standin takes the place of the platform, the targets and the
-// callers in tests and in the demonstration.
+// Command standin runs stand-ins for what surrounds the system in tests and in
+// the demonstration: the platform, the targets and the callers. Its further
+// commands are the steps of the demonstration, which script/demo.sh runs.
 package main
 
 import (
@@ -20,14 +21,15 @@
 	exitUsage   = 2
 )
 
-// command is one command of the program. Run returns after ctx has ended, or
-// by itself.
+// command is one command of the program. run returns when ctx ends, or earlier
+// when the command is done.
 type command struct {
 	flags *flaggy.Subcommand
 	run   func(ctx context.Context) error
 }
 
-// usageError is a flag with a wrong value.
+// usageError is the error for a flag with an invalid value. The program exits
+// with exitUsage.
 type usageError struct{ err error }
 
 func (e usageError) Error() string { return e.err.Error() }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -12,7 +12,8 @@
 	"hawthornferry/standin/serve"
 )
 
-// platformCommand serves the configuration service and the VM list.
+// platformCommand runs the stand-ins for the configuration service and the VM
+// list.
 func platformCommand() command {
 	config := netip.MustParseAddrPort("127.0.0.1:7100")
 	vms := netip.MustParseAddrPort("127.0.0.1:7101")
@@ -23,7 +24,7 @@
 	f.NetipAddrPort(&config, "", "config", "IP:port of the configuration service")
 	f.NetipAddrPort(&vms, "", "vms", "IP:port of the VM list")
 	f.Float64(&readRate, "", "rate", "reads a second of the configuration service")
-	f.Duration(&lag, "", "lag", "how late the VM list shows a change")
+	f.Duration(&lag, "", "lag", "delay until the VM list shows a change")
 	return command{flags: f, run: func(ctx context.Context) error {
 		clock := clockwork.NewRealClock()
 		c := &platf.Config{Rate: readRate, Clock: clock}
--- a/standin/promote.go
+++ b/standin/promote.go
@@ -12,10 +12,10 @@
 	"hawthornferry/standin/demo"
 )
 
-// errNotServed is returned when the limit passed first.
-var errNotServed = errors.New("not every replica serves the version, or an entry is not ready")
+// errNotServed is returned when the limit passed before the rollout was done.
+var errNotServed = errors.New("limit passed: not every replica serves the version, or an entry is not ready")
 
-// promoteCommand promotes a version and follows the rollout.
+// promoteCommand promotes a version and waits until the rollout is done.
 func promoteCommand() command {
 	var dir string
 	number, limit := 1, 3*time.Minute
--- a/standin/publish.go
+++ b/standin/publish.go
@@ -11,12 +11,13 @@
 
 const mib = 1 << 20
 
-// publishCommand makes a version and the document that names it.
+// publishCommand adds a version of each model to the weight store, writes the
+// document with that version and registers the VMs.
 func publishCommand() command {
 	var dir string
 	number, size, chunkSize := 1, int64(64*mib), int64(mib/2)
 	f := flaggy.NewSubcommand("publish")
-	f.Description = "make a version of each model, write its document, register the VMs"
+	f.Description = "add a version of each model to the weight store, write its document, register the VMs"
 	f.String(&dir, "", "fleet", "directory of the plan")
 	f.Int(&number, "", "number", "number of the version")
 	f.Int64(&size, "", "size", "bytes of the version")
--- a/standin/relay.go
+++ b/standin/relay.go
@@ -15,12 +15,13 @@
 	"hawthornferry/standin/serve"
 )
 
-// relayCommand passes connections on, with the faults of a network.
+// relayCommand runs a relay that forwards connections and injects network
+// faults.
 func relayCommand() command {
 	control := netip.MustParseAddrPort("127.0.0.1:7900")
 	var routes string
 	f := flaggy.NewSubcommand("relay")
-	f.Description = "pass connections on, with delay, cuts and connections that go silent"
+	f.Description = "forward connections, with delay, cuts and connections that go silent"
 	f.String(&routes, "", "routes", "LISTEN=TO of each route, IP:port both, separated by commas")
 	f.NetipAddrPort(&control, "", "control", "IP:port of the control calls")
 	return command{flags: f, run: func(ctx context.Context) error {
@@ -49,7 +50,8 @@
 	return out, nil
 }
 
-// runRelay binds every address before it passes the first connection.
+// runRelay listens on every address before it forwards the first connection, so
+// that it fails at once when an address is in use.
 func runRelay(ctx context.Context, routes []*relay.Route, control netip.AddrPort) error {
 	g, ctx := errgroup.WithContext(ctx)
 	var listeners []net.Listener
--- a/standin/service.go
+++ b/standin/service.go
@@ -11,7 +11,8 @@
 	"hawthornferry/standin/serve"
 )
 
-// serviceCommand serves one replica of a plain service on each address.
+// serviceCommand runs a stand-in for a replica of a plain service on each
+// address.
 func serviceCommand() command {
 	listen := "127.0.0.1:7050"
 	name := "booking"
@@ -26,7 +27,7 @@
 		if err != nil {
 			return usageError{err}
 		}
-		var sites []serve.Endpoint
+		var endpoints []serve.Endpoint
 		for _, a := range addresses {
 			s := &plain.Service{
 				Name:    name,
@@ -34,8 +35,8 @@
 				Delay:   delay,
 				Clock:   clockwork.NewRealClock(),
 			}
-			sites = append(sites, serve.Endpoint{Address: a, Handler: s.Handler()})
+			endpoints = append(endpoints, serve.Endpoint{Address: a, Handler: s.Handler()})
 		}
-		return serve.Run(ctx, sites)
+		return serve.Run(ctx, endpoints)
 	}}
 }
--- a/standin/silence.go
+++ b/standin/silence.go
@@ -9,7 +9,8 @@
 	"hawthornferry/standin/demo"
 )
 
-// silenceCommand makes the open connections to a side go silent.
+// silenceCommand makes the connections to a side that are open now go silent:
+// they stay open and pass nothing any more.
 func silenceCommand() command {
 	var dir, name string
 	f := flaggy.NewSubcommand("silence")
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -11,7 +11,7 @@
 	"hawthornferry/standin/weight"
 )
 
-// weightsCommand serves the weight store and the origin.
+// weightsCommand runs the stand-ins for the weight store and the origin.
 func weightsCommand() command {
 	store := netip.MustParseAddrPort("127.0.0.1:7102")
 	origin := netip.MustParseAddrPort("127.0.0.1:7103")
