--- a/standin/caller/caller_test.go
+++ b/standin/caller/caller_test.go
@@ -78,9 +78,9 @@
 	fmt.Fprintf(w, "data: %s\n\n", b)
 }
 
-// A stream that ended early, without a finish reason and [DONE] or with an error
-// event, counts as cut. One that ended properly but mixes two versions or is too
-// short, and one without a finish reason before [DONE], counts as not whole.
+// A stream without [DONE] or with an error event counts as cut, since its caller
+// can see that it ended early. One with [DONE] counts as not whole if it has no
+// finish reason, mixes the tokens of two versions or is too short.
 func TestStreams(t *testing.T) {
 	a, b := versions[0], versions[1]
 	tests := []struct {
--- a/standin/caller/load.go
+++ b/standin/caller/load.go
@@ -46,12 +46,13 @@
 //
 // Calls go over the route Entries. Unless Direct is empty, they go over Direct
 // in every other Slice, so that the two can be compared. Calls are begun for
-// Duration; each has at most Attempts attempts, each of at most Timeout. Every
-// TicketEvery-th once-call gets a ticket, and every KeyEvery-th one carries an
-// idempotency key; 0 is none. An answer must come from one of Manifests, or, if
-// there are none, from the one that its response names. Replicas are the
-// stand-ins for plain services whose executions are read at the end. Progress
-// gets a line every second unless it is nil.
+// Duration; each has at most Attempts attempts, each of at most Timeout. A
+// once-call gets a ticket if its serial, which counts the calls of all kinds, is
+// a multiple of TicketEvery, and an idempotency key if its serial has the
+// remainder keyRemainder modulo KeyEvery; 0 is none. An answer must come from
+// one of Manifests, or, if there are none, from the one that its response names.
+// Replicas are the stand-ins for plain services whose executions are read at the
+// end. Progress gets a line every second unless it is nil.
 type LoadTest struct {
 	Entries       Route
 	Direct        Route
--- a/standin/weight/origin.go
+++ b/standin/weight/origin.go
@@ -17,7 +17,8 @@
 )
 
 // writeSize is the number of bytes of one write. Each write waits for the rate
-// limiter, so that a transfer is at most one write ahead of the link's rate.
+// limiter, so that the link's rate is kept to within one write for each transfer,
+// apart from the limiter's burst of four writes.
 const writeSize = 16 << 10
 
 // retryAfter is sent to a client whose request exceeds MaxTransfers.
