--- a/standin/demo/plan.go
+++ b/standin/demo/plan.go
@@ -155,8 +155,8 @@
 	return out
 }
 
-// side returns the side of replica n of the service, which is the i-th side of
-// the fleet, both as numbered in names and addresses.
+// side returns the side of the n-th replica of the service, counted from 1, which
+// is the i-th side of the fleet, counted from 0.
 func (p planner) side(i, n int, s envdoc.Service, zone string) Node {
 	z, _ := p.doc.ZoneByName(zone)
 	listed := p.address(groupSide, i, portPeers)
--- a/standin/weight/weight.go
+++ b/standin/weight/weight.go
@@ -37,7 +37,7 @@
 	Shared    int          `json:"shared"`
 }
 
-// source is the input from which a chunk's bytes are generated.
+// chunkSource is the input from which a chunk's bytes are generated.
 type chunkSource struct {
 	Seed  uint64
 	Index int
