--- a/bench/burst/live.go
+++ b/bench/burst/live.go
@@ -90,10 +90,10 @@
 	if far {
 		in = []*wire{other.out, own.in, s.down}
 		out = []*wire{s.up, own.out, other.in}
-		s.pacer.Cross.Live(liveAsk)
-		s.pacer.Cross.Live(liveAnswer)
+		s.pacer.RegionMeter.CountLive(liveAsk)
+		s.pacer.RegionMeter.CountLive(liveAnswer)
 	}
-	s.pacer.Down.Live(liveAsk)
+	s.pacer.Down.CountLive(liveAsk)
 	if passLive(ctx, liveAsk, in...) != nil {
 		return
 	}
@@ -101,7 +101,7 @@
 	if sleepUntil(ctx, time.Now().Add(service)) != nil {
 		return
 	}
-	s.pacer.Up.Live(liveAnswer)
+	s.pacer.Up.CountLive(liveAnswer)
 	if passLive(ctx, liveAnswer, out...) != nil {
 		return
 	}
--- a/bench/burst/run.go
+++ b/bench/burst/run.go
@@ -40,7 +40,7 @@
 	begin := time.Now()
 	v := w.view()
 	for _, s := range w.sides {
-		s.node.Update(v, []swarm.Wanted{{Model: "model", Version: "1", Manifest: w.pinned}})
+		s.node.Update(v, []swarm.WantedVersion{{Model: "model", Version: "1", Manifest: w.pinned}})
 	}
 	wg.Go(func() { w.faults.start(ctx, w) })
 	if profiled {
@@ -71,7 +71,7 @@
 // was killed counts as such.
 func (s *side) await(ctx context.Context) bool {
 	for {
-		changed := s.node.Changed()
+		changed := s.node.ProgressChanged()
 		if p := s.node.Progress(); len(p) == 1 && p[0].Verified {
 			return true
 		}
--- a/bench/burst/world.go
+++ b/bench/burst/world.go
@@ -162,7 +162,7 @@
 		Store:        platform,
 		OriginRegion: regionNames[0],
 		Pacer:        s.pacer,
-		Burst:        cfg,
+		Spread:       cfg,
 		BlockSize:    blockSize,
 		CacheBytes:   w.faults.cacheBytes(),
 		Shaper:       w,
--- a/bench/calls/world.go
+++ b/bench/calls/world.go
@@ -106,7 +106,7 @@
 		return err
 	}
 	self := &link.Self{Boot: service, VM: vmOf(service, service, fleet.RoleSide, nl.Addr())}
-	g := &gate.Gate{
+	g := &gate.Proxy{
 		Self: self, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope,
 		Source: w, Target: target, Service: service,
 	}
@@ -122,9 +122,9 @@
 	if err != nil {
 		return err
 	}
-	f := &front.Front{
+	f := &front.Server{
 		Self:  &link.Self{Boot: "entry", VM: vmOf("entry", "", fleet.RoleEntry, nl.Addr())},
-		Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope, Source: w, Net: nl,
+		Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope, Source: w, Listener: nl,
 	}
 	go func() { _ = f.Run(ctx) }()
 	w.entry = nl.Addr().String()
@@ -132,7 +132,7 @@
 		time.Sleep(time.Millisecond)
 		ready = 0
 		for _, t := range f.Targets() {
-			if t.Standing == "ready" {
+			if t.Availability == "ready" {
 				ready++
 			}
 		}
--- a/bench/conf/fleet.go
+++ b/bench/conf/fleet.go
@@ -61,8 +61,8 @@
 
 func (f *fleetOf) startPlatform(ctx context.Context) error {
 	clock := clockwork.NewRealClock()
-	config := &platf.Config{Rate: serviceRate, Clock: clock}
-	list := &platf.List{Lag: listLag, Clock: clock}
+	config := &platf.ConfigService{Rate: serviceRate, Clock: clock}
+	list := &platf.VMList{Lag: listLag, Clock: clock}
 	var err error
 	if f.service, err = f.serve(ctx, config.Handler(), &f.reads); err != nil {
 		return err
@@ -135,13 +135,13 @@
 	}
 	w := &watch.Watcher{
 		Self: &link.Self{VM: vm, Boot: vm.Name}, Clock: clockwork.NewRealClock(), Log: trail.Discard{},
-		Metrics: tally.NoopScope, Environment: environment, Config: f.service, VMList: f.list,
+		Metrics: tally.NoopScope, Environment: environment, ConfigService: f.service, VMListService: f.list,
 	}
 	if p.direct {
-		w.VMList = netip.AddrPort{}
+		w.VMListService = netip.AddrPort{}
 	}
 	if p.fault == faultZoneCut && i%zones == 0 {
-		w.Config = netip.AddrPort{}
+		w.ConfigService = netip.AddrPort{}
 	}
 	peers := &link.Listener{Self: w.Self, Net: l, Handlers: map[link.Purpose]link.Handler{link.PurposeConfig: w.Handler()}}
 	f.watchers = append(f.watchers, w)
--- a/bench/conf/measure.go
+++ b/bench/conf/measure.go
@@ -50,8 +50,8 @@
 	s := sample{at: time.Now(), reads: f.reads.Load(), list: f.listReads.Load(), cpu: cpuTime()}
 	for _, w := range f.watchers {
 		st := w.Stats()
-		s.bytes = append(s.bytes, st.Received+st.Sent)
-		s.platform = append(s.platform, st.Platform)
+		s.bytes = append(s.bytes, st.ReceivedBytes+st.SentBytes)
+		s.platform = append(s.platform, st.PlatformBytes)
 	}
 	return s
 }
--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -118,14 +118,14 @@
 			}
 		}
 	}
-	slices.SortFunc(out, compareLines)
+	slices.SortFunc(out, compareResults)
 	return out
 }
 
 // Len returns the number of measures.
 func (t *Tracker) Len() int { return t.series.Len() }
 
-func compareLines(a, b Result) int {
+func compareResults(a, b Result) int {
 	return cmp.Or(
 		cmp.Compare(a.Name.Kind, b.Name.Kind),
 		cmp.Compare(a.Name.Name, b.Name.Name),
--- a/core/process/inidoc/file.go
+++ b/core/process/inidoc/file.go
@@ -81,11 +81,11 @@
 
 func (f *File) addSection(c RawSection) {
 	if f.Section(c.Name) != nil {
-		f.addFlaw(Problem{Section: c.Name, Reason: "section appears twice"})
+		f.addProblem(Problem{Section: c.Name, Reason: "section appears twice"})
 		return
 	}
 	if c.byteSize() > MaxSectionBytes {
-		f.addFlaw(Problem{Section: c.Name, Reason: "section is longer than 32 KiB"})
+		f.addProblem(Problem{Section: c.Name, Reason: "section is longer than 32 KiB"})
 	}
 	s := &Section{Name: c.Name, file: f, keys: c.Pairs, used: map[string]bool{}}
 	f.Sections = append(f.Sections, s)
@@ -101,12 +101,12 @@
 func Parse(name string, b []byte) *File {
 	f := newFile(name)
 	if len(b) > MaxBytes {
-		f.addFlaw(Problem{Reason: "longer than 1 MiB"})
+		f.addProblem(Problem{Reason: "longer than 1 MiB"})
 		return f
 	}
 	text, err := ini.LoadSources(loadOptions(), b)
 	if err != nil {
-		f.addFlaw(Problem{Reason: oneLine(err)})
+		f.addProblem(Problem{Reason: oneLine(err)})
 		return f
 	}
 	for _, s := range text.Sections() {
@@ -132,7 +132,7 @@
 func (f *File) addINISection(s *ini.Section) {
 	if s.Name() == ini.DefaultSection {
 		for _, k := range s.Keys() {
-			f.addFlaw(Problem{Key: k.Name(), Value: k.Value(), Reason: "stands outside of any section"})
+			f.addProblem(Problem{Key: k.Name(), Value: k.Value(), Reason: "stands outside of any section"})
 		}
 		return
 	}
@@ -140,27 +140,27 @@
 	for _, k := range s.Keys() {
 		all := k.ValueWithShadows()
 		if len(all) > 1 {
-			f.addFlaw(Problem{Section: c.Name, Key: k.Name(), Value: all[len(all)-1], Reason: "key appears twice"})
+			f.addProblem(Problem{Section: c.Name, Key: k.Name(), Value: all[len(all)-1], Reason: "key appears twice"})
 		}
 		c.Pairs = append(c.Pairs, KeyValue{Key: k.Name(), Value: k.Value()})
 	}
 	f.addSection(c)
 }
 
-func (f *File) addFlaw(flaw Problem) {
-	flaw.File = f.Name
-	f.Problems = append(f.Problems, flaw)
+func (f *File) addProblem(problem Problem) {
+	problem.File = f.Name
+	f.Problems = append(f.Problems, problem)
 }
 
 // Reject records a problem of the whole file.
-func (f *File) Reject(reason string) { f.addFlaw(Problem{Reason: reason}) }
+func (f *File) Reject(reason string) { f.addProblem(Problem{Reason: reason}) }
 
 // Section returns the section with the given name, or nil if there is none.
 func (f *File) Section(name string) *Section { return f.byName[name] }
 
 // Reject records a problem of one key of the section; key and value may be empty.
 func (s *Section) Reject(key, value, reason string) {
-	s.file.addFlaw(Problem{Section: s.Name, Key: key, Value: value, Reason: reason})
+	s.file.addProblem(Problem{Section: s.Name, Key: key, Value: value, Reason: reason})
 }
 
 // Take returns the value of key, if there is one, and marks the key as known for
--- a/core/process/inidoc/flaw.go
+++ b/core/process/inidoc/flaw.go
@@ -42,8 +42,8 @@
 // Error returns one line for each problem.
 func (f Problems) Error() string {
 	lines := make([]string, 0, len(f))
-	for _, flaw := range f {
-		lines = append(lines, flaw.Error())
+	for _, problem := range f {
+		lines = append(lines, problem.Error())
 	}
 	return strings.Join(lines, "\n")
 }
--- a/core/process/verlog/statement.go
+++ b/core/process/verlog/statement.go
@@ -84,10 +84,10 @@
 // Merge adds the reports of a peer, whatever revision the peer holds: a
 // process that resumes may have read the store before its peers answer. It
 // reports whether the log changed.
-func (l *Log) Merge(r Reply, told []VersionReport, ran RanSince) bool {
+func (l *Log) Merge(r Reply, reports []VersionReport, ran RanSince) bool {
 	prompt := r.ReadPromptly(ran)
 	news := false
-	for _, t := range told {
+	for _, t := range reports {
 		e := Entry{Model: t.Model, Version: t.Version, Since: r.Since(t.Age), Exact: t.Exact && prompt, FromReturn: t.FromReturn && prompt}
 		if e.Exact || e.FromReturn {
 			// Counting from arrival errs towards later by the transit time,
@@ -97,7 +97,7 @@
 		}
 		news = l.Add(e) || news
 	}
-	return l.countFromReturn(r, told) || news
+	return l.countFromReturn(r, reports) || news
 }
 
 // countFromReturn handles a version that this process found when the store
@@ -107,14 +107,14 @@
 // it by a time at which no process could have told them of it. If some process
 // did see the announcement after all, its time takes precedence. It reports
 // whether the log changed.
-func (l *Log) countFromReturn(r Reply, told []VersionReport) bool {
+func (l *Log) countFromReturn(r Reply, reports []VersionReport) bool {
 	news := false
 	for i, e := range l.entries {
 		if !e.Read || !e.StoreUnreachable || e.Exact || e.FromReturn {
 			continue
 		}
-		at := slices.IndexFunc(told, func(t VersionReport) bool { return t.Model == e.Model && t.Version == e.Version })
-		if at < 0 && r.StoreUnreachable || at >= 0 && told[at].StoreUnreachable && !told[at].Exact {
+		at := slices.IndexFunc(reports, func(t VersionReport) bool { return t.Model == e.Model && t.Version == e.Version })
+		if at < 0 && r.StoreUnreachable || at >= 0 && reports[at].StoreUnreachable && !reports[at].Exact {
 			l.entries[i].Since, l.entries[i].FromReturn = e.ReadAt, true
 			news = true
 		}
--- a/core/request/picker/choose.go
+++ b/core/request/picker/choose.go
@@ -81,7 +81,7 @@
 
 	prefixes      prefixTable
 	loadEstimates loadEstimator
-	paces         paceTracker
+	intervals     intervalTracker
 	initialized   bool
 }
 
@@ -137,14 +137,14 @@
 
 // ObserveTokenInterval records a sample of a target's time between tokens, measured
 // over one answer.
-func (c *Chooser) ObserveTokenInterval(now time.Time, target string, pace time.Duration) {
+func (c *Chooser) ObserveTokenInterval(now time.Time, target string, interval time.Duration) {
 	c.init()
-	c.paces.observe(now, target, pace)
+	c.intervals.observe(now, target, interval)
 }
 
 // Sizes returns the number of entries in each table.
 func (c *Chooser) Sizes() TableSizes {
-	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), TokenIntervals: c.paces.table.Len()}
+	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), TokenIntervals: c.intervals.table.Len()}
 }
 
 // Expire drops expired entries from the tables. Call it about once a minute.
@@ -152,7 +152,7 @@
 	c.init()
 	c.prefixes.table.Expire(now)
 	c.loadEstimates.table.Expire(now)
-	c.paces.table.Expire(now)
+	c.intervals.table.Expire(now)
 }
 
 func (c *Chooser) init() {
@@ -169,8 +169,8 @@
 	c.loadEstimates.reportMaxAge = orDefault(c.ReportMaxAge, DefaultReportMaxAge)
 	c.loadEstimates.table.TTL = c.loadEstimates.reportMaxAge
 	c.loadEstimates.capacity = orDefault(c.AssumedCapacity, DefaultAssumedCapacity)
-	c.paces.table.MaxEntries = c.loadEstimates.table.MaxEntries
-	c.paces.table.TTL = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
+	c.intervals.table.MaxEntries = c.loadEstimates.table.MaxEntries
+	c.intervals.table.TTL = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
 }
 
 func orDefault[T comparable](v, def T) T {
@@ -232,7 +232,7 @@
 // excludeSlow excludes slow targets, unless the load of the others is above
 // SpillThreshold.
 func (c *Chooser) excludeSlow(now time.Time, all []eligibleTarget, ex *exclusions) []eligibleTarget {
-	usual, slow := c.paces.splitSlow(now, all)
+	usual, slow := c.intervals.splitSlow(now, all)
 	if len(slow) == 0 || meanUtilization(usual) > c.SpillThreshold {
 		return all
 	}
--- a/core/request/picker/speed.go
+++ b/core/request/picker/speed.go
@@ -20,49 +20,49 @@
 	probeInterval = 10 * time.Second
 )
 
-// paceTracker tracks the mean time between tokens of each target, to detect slow
+// intervalTracker tracks the mean time between tokens of each target, to detect slow
 // ones. A slow target still reports free capacity; if it weren't excluded it would
 // get nearly as many calls as the others, and a share of the calls would be slow.
 //
 // The time to the first byte isn't suitable as a measure: it depends more on prompts,
 // caches and queues than on the target, and busy targets were taken for slow ones.
-type paceTracker struct {
-	table ttlmap.Map[string, paceStats]
+type intervalTracker struct {
+	table ttlmap.Map[string, intervalStats]
 }
 
-// paceStats holds a target's speed. pace is the moving average of its time between tokens
+// intervalStats holds a target's speed. pace is the moving average of its time between tokens
 // in seconds, over the given number of samples. lastProbe is when it was last
 // let in although it is slow.
-type paceStats struct {
-	pace      float64
+type intervalStats struct {
+	interval  float64
 	samples   int
 	lastProbe time.Time
 }
 
 // observe adds a sample to the target's moving average. The first samples are
 // averaged with equal weight.
-func (s *paceTracker) observe(now time.Time, target string, pace time.Duration) {
+func (s *intervalTracker) observe(now time.Time, target string, interval time.Duration) {
 	v, _ := s.table.Get(now, target)
 	v.samples++
 	weight := max(paceSmoothing, 1/float64(v.samples))
 	// A slow target gets only a few probes. A sample that is much faster than the
 	// average gets a large weight, so that a recovered target is not excluded for
 	// long.
-	if pace.Seconds()*slowFactor < v.pace {
+	if interval.Seconds()*slowFactor < v.interval {
 		weight = 1.0 / 2
 	}
-	v.pace += weight * (pace.Seconds() - v.pace)
+	v.interval += weight * (interval.Seconds() - v.interval)
 	s.table.Put(now, target, v)
 }
 
 // splitSlow splits targets into those of usual speed and those that are slow compared
 // with the median of all. A slow target at which this entry has no call in flight
 // counts as usual once per probeInterval, so that its recovery is noticed.
-func (s *paceTracker) splitSlow(now time.Time, targets []eligibleTarget) (usual, slow []eligibleTarget) {
+func (s *intervalTracker) splitSlow(now time.Time, targets []eligibleTarget) (usual, slow []eligibleTarget) {
 	known := make([]float64, 0, len(targets))
 	for _, t := range targets {
 		if v, ok := s.table.Get(now, t.vm.Name); ok && v.samples >= minPaceSamples {
-			known = append(known, v.pace)
+			known = append(known, v.interval)
 		}
 	}
 	if len(known) < 2 {
@@ -72,7 +72,7 @@
 	bound := slowFactor * known[(len(known)-1)/2]
 	for _, t := range targets {
 		v, ok := s.table.Get(now, t.vm.Name)
-		if !ok || v.samples < minPaceSamples || v.pace <= bound {
+		if !ok || v.samples < minPaceSamples || v.interval <= bound {
 			usual = append(usual, t)
 			continue
 		}
--- a/core/request/place/candidates.go
+++ b/core/request/place/candidates.go
@@ -13,14 +13,14 @@
 
 // The exclusions, in the order in which they are checked.
 const (
-	notExcluded        exclusion = ""
-	excludedLeaving    exclusion = "leaving"
-	excludedPaused     exclusion = "paused"
-	excludedTried      exclusion = "tried"
-	excludedSilent     exclusion = "silent"
-	excludedLoading    exclusion = "loading"
-	excludedUnheard    exclusion = "unheard"
-	excludedOldVersion exclusion = "oldVersion"
+	notExcluded          exclusion = ""
+	excludedLeaving      exclusion = "leaving"
+	excludedPaused       exclusion = "paused"
+	excludedTried        exclusion = "tried"
+	excludedSilent       exclusion = "silent"
+	excludedLoading      exclusion = "loading"
+	excludedNotReporting exclusion = "unheard"
+	excludedOldVersion   exclusion = "oldVersion"
 )
 
 // exclusionOf returns why a target may not get the request, regardless of its load.
@@ -43,7 +43,7 @@
 	if t.reportsLost(now) && v < w.NewestVersion {
 		// The request may arrive when the old version may no longer begin it, long
 		// after its caller and this entry have given it up.
-		return excludedUnheard
+		return excludedNotReporting
 	}
 	if v == 0 || !w.mayBegin(v, now) {
 		return excludedOldVersion
@@ -74,7 +74,7 @@
 			c.Silent++
 		case excludedLoading:
 			c.Loading++
-		case excludedUnheard:
+		case excludedNotReporting:
 			c.NotReporting++
 		case excludedOldVersion:
 			c.OldVersion++
--- a/core/request/place/choose.go
+++ b/core/request/place/choose.go
@@ -63,7 +63,7 @@
 
 // tryPlace places a request if some target has room for it.
 func (p *Placer) tryPlace(now time.Time, s *service, q *waitingRequest) (Verdict, bool) {
-	o, ok := p.chooseTarget(now, s, &q.work)
+	o, ok := p.chooseTarget(now, s, &q.request)
 	if !ok {
 		return Verdict{}, false
 	}
@@ -72,7 +72,7 @@
 
 // tryPlaceAt places a request at the given target if that has room for it.
 func (p *Placer) tryPlaceAt(now time.Time, s *service, q *waitingRequest, t *target) (Verdict, bool) {
-	o, ok := s.optionAt(now, t, &q.work)
+	o, ok := s.optionAt(now, t, &q.request)
 	if !ok {
 		return Verdict{}, false
 	}
@@ -82,22 +82,22 @@
 // assign records a request as active at its target and returns the verdict.
 func (p *Placer) assign(now time.Time, s *service, q *waitingRequest, o option) Verdict {
 	t := o.target
-	r := &activeRequest{work: q.work, target: t, since: now}
+	r := &activeRequest{request: q.request, target: t, since: now}
 	if s.engine != nil {
-		r.readTime, r.passDelay = t.extraRoundTrip+s.readTime(now, t, &q.work), s.passDelay(now, t)
+		r.readTime, r.passDelay = t.extraRoundTrip+s.readTime(now, t, &q.request), s.passDelay(now, t)
 	}
-	p.active[q.work.ID] = r
-	s.recordPlacement(&q.work, true)
+	p.active[q.request.ID] = r
+	s.recordPlacement(&q.request, true)
 	t.ownRequests++
-	t.unreadPrompt += q.work.PromptTokens
-	t.unreported = append(t.unreported, sentRequest{at: now, prompt: q.work.PromptTokens})
+	t.unreadPrompt += q.request.PromptTokens
+	t.unreported = append(t.unreported, sentRequest{at: now, prompt: q.request.PromptTokens})
 	var serving uint64
 	if s.engine != nil {
 		serving = t.servedVersion(now, s.engine.Model)
 	}
 	return Verdict{
 		ServedVersion: serving,
-		ID:            q.work.ID, Decision: Placed, Target: t.Target,
+		ID:            q.request.ID, Decision: Placed, Target: t.Target,
 		Waited: now.Sub(q.since), ExpectedFirstAnswer: o.expected, Load: t.load(now),
 	}
 }
--- a/core/request/place/fairness.go
+++ b/core/request/place/fairness.go
@@ -163,5 +163,5 @@
 	if w.Resumed || s.underserved(w) {
 		return false
 	}
-	return slices.ContainsFunc(s.waiting, func(q *waitingRequest) bool { return s.underserved(&q.work) })
+	return slices.ContainsFunc(s.waiting, func(q *waitingRequest) bool { return s.underserved(&q.request) })
 }
--- a/core/request/place/place.go
+++ b/core/request/place/place.go
@@ -147,7 +147,7 @@
 
 // activeRequest is a request that was placed and has not ended.
 type activeRequest struct {
-	work      Request
+	request   Request
 	target    *target
 	since     time.Time
 	answering bool
@@ -226,7 +226,7 @@
 func (p *Placer) Offer(now time.Time, w Request) []Verdict {
 	p.initMaps()
 	s := p.service(w.Service)
-	q := &waitingRequest{work: w, since: now}
+	q := &waitingRequest{request: w, since: now}
 	if !w.Resumed {
 		s.kindOf(&w).addPrompt(w.PromptTokens)
 	}
@@ -247,7 +247,7 @@
 	p.initMaps()
 	s := p.service(serviceName)
 	for i, q := range s.waiting {
-		if q.work.ID == id {
+		if q.request.ID == id {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
 			return
 		}
@@ -262,9 +262,9 @@
 		return nil
 	}
 	r.answering = true
-	r.target.unreadPrompt -= r.work.PromptTokens
+	r.target.unreadPrompt -= r.request.PromptTokens
 	r.target.resetFailures(now)
-	s := p.service(r.work.Service)
+	s := p.service(r.request.Service)
 	if s.engine != nil && r.passDelay > 0 {
 		s.passFactor.observe(float64(now.Sub(r.since)-r.readTime) / float64(r.passDelay))
 	}
@@ -279,11 +279,11 @@
 	}
 	delete(p.active, id)
 	if !r.answering {
-		r.target.unreadPrompt -= r.work.PromptTokens
+		r.target.unreadPrompt -= r.request.PromptTokens
 	}
 	r.target.ownRequests--
 	r.target.recordEnd(now, result, now.Sub(r.since))
-	s := p.service(r.work.Service)
+	s := p.service(r.request.Service)
 	if result == ResultFailed {
 		s.undoSimultaneousPauses(now)
 		return p.decideService(now, s)
--- a/core/request/place/queue.go
+++ b/core/request/place/queue.go
@@ -7,8 +7,8 @@
 
 // waitingRequest is a request that waits for a target.
 type waitingRequest struct {
-	work  Request
-	since time.Time
+	request Request
+	since   time.Time
 }
 
 func (p *Placer) decideAll(now time.Time) []Verdict {
@@ -60,11 +60,11 @@
 	kept := s.waiting[:0]
 	held := false
 	for _, q := range s.waiting {
-		if v, ok := decide(q, !held || q.work.Resumed); ok {
+		if v, ok := decide(q, !held || q.request.Resumed); ok {
 			out = append(out, v)
 			continue
 		}
-		held = held || s.holdsBackOthers(&q.work)
+		held = held || s.holdsBackOthers(&q.request)
 		kept = append(kept, q)
 	}
 	s.waiting = kept
@@ -76,22 +76,22 @@
 // be on time.
 func (s *service) sortByUrgency(now time.Time) {
 	slices.SortStableFunc(s.waiting, func(a, b *waitingRequest) int {
-		if a.work.Resumed != b.work.Resumed {
-			if a.work.Resumed {
+		if a.request.Resumed != b.request.Resumed {
+			if a.request.Resumed {
 				return -1
 			}
 			return 1
 		}
-		if late := a.work.objectivePassed(now); late != b.work.objectivePassed(now) {
+		if late := a.request.objectivePassed(now); late != b.request.objectivePassed(now) {
 			if late {
 				return 1
 			}
 			return -1
 		}
-		if a.work.Priority != b.work.Priority {
-			return a.work.Priority - b.work.Priority
+		if a.request.Priority != b.request.Priority {
+			return a.request.Priority - b.request.Priority
 		}
-		return s.latestPlacement(&a.work).Compare(s.latestPlacement(&b.work))
+		return s.latestPlacement(&a.request).Compare(s.latestPlacement(&b.request))
 	})
 }
 
--- a/core/request/place/refuse.go
+++ b/core/request/place/refuse.go
@@ -50,7 +50,7 @@
 
 // refuseHopeless refuses a request that cannot be served by waiting.
 func (p *Placer) refuseHopeless(now time.Time, s *service, q *waitingRequest) (Verdict, bool) {
-	w := &q.work
+	w := &q.request
 	reason, ok := p.worthWaiting(now, s, q)
 	if ok {
 		return Verdict{}, false
@@ -69,7 +69,7 @@
 // worthWaiting reports whether waiting may still get the request served. If not, the
 // reason says why.
 func (p *Placer) worthWaiting(now time.Time, s *service, q *waitingRequest) (Reason, bool) {
-	w := &q.work
+	w := &q.request
 	if w.Resumed {
 		// A refusal would lose the part that the caller has, so wait until the
 		// deadline.
--- a/core/request/place/relocate.go
+++ b/core/request/place/relocate.go
@@ -42,12 +42,12 @@
 	if !ok {
 		return Verdict{}, false
 	}
-	return p.assign(now, s, &waitingRequest{work: w, since: now}, o), true
+	return p.assign(now, s, &waitingRequest{request: w, since: now}, o), true
 }
 
 // Reassign places an answer under way whose target has gone silent at any other target
 // that has room now.
 func (p *Placer) Reassign(now time.Time, w Request) (Verdict, bool) {
 	p.initMaps()
-	return p.tryPlace(now, p.service(w.Service), &waitingRequest{work: w, since: now})
+	return p.tryPlace(now, p.service(w.Service), &waitingRequest{request: w, since: now})
 }
--- a/core/request/place/target.go
+++ b/core/request/place/target.go
@@ -72,13 +72,13 @@
 	entries       int
 	// unreported holds this entry's requests that are too recent for the last report to
 	// include.
-	unreported   []sentRequest
-	pace         float64
-	reportedAt   time.Time
-	alive        bool
-	loading      bool
-	serving      uint64
-	servingKnown bool
+	unreported       []sentRequest
+	reportedSlowness float64
+	reportedAt       time.Time
+	alive            bool
+	loading          bool
+	serving          uint64
+	servingKnown     bool
 
 	failures    int
 	pausedUntil time.Time
@@ -109,7 +109,7 @@
 	t.entries = r.Listeners
 	t.alive = r.Alive
 	t.loading = r.Loading
-	t.pace = r.Slowness
+	t.reportedSlowness = r.Slowness
 	t.serving, t.servingKnown = r.ServedVersion, true
 	t.otherRequests = max(0, r.Active+r.Queued-(t.ownRequests-len(t.unreported)))
 	t.otherQueued = min(t.otherRequests, r.Queued)
@@ -137,8 +137,8 @@
 
 // slowness is how many times longer than declared the target's steps take.
 func (t *target) slowness(now time.Time) float64 {
-	if t.reportFresh(now) && t.pace > 1 {
-		return t.pace
+	if t.reportFresh(now) && t.reportedSlowness > 1 {
+		return t.reportedSlowness
 	}
 	return 1
 }
--- a/io/conn/link/ask.go
+++ b/io/conn/link/ask.go
@@ -7,10 +7,10 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Ask opens a connection to the process at addr, sends question, returns the
+// RoundTrip opens a connection to the process at addr, sends question, returns the
 // first message that the peer sends back, and closes the connection. It returns
 // an error when ctx ends first.
-func Ask(ctx context.Context, self *Self, addr netip.AddrPort, purpose Purpose, kinds frame.Kinds, question frame.Message) (frame.Message, error) {
+func RoundTrip(ctx context.Context, self *Self, addr netip.AddrPort, purpose Purpose, kinds frame.Kinds, question frame.Message) (frame.Message, error) {
 	c, err := Dial(ctx, self, addr, purpose, kinds)
 	if err != nil {
 		return nil, err
--- a/io/conn/link/link.go
+++ b/io/conn/link/link.go
@@ -37,8 +37,8 @@
 	PurposeOrders Purpose = "orders"
 	// PurposeLoad carries an engine's load from its side to the entries.
 	PurposeLoad Purpose = "load"
-	// PurposeEditions carries the manifests of versions between sides.
-	PurposeEditions Purpose = "editions"
+	// PurposeManifests carries the manifests of versions between sides.
+	PurposeManifests Purpose = "editions"
 	// PurposeAlerts carries which requests crash targets.
 	PurposeAlerts Purpose = "alerts"
 )
@@ -80,18 +80,18 @@
 	Revision atomic.Uint64
 	Totals   Totals
 
-	peerAhead atomic.Pointer[AheadFunc]
+	peerAhead atomic.Pointer[PeerAheadFunc]
 }
 
-// AheadFunc is called with a peer that has sent a higher configuration revision
+// PeerAheadFunc is called with a peer that has sent a higher configuration revision
 // than Self.Revision. It must not block.
-type AheadFunc func(peer fleet.VM, revision uint64)
+type PeerAheadFunc func(peer fleet.VM, revision uint64)
 
-// NotifyAhead sets the function to call when a peer has a higher revision, on
+// OnPeerAhead sets the function to call when a peer has a higher revision, on
 // connections of every purpose.
-func (s *Self) NotifyAhead(f AheadFunc) { s.peerAhead.Store(&f) }
+func (s *Self) OnPeerAhead(f PeerAheadFunc) { s.peerAhead.Store(&f) }
 
-// compareRevision calls the AheadFunc when a peer's frame has a higher revision than
+// compareRevision calls the PeerAheadFunc when a peer's frame has a higher revision than
 // this process.
 func (s *Self) compareRevision(peer fleet.VM, revision uint64) {
 	if revision <= s.Revision.Load() {
--- a/io/conn/link/listen.go
+++ b/io/conn/link/listen.go
@@ -25,9 +25,9 @@
 	Self     *Self
 	Net      net.Listener
 	Handlers map[Purpose]Handler
-	// Rejected, when set, is called with the reason for each connection that was
+	// OnReject, when set, is called with the reason for each connection that was
 	// closed before it reached a handler.
-	Rejected func(error)
+	OnReject func(error)
 }
 
 // Run accepts connections until ctx ends, then waits for the handlers to return.
@@ -108,7 +108,7 @@
 }
 
 func (l *Listener) reject(err error) {
-	if l.Rejected != nil {
-		l.Rejected(err)
+	if l.OnReject != nil {
+		l.OnReject(err)
 	}
 }
--- a/io/conn/link/peers.go
+++ b/io/conn/link/peers.go
@@ -6,12 +6,12 @@
 	"sync"
 )
 
-// Keeper runs one goroutine for each peer of a set that changes: it starts one
+// PeerRunner runs one goroutine for each peer of a set that changes: it starts one
 // when a peer is added and cancels it when the peer is removed. Set Keep before
 // Run.
-type Keeper struct {
-	// Keep runs for the peer at addr and must return when ctx ends.
-	Keep func(ctx context.Context, addr netip.AddrPort)
+type PeerRunner struct {
+	// Serve runs for the peer at addr and must return when ctx ends.
+	Serve func(ctx context.Context, addr netip.AddrPort)
 
 	mu sync.Mutex
 	// ctx is that of Run, nil before.
@@ -21,7 +21,7 @@
 }
 
 // Run accepts changes of the set until ctx ends, then waits for the goroutines.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *PeerRunner) Run(ctx context.Context) error {
 	k.mu.Lock()
 	k.ctx = ctx
 	k.cancels = map[netip.AddrPort]context.CancelFunc{}
@@ -31,9 +31,9 @@
 	return nil
 }
 
-// Want replaces the set of peers. It has no effect before Run starts or after
+// SetPeers replaces the set of peers. It has no effect before Run starts or after
 // its context ends.
-func (k *Keeper) Want(addrs []netip.AddrPort) {
+func (k *PeerRunner) SetPeers(addrs []netip.AddrPort) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.ctx == nil || k.ctx.Err() != nil {
@@ -47,7 +47,7 @@
 		}
 		ctx, cancel := context.WithCancel(k.ctx)
 		k.cancels[a] = cancel
-		k.wg.Go(func() { k.Keep(ctx, a) })
+		k.wg.Go(func() { k.Serve(ctx, a) })
 	}
 	for a, cancel := range k.cancels {
 		if !wanted[a] {
--- a/io/conn/link/traffic.go
+++ b/io/conn/link/traffic.go
@@ -30,14 +30,14 @@
 	crossRegion Traffic
 }
 
-// Abroad returns the traffic of calls to and from peers in other regions. It is
+// CrossRegion returns the traffic of calls to and from peers in other regions. It is
 // contained in that of PurposeCalls too.
-func (t *Totals) Abroad() *Traffic { return &t.crossRegion }
+func (t *Totals) CrossRegion() *Traffic { return &t.crossRegion }
 
-// Of returns the traffic of purpose p. It returns nil for PurposeLoad,
-// PurposeEditions and PurposeAlerts, whose traffic is not counted, and for an
+// ByPurpose returns the traffic of purpose p. It returns nil for PurposeLoad,
+// PurposeManifests and PurposeAlerts, whose traffic is not counted, and for an
 // unknown purpose.
-func (t *Totals) Of(p Purpose) *Traffic {
+func (t *Totals) ByPurpose(p Purpose) *Traffic {
 	switch p {
 	case PurposeCalls:
 		return &t.calls
@@ -53,7 +53,7 @@
 
 // Purposes returns every valid purpose of a connection.
 func Purposes() []Purpose {
-	return []Purpose{PurposeCalls, PurposeWeights, PurposeConfig, PurposeOrders, PurposeLoad, PurposeEditions, PurposeAlerts}
+	return []Purpose{PurposeCalls, PurposeWeights, PurposeConfig, PurposeOrders, PurposeLoad, PurposeManifests, PurposeAlerts}
 }
 
 // countingConn counts the bytes sent and received on a connection. Once the peer's
@@ -69,7 +69,7 @@
 // bytes counted so far, those of the Hellos, to them.
 func (c *countingConn) addToTotals(self *Self, p Purpose, peer fleet.VM) {
 	var totals []*Traffic
-	if t := self.Totals.Of(p); t != nil {
+	if t := self.Totals.ByPurpose(p); t != nil {
 		totals = append(totals, t)
 	}
 	if p == PurposeCalls && peer.Region != self.VM.Region {
--- a/io/conn/sessn/beat.go
+++ b/io/conn/sessn/beat.go
@@ -22,11 +22,11 @@
 // new calls, Ready that it can serve calls. Serving is the manifest of the version
 // that the target serves; it is empty for a service without weights.
 type Heartbeat struct {
-	Reading fresh.ClockReading `msgpack:"r"`
-	Leaving bool               `msgpack:"l"`
-	Ready   bool               `msgpack:"y"`
-	Serving chunk.Digest       `msgpack:"s"`
-	Load    Load               `msgpack:"o"`
+	Reading       fresh.ClockReading `msgpack:"r"`
+	Leaving       bool               `msgpack:"l"`
+	Ready         bool               `msgpack:"y"`
+	ServedVersion chunk.Digest       `msgpack:"s"`
+	Load          Load               `msgpack:"o"`
 }
 
 // Kind returns the message's kind on the wire.
@@ -47,15 +47,15 @@
 
 // Events carries the target's cache events to an entry, in order. They arrive with
 // a delay, and some are lost.
-type Events struct {
+type CacheEvents struct {
 	Events []PrefixEvent `msgpack:"e"`
 }
 
 // Kind returns the message's kind on the wire.
-func (*Events) Kind() frame.Kind { return "events" }
+func (*CacheEvents) Kind() frame.Kind { return "events" }
 
 // Check returns an error for the first invalid field.
-func (m *Events) Check() error {
+func (m *CacheEvents) Check() error {
 	if len(m.Events) > MaxEvents {
 		return errors.Newf("events: %d, want at most %d", len(m.Events), MaxEvents)
 	}
--- a/io/conn/sessn/call.go
+++ b/io/conn/sessn/call.go
@@ -9,16 +9,16 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// ErrLost is returned for a call whose connection failed or was closed because
+// ErrConnectionLost is returned for a call whose connection failed or was closed because
 // nothing was received on it. The call may or may not have run.
-var ErrLost = errors.New("connection lost with the call outstanding")
+var ErrConnectionLost = errors.New("connection lost with the call outstanding")
 
 // ErrUnsent is returned for a call of which nothing was sent, so that it has not run.
 var ErrUnsent = errors.New("no connection to the side")
 
-// ErrCrossed is returned when a block of a body does not begin where the previous
+// ErrOutOfOrder is returned when a block of a body does not begin where the previous
 // one ended.
-var ErrCrossed = errors.New("block at an unexpected position")
+var ErrOutOfOrder = errors.New("block at an unexpected position")
 
 // Call is the entry's end of one call on one connection. Its exported methods are
 // not safe for concurrent use.
@@ -42,9 +42,9 @@
 	return &Call{channel: id, conn: c, wake: make(chan struct{}, 1)}
 }
 
-// Next returns the next message of the call: Verdict, Head, Data, End or Refusal.
+// StatusChanged returns the next message of the call: Verdict, Head, Data, End or Refusal.
 // When the connection has ended it returns the messages received before, then
-// ErrLost.
+// ErrConnectionLost.
 func (c *Call) Next(ctx context.Context) (frame.Message, error) {
 	for {
 		m, err := c.dequeue()
@@ -80,13 +80,13 @@
 	switch m := m.(type) {
 	case *Data:
 		if m.Position != c.position {
-			return errors.Wrapf(ErrCrossed, "at %d, want %d", m.Position, c.position)
+			return errors.Wrapf(ErrOutOfOrder, "at %d, want %d", m.Position, c.position)
 		}
 		c.position += len(m.Data)
 		return c.sendCredit(len(m.Data))
 	case *End:
 		if m.Size != c.position {
-			return errors.Wrapf(ErrCrossed, "end at %d, want %d", m.Size, c.position)
+			return errors.Wrapf(ErrOutOfOrder, "end at %d, want %d", m.Size, c.position)
 		}
 	}
 	return nil
@@ -94,7 +94,7 @@
 
 func (c *Call) sendCredit(n int) error {
 	c.uncredited += n
-	if c.uncredited < Window/2 {
+	if c.uncredited < CreditWindow/2 {
 		return nil
 	}
 	m := &Credit{Channel: c.channel, Bytes: c.uncredited}
@@ -112,8 +112,8 @@
 	for _, m := range ms {
 		c.queuedBytes += answerBytes(m)
 	}
-	if c.queuedBytes > Window || len(c.queue) > Window {
-		c.queue, c.err = nil, errors.Wrap(ErrLost, "side sent more than its credit allows")
+	if c.queuedBytes > CreditWindow || len(c.queue) > CreditWindow {
+		c.queue, c.err = nil, errors.Wrap(ErrConnectionLost, "side sent more than its credit allows")
 	} else {
 		c.queue = append(c.queue, ms...)
 	}
--- a/io/conn/sessn/client.go
+++ b/io/conn/sessn/client.go
@@ -24,9 +24,9 @@
 	Timing Timing
 	// Changed, when set, is called after each heartbeat, when the connection ends,
 	// and when an attempt to connect fails. It must not block.
-	Changed func()
+	OnChange func()
 	// Events, when set, is called with the target's cache events. It must not block.
-	Events func([]PrefixEvent)
+	OnCacheEvents func([]PrefixEvent)
 
 	mu            sync.Mutex
 	conn          *entryConn
@@ -39,10 +39,10 @@
 // was received. Refused means that the latest attempt to connect found nothing
 // listening at the side's address.
 type Status struct {
-	Connected bool
-	Refused   bool
-	At        time.Time
-	Beat      Heartbeat
+	Connected  bool
+	Refused    bool
+	ReceivedAt time.Time
+	Heartbeat  Heartbeat
 }
 
 // Status returns the state of the connection and the latest heartbeat.
@@ -58,7 +58,7 @@
 	if conn.closed || conn.lastHeartbeat == nil {
 		return Status{}
 	}
-	return Status{Connected: true, At: conn.lastHeartbeatAt, Beat: *conn.lastHeartbeat}
+	return Status{Connected: true, ReceivedAt: conn.lastHeartbeatAt, Heartbeat: *conn.lastHeartbeat}
 }
 
 // Run maintains the session until ctx ends.
@@ -66,7 +66,7 @@
 	t := c.Timing.orDefaults()
 	for ctx.Err() == nil {
 		if !c.runConnection(ctx, t) {
-			c.pause(ctx, t.Redial)
+			c.pause(ctx, t.RedialDelay)
 		}
 	}
 	return nil
@@ -84,7 +84,7 @@
 // runConnection dials the side and serves the connection until it ends. It reports
 // whether a heartbeat was received on it; if not, Run waits before the next attempt.
 func (c *Client) runConnection(ctx context.Context, t Timing) bool {
-	dialCtx, cancel := context.WithTimeout(ctx, t.Silent)
+	dialCtx, cancel := context.WithTimeout(ctx, t.SilenceTimeout)
 	l, err := link.Dial(dialCtx, c.Self, c.VM.Address, link.PurposeCalls, entryKinds())
 	cancel()
 	if err != nil {
@@ -92,7 +92,7 @@
 		return false
 	}
 	conn := &entryConn{link: l, notifyChange: c.notifyChange, handleEvents: c.onEvents, calls: map[Channel]*Call{}}
-	conn.silence.Timeout = t.Silent
+	conn.silence.Timeout = t.SilenceTimeout
 	conn.recordReceived(c.Clock.Now())
 	c.setConn(conn)
 	watchCtx, stop := context.WithCancel(ctx)
@@ -106,10 +106,10 @@
 	return conn.lastHeartbeat != nil
 }
 
-// closeWhenSilent closes a connection on which nothing was received for Timing.Silent,
+// closeWhenSilent closes a connection on which nothing was received for Timing.SilenceTimeout,
 // or when ctx ends.
 func (c *Client) closeWhenSilent(ctx context.Context, conn *entryConn, t Timing) {
-	tick := c.Clock.NewTicker(t.Beat)
+	tick := c.Clock.NewTicker(t.HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -155,19 +155,19 @@
 		c.statusChanged = nil
 	}
 	c.mu.Unlock()
-	if c.Changed != nil {
-		c.Changed()
+	if c.OnChange != nil {
+		c.OnChange()
 	}
 }
 
 func (c *Client) onEvents(events []PrefixEvent) {
-	if c.Events != nil {
-		c.Events(events)
+	if c.OnCacheEvents != nil {
+		c.OnCacheEvents(events)
 	}
 }
 
-// Next returns a channel that is closed at the next change of Status.
-func (c *Client) Next() <-chan struct{} {
+// StatusChanged returns a channel that is closed at the next change of Status.
+func (c *Client) StatusChanged() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.statusChanged == nil {
@@ -176,11 +176,11 @@
 	return c.statusChanged
 }
 
-// Reading returns the latest reading of the side's clock, which calls send back in
-// Start.Echo. It returns false when the client is not connected.
-func (c *Client) Reading() (fresh.ClockReading, bool) {
+// ClockReading returns the latest reading of the side's clock, which calls send back in
+// Start.EchoedReading. It returns false when the client is not connected.
+func (c *Client) ClockReading() (fresh.ClockReading, bool) {
 	s := c.Status()
-	return s.Beat.Reading, s.Connected
+	return s.Heartbeat.Reading, s.Connected
 }
 
 // Start sends a call. body is the whole request body. ErrUnsent means that nothing
@@ -191,18 +191,18 @@
 		return nil, err
 	}
 	m.Channel = call.channel
-	m.Size = len(body)
-	first := min(len(body), BlockSize)
+	m.BodySize = len(body)
+	first := min(len(body), MaxBlockSize)
 	m.Body = body[:first]
 	if err := conn.send(m); err != nil {
 		call.Close(true)
-		return nil, errors.Mark(err, ErrLost)
+		return nil, errors.Mark(err, ErrConnectionLost)
 	}
-	for at := first; at < len(body); at += BlockSize {
-		end := min(at+BlockSize, len(body))
+	for at := first; at < len(body); at += MaxBlockSize {
+		end := min(at+MaxBlockSize, len(body))
 		if err := conn.send(&Body{Channel: m.Channel, Position: at, Data: body[at:end]}); err != nil {
 			call.Close(true)
-			return nil, errors.Mark(err, ErrLost)
+			return nil, errors.Mark(err, ErrConnectionLost)
 		}
 	}
 	return call, nil
@@ -218,7 +218,7 @@
 	m.Channel = call.channel
 	if err := conn.send(m); err != nil {
 		call.Close(true)
-		return nil, errors.Mark(err, ErrLost)
+		return nil, errors.Mark(err, ErrConnectionLost)
 	}
 	return call, nil
 }
--- a/io/conn/sessn/entryconn.go
+++ b/io/conn/sessn/entryconn.go
@@ -71,7 +71,7 @@
 		switch m := m.(type) {
 		case *Heartbeat:
 			c.onHeartbeat(m, now())
-		case *Events:
+		case *CacheEvents:
 			c.handleEvents(m.Events)
 		default:
 			c.deliver(m)
@@ -146,6 +146,6 @@
 	c.calls = map[Channel]*Call{}
 	c.mu.Unlock()
 	for _, call := range outstanding {
-		call.fail(ErrLost)
+		call.fail(ErrConnectionLost)
 	}
 }
--- a/io/conn/sessn/message.go
+++ b/io/conn/sessn/message.go
@@ -16,16 +16,16 @@
 	"hawthornferry/io/conn/frame"
 )
 
-// Limits in bytes. BlockSize limits the data of one message, MaxBody a request
+// Limits in bytes. MaxBlockSize limits the data of one message, MaxBody a request
 // body, MaxAnswer an answer that is buffered whole; MaxHeader is not used.
-// Window is how much of an answer the side may send before the entry gives it
+// CreditWindow is how much of an answer the side may send before the entry gives it
 // further credit.
 const (
-	BlockSize = 64 << 10
-	MaxBody   = 8 << 20
-	MaxAnswer = 1 << 20
-	MaxHeader = 64 << 10
-	Window    = 64 << 10
+	MaxBlockSize = 64 << 10
+	MaxBody      = 8 << 20
+	MaxAnswer    = 1 << 20
+	MaxHeader    = 64 << 10
+	CreditWindow = 64 << 10
 )
 
 // Channel identifies a call on one connection. Numbers start at 1 and are not used
@@ -40,18 +40,18 @@
 // call runs at the side. Members encodes the possible owners of the call's key as
 // the entry knows them; the side compares it with its own (see calls.OwnerMembers).
 type Start struct {
-	Channel Channel            `msgpack:"c"`
-	Request string             `msgpack:"q"`
-	Echo    fresh.ClockReading `msgpack:"e"`
-	Ticket  *calls.Ticket      `msgpack:"t,omitempty"`
-	Method  string             `msgpack:"m"`
-	Path    string             `msgpack:"p"`
-	Header  http.Header        `msgpack:"h"`
-	Body    []byte             `msgpack:"b"`
-	Size    int                `msgpack:"z"`
-	Timeout time.Duration      `msgpack:"o"`
-	Version chunk.Digest       `msgpack:"v,omitempty"`
-	Members string             `msgpack:"k,omitempty"`
+	Channel       Channel            `msgpack:"c"`
+	Request       string             `msgpack:"q"`
+	EchoedReading fresh.ClockReading `msgpack:"e"`
+	Ticket        *calls.Ticket      `msgpack:"t,omitempty"`
+	Method        string             `msgpack:"m"`
+	Path          string             `msgpack:"p"`
+	Header        http.Header        `msgpack:"h"`
+	Body          []byte             `msgpack:"b"`
+	BodySize      int                `msgpack:"z"`
+	Timeout       time.Duration      `msgpack:"o"`
+	Version       chunk.Digest       `msgpack:"v,omitempty"`
+	Members       string             `msgpack:"k,omitempty"`
 }
 
 // Kind returns the message's kind on the wire.
@@ -62,8 +62,8 @@
 	if m.Channel == 0 || m.Request == "" || m.Method == "" || m.Path == "" {
 		return errors.New("start: channel, request, method or path is empty")
 	}
-	if m.Size < len(m.Body) || m.Size > MaxBody {
-		return errors.Newf("start: body of %d bytes, want %d to %d", m.Size, len(m.Body), MaxBody)
+	if m.BodySize < len(m.Body) || m.BodySize > MaxBody {
+		return errors.Newf("start: body of %d bytes, want %d to %d", m.BodySize, len(m.Body), MaxBody)
 	}
 	if m.Timeout <= 0 {
 		return errors.Newf("start: timeout %s is not positive", m.Timeout)
@@ -73,7 +73,7 @@
 			return errors.Wrap(err, "start")
 		}
 	}
-	return m.Echo.Check()
+	return m.EchoedReading.Check()
 }
 
 // Body is a block of a request's body after the first. Position is the number of
@@ -113,8 +113,8 @@
 
 // Check returns an error for the first invalid field.
 func (m *Credit) Check() error {
-	if m.Bytes <= 0 || m.Bytes > Window {
-		return errors.Newf("credit: %d bytes, want 1 to %d", m.Bytes, Window)
+	if m.Bytes <= 0 || m.Bytes > CreditWindow {
+		return errors.Newf("credit: %d bytes, want 1 to %d", m.Bytes, CreditWindow)
 	}
 	return checkChannel("credit", m.Channel)
 }
@@ -165,7 +165,7 @@
 	Channel Channel     `msgpack:"c"`
 	Status  int         `msgpack:"s"`
 	Header  http.Header `msgpack:"h"`
-	Again   bool        `msgpack:"a,omitempty"`
+	Stored  bool        `msgpack:"a,omitempty"`
 }
 
 // Kind returns the message's kind on the wire.
@@ -209,13 +209,13 @@
 	return checkChannel("end", m.Channel)
 }
 
-// Answer is a complete answer of at most BlockSize bytes: Head, Data and End in one
+// Answer is a complete answer of at most MaxBlockSize bytes: Head, Data and End in one
 // message.
 type Answer struct {
 	Channel Channel     `msgpack:"c"`
 	Status  int         `msgpack:"s"`
 	Header  http.Header `msgpack:"h"`
-	Again   bool        `msgpack:"a,omitempty"`
+	Stored  bool        `msgpack:"a,omitempty"`
 	Data    []byte      `msgpack:"d"`
 }
 
@@ -232,7 +232,7 @@
 
 // split returns the Head, Data and End messages that m is equivalent to.
 func (m *Answer) split() []frame.Message {
-	head := &Head{Channel: m.Channel, Status: m.Status, Header: m.Header, Again: m.Again}
+	head := &Head{Channel: m.Channel, Status: m.Status, Header: m.Header, Stored: m.Stored}
 	end := &End{Channel: m.Channel, Size: len(m.Data)}
 	if len(m.Data) == 0 {
 		return []frame.Message{head, end}
@@ -268,8 +268,8 @@
 }
 
 func checkBlock(kind string, id Channel, position int, b []byte) error {
-	if position < 0 || len(b) > BlockSize {
-		return errors.Newf("%s: %d bytes at %d, want at most %d", kind, len(b), position, BlockSize)
+	if position < 0 || len(b) > MaxBlockSize {
+		return errors.Newf("%s: %d bytes at %d, want at most %d", kind, len(b), position, MaxBlockSize)
 	}
 	return checkChannel(kind, id)
 }
@@ -278,7 +278,7 @@
 func entryKinds() frame.Kinds {
 	k := frame.Kinds{}
 	k.Register(func() frame.Message { return &Heartbeat{} })
-	k.Register(func() frame.Message { return &Events{} })
+	k.Register(func() frame.Message { return &CacheEvents{} })
 	k.Register(func() frame.Message { return &Verdict{} })
 	k.Register(func() frame.Message { return &Answer{} })
 	k.Register(func() frame.Message { return &Head{} })
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -18,18 +18,18 @@
 // Service handles the calls of a side's sessions and provides its heartbeats;
 // gate.Gate implements it.
 type Service interface {
-	// Begin handles a call whose request has been received completely. It is called
+	// HandleCall handles a call whose request has been received completely. It is called
 	// in a goroutine of its own.
-	Begin(s *Stream)
-	// Ask handles a query. It is called in a goroutine of its own.
-	Ask(s *Stream, q *Query)
+	HandleCall(s *Stream)
+	// HandleQuery handles a query. It is called in a goroutine of its own.
+	HandleQuery(s *Stream, q *Query)
 	// Beat returns the content of the next heartbeat.
-	Beat() Heartbeat
+	Heartbeat() Heartbeat
 	// Changed returns a channel that is closed when the result of Beat changes.
-	Changed() <-chan struct{}
+	HeartbeatChanged() <-chan struct{}
 	// Events returns the target's cache events after a position, at most MaxEvents
 	// of them, and the position of the last one returned.
-	Events(after uint64) ([]PrefixEvent, uint64)
+	CacheEvents(after uint64) ([]PrefixEvent, uint64)
 }
 
 // Server is the side's end of all sessions with entries. Set the exported fields
@@ -86,7 +86,7 @@
 	c := &sideConn{link: l, server: s, streams: map[Channel]*Stream{}, answerReceived: make(chan struct{})}
 	s.addConn(c)
 	defer s.removeConn(c)
-	c.silence.Timeout = s.Timing.orDefaults().Silent
+	c.silence.Timeout = s.Timing.orDefaults().SilenceTimeout
 	c.recordReceived(s.Clock.Now())
 	c.wg.Go(func() { c.sendHeartbeats(ctx) })
 	_ = c.receive(ctx)
@@ -98,15 +98,15 @@
 }
 
 // sendHeartbeats sends heartbeats and cache events. It closes the connection when
-// nothing was received for Timing.Silent; its calls are then cancelled, since nobody
+// nothing was received for Timing.SilenceTimeout; its calls are then cancelled, since nobody
 // reads their answers.
 func (c *sideConn) sendHeartbeats(ctx context.Context) {
-	tick := c.server.Clock.NewTicker(c.server.Timing.orDefaults().Beat)
+	tick := c.server.Clock.NewTicker(c.server.Timing.orDefaults().HeartbeatInterval)
 	defer tick.Stop()
 	var seen uint64
 	for {
-		changed := c.server.Service.Changed()
-		hb := c.server.Service.Beat()
+		changed := c.server.Service.HeartbeatChanged()
+		hb := c.server.Service.Heartbeat()
 		c.mu.Lock()
 		c.heartbeatsSent++
 		c.mu.Unlock()
@@ -114,8 +114,8 @@
 			return
 		}
 		var events []PrefixEvent
-		events, seen = c.server.Service.Events(seen)
-		if len(events) > 0 && c.send(&Events{Events: events}) != nil {
+		events, seen = c.server.Service.CacheEvents(seen)
+		if len(events) > 0 && c.send(&CacheEvents{Events: events}) != nil {
 			return
 		}
 		select {
@@ -219,13 +219,13 @@
 }
 
 func (c *sideConn) onStart(ctx context.Context, m *Start) error {
-	if c.server.bodyBytes.Add(int64(m.Size)) > maxBodyBytes {
-		c.server.bodyBytes.Add(-int64(m.Size))
+	if c.server.bodyBytes.Add(int64(m.BodySize)) > maxBodyBytes {
+		c.server.bodyBytes.Add(-int64(m.BodySize))
 		return c.refuseBusy(m)
 	}
 	s, err := c.openStream(ctx, m.Channel)
 	if err != nil || s == nil {
-		c.server.bodyBytes.Add(-int64(m.Size))
+		c.server.bodyBytes.Add(-int64(m.BodySize))
 	}
 	if err != nil {
 		return err
@@ -233,7 +233,7 @@
 	if s == nil {
 		return c.refuseBusy(m)
 	}
-	s.Start, s.bodySize = m, m.Size
+	s.Start, s.bodySize = m, m.BodySize
 	s.Body = m.Body
 	m.Body = nil
 	c.startIfComplete(s)
@@ -257,7 +257,7 @@
 		return nil
 	}
 	if m.Position != len(s.Body) || len(s.Body)+len(m.Data) > s.bodySize {
-		return errors.Wrapf(ErrCrossed, "body at %d, want %d", m.Position, len(s.Body))
+		return errors.Wrapf(ErrOutOfOrder, "body at %d, want %d", m.Position, len(s.Body))
 	}
 	s.Body = append(s.Body, m.Data...)
 	c.startIfComplete(s)
@@ -276,7 +276,7 @@
 		defer c.server.bodyBytes.Add(-int64(s.bodySize))
 		defer s.cancel()
 		defer c.removeStream(s.channel)
-		c.server.Service.Begin(s)
+		c.server.Service.HandleCall(s)
 	})
 }
 
@@ -291,7 +291,7 @@
 	c.wg.Go(func() {
 		defer s.cancel()
 		defer c.removeStream(s.channel)
-		c.server.Service.Ask(s, m)
+		c.server.Service.HandleQuery(s, m)
 	})
 	return nil
 }
--- a/io/conn/sessn/sessn_test.go
+++ b/io/conn/sessn/sessn_test.go
@@ -52,7 +52,7 @@
 	t.Cleanup(cancel)
 	go func() { _ = l.Run(ctx) }()
 	c := &Client{Self: &link.Self{VM: vm, Boot: "e"}, Clock: clockwork.NewRealClock(), VM: vm}
-	c.Timing = Timing{Beat: time.Hour, Silent: 2 * time.Hour, Redial: time.Millisecond}
+	c.Timing = Timing{HeartbeatInterval: time.Hour, SilenceTimeout: 2 * time.Hour, RedialDelay: time.Millisecond}
 	go func() { _ = c.Run(ctx) }()
 	for !c.Status().Connected {
 		time.Sleep(time.Millisecond)
@@ -62,8 +62,8 @@
 
 func startCall(t *testing.T, c *Client, starts chan *Start) (*Call, Channel) {
 	t.Helper()
-	echo, _ := c.Reading()
-	call, err := c.Start(&Start{Request: "r", Echo: echo, Method: http.MethodGet, Path: "/", Timeout: time.Minute}, nil)
+	echo, _ := c.ClockReading()
+	call, err := c.Start(&Start{Request: "r", EchoedReading: echo, Method: http.MethodGet, Path: "/", Timeout: time.Minute}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,8 +125,8 @@
 			if diff := cmp.Diff("ab", body); diff != "" {
 				t.Errorf("body (-want +got):\n%s", diff)
 			}
-			if !errors.Is(err, ErrCrossed) {
-				t.Errorf("error %v, want %v", err, ErrCrossed)
+			if !errors.Is(err, ErrOutOfOrder) {
+				t.Errorf("error %v, want %v", err, ErrOutOfOrder)
 			}
 		})
 	}
--- a/io/conn/sessn/stream.go
+++ b/io/conn/sessn/stream.go
@@ -36,7 +36,7 @@
 func (s *Stream) bodyIncomplete() bool { return s.Start != nil && !s.started }
 
 func newStream(ctx context.Context, c *sideConn, id Channel) *Stream {
-	s := &Stream{conn: c, channel: id, credit: Window, creditAdded: make(chan struct{}, 1)}
+	s := &Stream{conn: c, channel: id, credit: CreditWindow, creditAdded: make(chan struct{}, 1)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	return s
 }
@@ -58,7 +58,7 @@
 func (s *Stream) Write(b []byte) (int, error) {
 	sent := 0
 	for sent < len(b) {
-		n, err := s.takeCredit(min(len(b)-sent, BlockSize))
+		n, err := s.takeCredit(min(len(b)-sent, MaxBlockSize))
 		if err != nil {
 			return sent, err
 		}
@@ -92,7 +92,7 @@
 
 func (s *Stream) addCredit(n int) {
 	s.mu.Lock()
-	s.credit = min(s.credit+n, Window)
+	s.credit = min(s.credit+n, CreditWindow)
 	s.mu.Unlock()
 	select {
 	case s.creditAdded <- struct{}{}:
@@ -100,13 +100,13 @@
 	}
 }
 
-// Answer sends a complete answer. One of at most BlockSize bytes is sent as one
+// Answer sends a complete answer. One of at most MaxBlockSize bytes is sent as one
 // message instead of three, which saves two system calls and two wake-ups at each
 // end.
 func (s *Stream) Answer(h Head, body []byte) error {
-	if len(body) <= BlockSize {
+	if len(body) <= MaxBlockSize {
 		return s.finish(&Answer{
-			Channel: s.channel, Status: h.Status, Header: h.Header, Again: h.Again, Data: body,
+			Channel: s.channel, Status: h.Status, Header: h.Header, Stored: h.Stored, Data: body,
 		})
 	}
 	if err := s.Head(h); err != nil {
--- a/io/conn/sessn/timing.go
+++ b/io/conn/sessn/timing.go
@@ -8,17 +8,17 @@
 // are closed. Silent also limits an attempt to connect. Redial is the wait after a
 // failed attempt.
 type Timing struct {
-	Beat   time.Duration
-	Silent time.Duration
-	Redial time.Duration
+	HeartbeatInterval time.Duration
+	SilenceTimeout    time.Duration
+	RedialDelay       time.Duration
 }
 
 // DefaultTiming returns the timing that is used when none is set.
 func DefaultTiming() Timing {
 	return Timing{
-		Beat:   500 * time.Millisecond,
-		Silent: 2 * time.Second,
-		Redial: 250 * time.Millisecond,
+		HeartbeatInterval: 500 * time.Millisecond,
+		SilenceTimeout:    2 * time.Second,
+		RedialDelay:       250 * time.Millisecond,
 	}
 }
 
--- a/io/process/admin/status.go
+++ b/io/process/admin/status.go
@@ -25,15 +25,15 @@
 // Process identifies the process. Boot identifies this run of it. Ready is the result
 // of /readyz; Reason says why the process is not ready.
 type Process struct {
-	Name    string     `json:"name"`
-	Role    fleet.Role `json:"role"`
-	Zone    string     `json:"zone"`
-	Region  string     `json:"region"`
-	Boot    string     `json:"boot"`
-	Version string     `json:"version"`
-	Started time.Time  `json:"started"`
-	Ready   bool       `json:"ready"`
-	Reason  string     `json:"reason,omitempty"`
+	Name           string     `json:"name"`
+	Role           fleet.Role `json:"role"`
+	Zone           string     `json:"zone"`
+	Region         string     `json:"region"`
+	Boot           string     `json:"boot"`
+	Version        string     `json:"version"`
+	Started        time.Time  `json:"started"`
+	Ready          bool       `json:"ready"`
+	NotReadyReason string     `json:"reason,omitempty"`
 }
 
 // Config describes the configuration in force and how the process gets it. Refused is
@@ -41,20 +41,20 @@
 // is the revision in force if another document with the same revision was seen, else
 // 0. Service is the highest revision that this process has read from the platform
 // itself. Reader says whether it currently reads the platform for its zone. Peers is
-// the number of connected peers. ListVersion and VMs are the version and the length
+// the number of connected peers. VMListVersion and VMs are the version and the length
 // of the VM list.
 type Config struct {
-	Environment string `json:"environment"`
-	Stage       string `json:"stage"`
-	Revision    uint64 `json:"revision"`
-	Service     uint64 `json:"service"`
-	Refused     uint64 `json:"refused,omitempty"`
-	Fault       string `json:"fault,omitempty"`
-	Conflict    uint64 `json:"conflict,omitempty"`
-	Reader      bool   `json:"reader"`
-	Peers       int    `json:"peers"`
-	ListVersion uint64 `json:"listVersion"`
-	VMs         int    `json:"vms"`
+	Environment      string `json:"environment"`
+	Stage            string `json:"stage"`
+	Revision         uint64 `json:"revision"`
+	ReadRevision     uint64 `json:"service"`
+	RefusedRevision  uint64 `json:"refused,omitempty"`
+	RefusalReason    string `json:"fault,omitempty"`
+	ConflictRevision uint64 `json:"conflict,omitempty"`
+	Reader           bool   `json:"reader"`
+	Peers            int    `json:"peers"`
+	VMListVersion    uint64 `json:"listVersion"`
+	VMs              int    `json:"vms"`
 }
 
 // Rollout is the progress of loading a version of a model at the replicas that are to
@@ -72,7 +72,7 @@
 // ChunksTotal are summed over all replicas.
 type Progress struct {
 	Zone        string `json:"zone"`
-	Want        int    `json:"want"`
+	Wanted      int    `json:"want"`
 	Serving     int    `json:"serving"`
 	Staged      int    `json:"staged"`
 	ChunksHeld  int    `json:"chunksHeld"`
@@ -93,7 +93,7 @@
 
 // Outcome counts a customer's calls to a service by outcome since the process
 // started. Repeated counts those that had been received before and did not run again,
-// Refused those that admission refused.
+// RefusedRevision those that admission refused.
 type Outcome struct {
 	Customer string `json:"customer"`
 	Service  string `json:"service"`
--- a/io/process/alert/alert_test.go
+++ b/io/process/alert/alert_test.go
@@ -49,7 +49,7 @@
 	c := &HubClient{Self: testSelf(name), Clock: r.Clock, Log: trail.Discard{}, Registry: r}
 	stop := start(t, c.Run)
 	eventually(t, name+" runs", func() bool {
-		c.Want(hubs)
+		c.SetHubs(hubs)
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return len(r.subscribers) > 0
@@ -99,7 +99,7 @@
 	for i, r := range registries {
 		connectEntry(t, fmt.Sprint("entry-", i), r, hub)
 		if i < 3 {
-			r.Struck(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
+			r.RecordFailure(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
 		}
 	}
 	began := time.Now()
@@ -115,7 +115,7 @@
 	}
 	eventually(t, "all refuse it", all(true))
 	t.Logf("all refuse it after %s", time.Since(began))
-	registries[1].Succeeded(crashKey)
+	registries[1].RecordSuccess(crashKey)
 	eventually(t, "all let it through", all(false))
 }
 
@@ -128,11 +128,11 @@
 	connectEntry(t, "two", two, hub)
 	began := time.Now()
 	for i := range 3 {
-		one.Struck(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
+		one.RecordFailure(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
 	}
 	eventually(t, "the other one refuses it", func() bool { return isBlocked(two) })
 	eventually(t, "both let it through", func() bool {
-		two.Answered(began, poison.Incarnation{Target: "i-1"})
+		two.RecordAnswer(began, poison.Incarnation{Target: "i-1"})
 		return !isBlocked(one) && !isBlocked(two)
 	})
 }
@@ -144,7 +144,7 @@
 	old := newRegistry()
 	connectEntry(t, "old", old, hub)
 	for i := range 3 {
-		old.Struck(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
+		old.RecordFailure(crashKey, poison.Incarnation{Target: fmt.Sprint("i-", i)}, 0)
 	}
 	stop()
 	serveHub(t, hub.String(), newRegistry().Handler())
@@ -165,7 +165,7 @@
 	connectEntry(t, "two", two, hub)
 	const broken = 3 * maxNotes
 	for i := range broken {
-		one.Struck(poison.Request{URI: fmt.Sprint("/", i)}.Fingerprint(), poison.Incarnation{Target: "i-0"}, 0)
+		one.RecordFailure(poison.Request{URI: fmt.Sprint("/", i)}.Fingerprint(), poison.Incarnation{Target: "i-0"}, 0)
 	}
 	eventually(t, "the hub knows all", func() bool { return registry.size.Load() == broken })
 	// Longer than a hub takes to send its news.
--- a/io/process/alert/exchange.go
+++ b/io/process/alert/exchange.go
@@ -79,17 +79,17 @@
 	Log      trail.Log
 	Registry *Registry
 
-	hubs link.Keeper
+	hubs link.PeerRunner
 }
 
 // Run maintains the connections until ctx ends.
 func (c *HubClient) Run(ctx context.Context) error {
-	c.hubs.Keep = c.maintain
+	c.hubs.Serve = c.maintain
 	return c.hubs.Run(ctx)
 }
 
-// Want sets the hubs to be connected to from now on.
-func (c *HubClient) Want(hubs []netip.AddrPort) { c.hubs.Want(hubs) }
+// SetHubs sets the hubs to be connected to from now on.
+func (c *HubClient) SetHubs(hubs []netip.AddrPort) { c.hubs.SetPeers(hubs) }
 
 // maintain keeps a connection to one hub, and logs when it is established and lost.
 func (c *HubClient) maintain(ctx context.Context, hub netip.AddrPort) {
--- a/io/process/alert/listchecker.go
+++ b/io/process/alert/listchecker.go
@@ -44,7 +44,7 @@
 		switch {
 		case age.OlderThan(maxListAge):
 			freshSince = l.Clock.Now()
-		case l.Registry.Any() && l.Clock.Since(freshSince) >= minFreshTime:
+		case l.Registry.HasRecords() && l.Clock.Since(freshSince) >= minFreshTime:
 			l.Registry.applyListing(listedStarts(f))
 		}
 	}
--- a/io/process/alert/registry.go
+++ b/io/process/alert/registry.go
@@ -55,8 +55,8 @@
 	wake        chan struct{}
 }
 
-// Any reports whether there is a record of any request. It takes no lock.
-func (r *Registry) Any() bool { return r.size.Load() > 0 }
+// HasRecords reports whether there is a record of any request. It takes no lock.
+func (r *Registry) HasRecords() bool { return r.size.Load() > 0 }
 
 // Blocked reports whether a request is refused, and after what time its caller may retry.
 func (r *Registry) Blocked(k poison.Fingerprint) (time.Duration, bool) {
@@ -65,9 +65,9 @@
 	return r.ledger.Blocked(r.Clock.Now(), k)
 }
 
-// Struck records that an attempt of a request broke off at a target start, after its answer
+// RecordFailure records that an attempt of a request broke off at a target start, after its answer
 // had been going on for ran.
-func (r *Registry) Struck(k poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
+func (r *Registry) RecordFailure(k poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
 	r.change(fromLocal, "", k, func(now time.Time) bool {
 		counts := r.ledger.RecordFailure(now, k, at, ran)
 		if counts {
@@ -77,13 +77,13 @@
 	})
 }
 
-// Succeeded records that a request completed successfully.
-func (r *Registry) Succeeded(k poison.Fingerprint) {
+// RecordSuccess records that a request completed successfully.
+func (r *Registry) RecordSuccess(k poison.Fingerprint) {
 	r.change(fromLocal, "", k, func(now time.Time) bool { return r.ledger.RecordSuccess(now, k) })
 }
 
-// Answered records that a target start has answered a request that was sent to it at sentAt.
-func (r *Registry) Answered(sentAt time.Time, at poison.Incarnation) {
+// RecordAnswer records that a target start has answered a request that was sent to it at sentAt.
+func (r *Registry) RecordAnswer(sentAt time.Time, at poison.Incarnation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.Clock.Now()
--- a/io/process/cmds/entry.go
+++ b/io/process/cmds/entry.go
@@ -34,6 +34,6 @@
 		callers.Close()
 		return err
 	}
-	p := &entry.Entry{Host: h, Callers: callers}
+	p := &entry.Entry{Process: h, Callers: callers}
 	return p.Run(ctx)
 }
--- a/io/process/cmds/side.go
+++ b/io/process/cmds/side.go
@@ -29,6 +29,6 @@
 	if err != nil {
 		return err
 	}
-	p := &side.Side{Host: h}
+	p := &side.Side{Process: h}
 	return p.Run(ctx)
 }
--- a/io/process/cmds/status.go
+++ b/io/process/cmds/status.go
@@ -78,12 +78,12 @@
 func operatorNote(s admin.Status) string {
 	c := s.Config
 	switch {
-	case c.Conflict > 0:
-		return fmt.Sprintf("revision %d stands for two documents: promote again", c.Conflict)
-	case c.Refused > c.Revision:
-		return fmt.Sprintf("revision %d refused: %.120s", c.Refused, c.Fault)
+	case c.ConflictRevision > 0:
+		return fmt.Sprintf("revision %d stands for two documents: promote again", c.ConflictRevision)
+	case c.RefusedRevision > c.Revision:
+		return fmt.Sprintf("revision %d refused: %.120s", c.RefusedRevision, c.RefusalReason)
 	}
-	return s.Process.Reason
+	return s.Process.NotReadyReason
 }
 
 // rolloutRow is the progress of a version in a zone, as seen by the process that has
@@ -112,7 +112,7 @@
 	for _, key := range sortedKeys(rows) {
 		r := rows[key]
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d/%d\t%d/%d\t%d/%d\n", r.service, r.version, r.zone,
-			r.Serving, r.Want, r.Staged, r.Want, r.ChunksHeld, r.ChunksTotal)
+			r.Serving, r.Wanted, r.Staged, r.Wanted, r.ChunksHeld, r.ChunksTotal)
 	}
 }
 
--- a/io/process/cmds/status_test.go
+++ b/io/process/cmds/status_test.go
@@ -39,10 +39,10 @@
 func entryStatus(name string, serving int, done uint64) admin.Status {
 	return admin.Status{
 		Process: admin.Process{Name: name, Role: fleet.RoleEntry, Zone: "freo-shed", Ready: true},
-		Config:  admin.Config{Environment: "pindan", Revision: 4, Refused: 5, Fault: "no service"},
+		Config:  admin.Config{Environment: "pindan", Revision: 4, RefusedRevision: 5, RefusalReason: "no service"},
 		Rollouts: []admin.Rollout{{
 			Service: "helper", Model: "m", Version: "v2", Manifest: chunk.DigestOf(nil),
-			Zones: []admin.Progress{{Zone: "freo-shed", Want: 2, Serving: serving, ChunksTotal: 8}},
+			Zones: []admin.Progress{{Zone: "freo-shed", Wanted: 2, Serving: serving, ChunksTotal: 8}},
 		}},
 		Outcomes: []admin.Outcome{{Customer: "c", Service: "booking", Done: done}},
 		Drift:    []admin.Drift{{Name: "firstToken", Unit: "ms", WindowMs: 60000, Value: 12, Previous: 11}},
--- a/io/process/conf/load.go
+++ b/io/process/conf/load.go
@@ -100,8 +100,8 @@
 		return
 	}
 	if err := f.Set(text); err != nil {
-		flaw := inidoc.Problem{File: where, Section: name, Key: f.Key, Value: text, Reason: err.Error()}
-		r.file.Problems = append(r.file.Problems, flaw)
+		problem := inidoc.Problem{File: where, Section: name, Key: f.Key, Value: text, Reason: err.Error()}
+		r.file.Problems = append(r.file.Problems, problem)
 	}
 }
 
@@ -123,8 +123,8 @@
 }
 
 func (r *reader) reject(name, key, value, reason string) {
-	flaw := inidoc.Problem{File: r.file.Name, Section: name, Key: key, Value: value, Reason: reason}
-	r.file.Problems = append(r.file.Problems, flaw)
+	problem := inidoc.Problem{File: r.file.Name, Section: name, Key: key, Value: value, Reason: reason}
+	r.file.Problems = append(r.file.Problems, problem)
 }
 
 func hasSection(known []section, name string) bool {
--- a/io/process/entry/entry.go
+++ b/io/process/entry/entry.go
@@ -10,40 +10,40 @@
 
 	"github.com/cockroachdb/errors"
 
-	"hawthornferry/io/process/host"
+	"hawthornferry/io/process/proc"
 	"hawthornferry/io/request/front"
 )
 
 // Entry is one entry process. Before Run, Host must be opened and Callers must be listening.
 type Entry struct {
-	Host    *host.Host
+	Process *proc.Process
 	Callers net.Listener
 
-	front *front.Front
+	front *front.Server
 }
 
 // Run runs the entry until ctx ends and it has drained.
 func (e *Entry) Run(ctx context.Context) error {
-	h := e.Host
+	h := e.Process
 	limits := h.Settings.Limits
-	e.front = &front.Front{
-		Self:    h.Self,
-		Clock:   h.Clock,
-		Log:     h.Log,
-		Metrics: h.Metrics,
-		Gauge:   h.Gauge,
-		Source:  h.Watcher,
-		Net:     e.Callers,
+	e.front = &front.Server{
+		Self:     h.Self,
+		Clock:    h.Clock,
+		Log:      h.Log,
+		Metrics:  h.Metrics,
+		Recorder: h.Recorder,
+		Source:   h.Watcher,
+		Listener: e.Callers,
 		Limits: front.Limits{
-			MaxBody:       int(limits.MaxBody),
-			MaxHeader:     int(limits.MaxHeader),
-			HeaderTimeout: limits.ReadTimeout,
-			BodyTimeout:   limits.ReadTimeout,
-			MaxInFlight:   limits.MaxInFlight,
-			Subset:        limits.Subset,
+			MaxBodyBytes:   int(limits.MaxBody),
+			MaxHeaderBytes: int(limits.MaxHeader),
+			HeaderTimeout:  limits.ReadTimeout,
+			BodyTimeout:    limits.ReadTimeout,
+			MaxInFlight:    limits.MaxInFlight,
+			SubsetSize:     limits.Subset,
 		},
 	}
-	h.Components = append(h.Components, host.Component{Name: "callers", Run: e.front.Run})
+	h.Components = append(h.Components, proc.Component{Name: "callers", Run: e.front.Run})
 	h.Ready = e.ready
 	h.AddStatus = e.addStatus
 	h.Drain = e.front.Drain
--- a/io/process/entry/status.go
+++ b/io/process/entry/status.go
@@ -12,7 +12,7 @@
 	targets := e.front.Targets()
 	st.Targets = targetRows(targets)
 	st.Outcomes = outcomeRows(e.front.Outcomes())
-	if d := e.Host.Watcher.Current().Document; d != nil {
+	if d := e.Process.Watcher.Current().Document; d != nil {
 		st.Rollouts = rollouts(d, targets)
 	}
 }
@@ -24,7 +24,7 @@
 			Name:     t.VM.Name,
 			Service:  t.VM.Service,
 			Zone:     t.VM.Zone,
-			State:    string(t.Standing),
+			State:    string(t.Availability),
 			Serving:  t.Serving,
 			InFlight: t.InFlight,
 		})
@@ -75,7 +75,7 @@
 		}
 		r := admin.Rollout{Service: s.Name, Model: m.Name, Version: m.Version, Manifest: m.Manifest}
 		for _, p := range s.Replicas {
-			z := admin.Progress{Zone: p.Zone, Want: p.Replicas}
+			z := admin.Progress{Zone: p.Zone, Wanted: p.Replicas}
 			for _, t := range targets {
 				if t.VM.Service == s.Name && t.VM.Zone == p.Zone && t.Serving == m.Manifest {
 					z.Serving++
--- a/io/process/feed/announcement_test.go
+++ b/io/process/feed/announcement_test.go
@@ -52,7 +52,7 @@
 	s.fail(errors.New("cut off"))
 	named := time.Now()
 	s.set("version/m", "2", false)
-	time.Sleep(f.Wait + 2*watchSlack)
+	time.Sleep(f.WatchWait + 2*watchSlack)
 	s.fail(nil)
 	eventually(t, "version 2 is known", func() bool { return newestVersion(f) == 2 })
 	if diff := cmp.Diff(uint64(2), announcedBy(f, named.Add(time.Millisecond))); diff != "" {
@@ -66,7 +66,7 @@
 	t.Helper()
 	var suspended atomic.Int64
 	f = newFeed(s)
-	f.Awake = func() time.Duration { return time.Since(testStart) + time.Duration(suspended.Load()) }
+	f.Uptime = func() time.Duration { return time.Since(testStart) + time.Duration(suspended.Load()) }
 	runFeed(t, f)
 	eventually(t, "version 1 is known", func() bool { return newestVersion(f) == 1 })
 	return f, func(d time.Duration) { suspended.Add(int64(d)) }
@@ -101,7 +101,7 @@
 	took := eventually(t, "the announcement counts as 3.9 s old", func() bool {
 		return announcedBy(f, time.Now().Add(-3900*time.Millisecond)) == 2
 	})
-	if most := f.Wait + watchSlack; took > most {
+	if most := f.WatchWait + watchSlack; took > most {
 		t.Errorf("counted %s after the machine resumed, want %s at most", took, most)
 	}
 }
@@ -158,7 +158,7 @@
 	runFeed(t, f)
 	eventually(t, "version 1 is known", func() bool { return newestVersion(f) == 1 })
 	own.fail(errors.New("cut off"))
-	time.Sleep(f.Wait + time.Second)
+	time.Sleep(f.WatchWait + time.Second)
 	before := time.Now()
 	s.set("version/m", "2", false)
 	eventually(t, "the peer knows version 2", func() bool { return newestVersion(reader) == 2 })
@@ -181,8 +181,8 @@
 	s.set("version/m", "1", false)
 	f := newFeed(s)
 	frozen := peerFrozenAfterList(t, s)
-	f.Tellers = func() []Peer { return []Peer{frozen} }
-	f.TellWait = 500 * time.Millisecond
+	f.Upstreams = func() []Peer { return []Peer{frozen} }
+	f.UpstreamWait = 500 * time.Millisecond
 	runFeed(t, f)
 	eventually(t, "version 1 is known", func() bool { return newestVersion(f) == 1 })
 	time.Sleep(100 * time.Millisecond)
@@ -206,11 +206,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := &factsReply{Known: true, At: p.At, Packed: packed, Last: true}
+	reply := &factsReply{Known: true, AtRevision: p.AtRevision, Packed: packed, Last: true}
 	for _, it := range p.Items {
-		told.Keys = append(told.Keys, it.Key)
+		reply.Keys = append(reply.Keys, it.Key)
 	}
-	return freezeAfterOneReply(t, told)
+	return freezeAfterOneReply(t, reply)
 }
 
 // A version is announced just after the store is back from an outage. It must
@@ -224,7 +224,7 @@
 	s := newFakeStore()
 	s.set("version/m", "1", false)
 	f := newFeed(s)
-	f.Wait = entryWait
+	f.WatchWait = entryWait
 	runFeed(t, f)
 	eventually(t, "version 1 is known", func() bool { return newestVersion(f) == 1 })
 	for version := uint64(2); version < 2+tries; version++ {
@@ -245,7 +245,7 @@
 func announceAfterOutage(t *testing.T, f *Feed, s *fakeStore, version uint64) time.Time {
 	t.Helper()
 	s.fail(errors.New("down"))
-	time.Sleep(f.Wait + minOutage)
+	time.Sleep(f.WatchWait + minOutage)
 	s.fail(nil)
 	s.mu.Lock()
 	calls := s.calls
@@ -317,12 +317,12 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFeed(newFakeStore())
-			f.Awake = func() time.Duration { return now }
+			f.Uptime = func() time.Duration { return now }
 			f.RanSince = func(time.Duration) bool { return tc.ran }
 			f.init()
 			f.known, f.revision, f.confirmed = true, 5, now-time.Second
 			f.adoptReply(tc.asked, tc.waited, "peer", &factsReply{
-				Known: true, At: tc.at, Announced: []verlog.VersionReport{{Model: "m", Version: 2, Age: age, Exact: true}},
+				Known: true, AtRevision: tc.at, Announced: []verlog.VersionReport{{Model: "m", Version: 2, Age: age, Exact: true}},
 			})
 			tc.want.Model, tc.want.Version = "m", 2
 			if diff := cmp.Diff([]verlog.Entry{tc.want}, f.announcements.All()); diff != "" {
@@ -393,7 +393,7 @@
 	}
 	close(s.watched)
 	<-s.release
-	return Changes{At: after}, nil
+	return Changes{AtRevision: after}, nil
 }
 
 // An entry is suspended while an answer without changes, given early, waits
@@ -406,7 +406,7 @@
 	s.set("version/m", "1", false)
 	held := &heldStore{fakeStore: s, watched: make(chan struct{}), release: make(chan struct{})}
 	f := newFeed(held)
-	f.Wait = 10 * time.Second
+	f.WatchWait = 10 * time.Second
 	var ended atomic.Int64
 	f.RanSince = func(at time.Duration) bool { return time.Duration(ended.Load()) <= at }
 	runFeed(t, f)
@@ -414,7 +414,7 @@
 	named := time.Now()
 	s.set("version/m", "2", false)
 	time.Sleep(time.Second)
-	ended.Store(int64(f.Awake()))
+	ended.Store(int64(f.Uptime()))
 	close(held.release)
 	eventually(t, "version 2 is known", func() bool { return newestVersion(f) == 2 })
 	if diff := cmp.Diff(uint64(2), announcedBy(f, named.Add(time.Millisecond))); diff != "" {
--- a/io/process/feed/apply.go
+++ b/io/process/feed/apply.go
@@ -75,7 +75,7 @@
 	if f.storeBackAt.IsZero() {
 		return now
 	}
-	return earlier(f.storeBackAt.Add(registerGrace), now.Add(f.Drain-graceCheckInterval))
+	return earlier(f.storeBackAt.Add(registerGrace), now.Add(f.DrainTime-graceCheckInterval))
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -89,7 +89,7 @@
 // stays in force, except for a target: a target whose entry is invalid must not
 // be used.
 func (f *Feed) decode(it Item, live verlog.OptionalTime) {
-	fact, err := f.Reader.Read(it)
+	fact, err := f.Decoder.Decode(it)
 	old, had := f.decoded[it.Key]
 	if err != nil {
 		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "rejectItem", Subject: it.Key, Reason: err.Error(), Revision: it.Revision})
@@ -100,7 +100,7 @@
 		}
 		return
 	}
-	if fact == (Fact{}) {
+	if fact == (DecodedItem{}) {
 		return
 	}
 	if v := fact.Version; v != nil {
--- a/io/process/feed/backoff_test.go
+++ b/io/process/feed/backoff_test.go
@@ -14,8 +14,8 @@
 // newFollower returns a feed with the settings of a side.
 func newFollower(s Store, upstreams ...Peer) *Feed {
 	f := newFeed(s)
-	f.Wait, f.TellWait, f.StoreRest = 4*time.Second, 2*time.Second, 2400*time.Millisecond
-	f.Tellers = func() []Peer { return upstreams }
+	f.WatchWait, f.UpstreamWait, f.StoreBackoff = 4*time.Second, 2*time.Second, 2400*time.Millisecond
+	f.Upstreams = func() []Peer { return upstreams }
 	return f
 }
 
@@ -62,7 +62,7 @@
 	eventually(t, "the configuration is known", func() bool { return f.Current().Table != nil })
 	s.fail(errors.New("away"))
 	time.Sleep(away)
-	if got, most := counted.count(), 2+int(away/(f.StoreRest/2)); got > most {
+	if got, most := counted.count(), 2+int(away/(f.StoreBackoff/2)); got > most {
 		t.Errorf("%d calls in %s, want %d at most", got, away, most)
 	}
 	s.fail(nil)
@@ -84,7 +84,7 @@
 	began := time.Now()
 	f := newFollower(counted)
 	closed := refusingPeer(t)
-	f.Tellers = func() []Peer {
+	f.Upstreams = func() []Peer {
 		if time.Since(began) < later {
 			return []Peer{closed}
 		}
--- a/io/process/feed/fakes_test.go
+++ b/io/process/feed/fakes_test.go
@@ -20,24 +20,24 @@
 	"hawthornferry/io/conn/link"
 )
 
-// fakeReader decodes items by their keys: target/ID is a target, version/MODEL
+// fakeDecoder decodes items by their keys: target/ID is a target, version/MODEL
 // and any other key (config) a version and a configuration with a number as
 // value. The value "bad" is an error.
-type fakeReader struct{}
+type fakeDecoder struct{}
 
-func (fakeReader) Read(it Item) (Fact, error) {
+func (fakeDecoder) Decode(it Item) (DecodedItem, error) {
 	v := string(it.Value)
 	if v == "bad" {
-		return Fact{}, errors.New("bad")
+		return DecodedItem{}, errors.New("bad")
 	}
 	n, _ := strconv.ParseUint(v, 10, 64)
 	if id, ok := strings.CutPrefix(it.Key, "target/"); ok {
-		return Fact{Target: &facts.Target{ID: id, Service: "svc"}}, nil
+		return DecodedItem{Target: &facts.Target{ID: id, Service: "svc"}}, nil
 	}
 	if model, ok := strings.CutPrefix(it.Key, "version/"); ok {
-		return Fact{Version: &facts.ModelVersion{Model: model, Version: n}}, nil
+		return DecodedItem{Version: &facts.ModelVersion{Model: model, Version: n}}, nil
 	}
-	return Fact{Config: &Config{Table: &table.Table{Version: n}}}, nil
+	return DecodedItem{Config: &Config{Table: &table.Table{Version: n}}}, nil
 }
 
 // fakeStore is a store in memory. Its calls fail while err is set.
@@ -102,7 +102,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	p := Page{At: s.revision}
+	p := Page{AtRevision: s.revision}
 	for _, it := range s.items {
 		p.Items = append(p.Items, it)
 	}
@@ -139,7 +139,7 @@
 			s.calls++
 			s.gap = max(s.gap, time.Since(s.lastWatchEnd))
 		}
-		c := Changes{At: s.revision}
+		c := Changes{AtRevision: s.revision}
 		for _, it := range s.log {
 			if it.Revision > after {
 				c.Items = append(c.Items, it)
@@ -150,7 +150,7 @@
 			s.failure, s.failNext = nil, false
 		}
 		if after < s.oldestRevision {
-			err = ErrHistory
+			err = ErrHistoryLost
 		}
 		s.mu.Unlock()
 		if err != nil || len(c.Items) > 0 {
@@ -177,9 +177,9 @@
 
 func newFeed(s Store) *Feed {
 	return &Feed{
-		Self: newSelf("self"), Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Store: s, Reader: fakeReader{},
-		Awake: func() time.Duration { return time.Since(testStart) }, Wait: 100 * time.Millisecond,
-		Drain: 2 * time.Second, Peers: func() []Peer { return nil },
+		Self: newSelf("self"), Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Store: s, Decoder: fakeDecoder{},
+		Uptime: func() time.Duration { return time.Since(testStart) }, WatchWait: 100 * time.Millisecond,
+		DrainTime: 2 * time.Second, Peers: func() []Peer { return nil },
 	}
 }
 
@@ -227,13 +227,13 @@
 // freezeAfterOneReply starts a peer that sends the given reply to its first
 // request and never replies again, like a machine that froze with its
 // connections open.
-func freezeAfterOneReply(t *testing.T, told *factsReply) Peer {
+func freezeAfterOneReply(t *testing.T, reply *factsReply) Peer {
 	t.Helper()
 	peer, _ := startPeer(t, newSelf("frozen"), func(ctx context.Context, c *link.Conn) {
 		if _, err := c.Receive(); err != nil {
 			return
 		}
-		if err := c.Send(told); err != nil {
+		if err := c.Send(reply); err != nil {
 			return
 		}
 		<-ctx.Done()
--- a/io/process/feed/feed.go
+++ b/io/process/feed/feed.go
@@ -1,7 +1,7 @@
 // Package feed keeps a process's copy of the platform's state (configuration,
 // targets and model versions) up to date. Package hosted runs one Feed in each
 // process and reads its facts; package platform implements its Store and
-// Reader. A Feed gets the state from upstreams if it has any, else it lists and
+// Decoder. A Feed gets the state from upstreams if it has any, else it lists and
 // watches the platform's store itself. While neither answers, it asks other
 // peers. Each state comes with the time at which it was last known to be
 // current.
@@ -75,44 +75,44 @@
 	Log     trail.Log
 	Metrics tally.Scope
 	Store   Store
-	Reader  Reader
-	// Awake is a clock that keeps counting while the machine is suspended. Ages
+	Decoder Decoder
+	// Uptime is a clock that keeps counting while the machine is suspended. Ages
 	// are measured on it.
-	Awake func() time.Duration
+	Uptime func() time.Duration
 	// RanSince, when set, reports whether this process has run without being
 	// suspended or stopped from a time on the Awake clock until now.
 	RanSince func(at time.Duration) bool
-	// Wait is how long one watch of the store waits for a change. The state is
+	// WatchWait is how long one watch of the store waits for a change. The state is
 	// confirmed that often.
-	Wait time.Duration
-	// Drain is the longest time for which a target may be used after it was
+	WatchWait time.Duration
+	// DrainTime is the longest time for which a target may be used after it was
 	// removed.
-	Drain time.Duration
+	DrainTime time.Duration
 	// Peers returns the processes to ask while the state is not being
 	// confirmed.
 	Peers func() []Peer
-	// Readers returns those peers that watch the store themselves.
-	Readers func() []Peer
-	// Tellers, when set, returns the upstreams: processes that watch the store
+	// StoreReaders returns those peers that watch the store themselves.
+	StoreReaders func() []Peer
+	// Upstreams, when set, returns the upstreams: processes that watch the store
 	// and report changes to this one. This process then calls the store only
 	// while none of them can report. A few processes read for all others,
 	// because the store's capacity doesn't grow with the number of processes.
-	Tellers func() []Peer
-	// StoreRest is the mean time for which a process with upstreams stops
+	Upstreams func() []Peer
+	// StoreBackoff is the mean time for which a process with upstreams stops
 	// calling the store after two of its calls in a row have failed; the
 	// upstreams report when the store is back. Zero means that it goes on
 	// calling. If a whole fleet called a store that is down, its request quota
 	// would be used up when it comes back.
-	StoreRest time.Duration
-	// TellWait is how long a request to an upstream waits for a change. The
+	StoreBackoff time.Duration
+	// UpstreamWait is how long a request to an upstream waits for a change. The
 	// state is confirmed that often, and an upstream that has stopped
 	// responding is detected after little more.
-	TellWait time.Duration
+	UpstreamWait time.Duration
 
 	mu            sync.Mutex
 	items         map[string]Item
 	removed       removals
-	decoded       map[string]Fact
+	decoded       map[string]DecodedItem
 	graceEnds     map[string]time.Time
 	announcements verlog.Log
 	// queries is how often peers were asked when the newest version was
@@ -157,7 +157,7 @@
 func (f *Feed) init() {
 	f.initOnce.Do(func() {
 		f.items = map[string]Item{}
-		f.decoded = map[string]Fact{}
+		f.decoded = map[string]DecodedItem{}
 		f.graceEnds = map[string]time.Time{}
 		f.changed = make(chan struct{})
 		f.current.Store(&facts.Facts{})
@@ -188,7 +188,7 @@
 	f.init()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.Awake() - f.confirmed, f.known
+	return f.Uptime() - f.confirmed, f.known
 }
 
 // Run keeps the state up to date until ctx ends.
@@ -218,8 +218,8 @@
 		if err != nil {
 			f.recordStoreFailure(fails)
 			pause = retryPause(fails)
-			if fails > 0 && f.StoreRest > 0 {
-				f.nextStoreCall = f.Clock.Now().Add(f.StoreRest/2 + rand.N(f.StoreRest))
+			if fails > 0 && f.StoreBackoff > 0 {
+				f.nextStoreCall = f.Clock.Now().Add(f.StoreBackoff/2 + rand.N(f.StoreBackoff))
 			}
 			fails++
 			continue
@@ -234,7 +234,7 @@
 // starts at the same time as its upstreams and will get the state from them
 // shortly.
 func (f *Feed) skipsStore(starting bool, started time.Time) bool {
-	if f.StoreRest <= 0 {
+	if f.StoreBackoff <= 0 {
 		return false
 	}
 	if _, known := f.Age(); !known && starting && f.Clock.Since(started) < startupUpstreamWait {
@@ -246,7 +246,7 @@
 // upstreamPause is how long this process leaves the upstreams alone after none
 // of them reported.
 func (f *Feed) upstreamPause() time.Duration {
-	if f.StoreRest > 0 {
+	if f.StoreBackoff > 0 {
 		return upstreamRetry
 	}
 	return upstreamPauseDefault
@@ -258,12 +258,12 @@
 	// The upstreams are left alone for a while after none of them reported,
 	// unless the store must not be called either.
 	resting := f.Clock.Now().Before(f.nextUpstreamTry) && !f.Clock.Now().Before(f.nextStoreCall)
-	if f.Tellers == nil || resting {
+	if f.Upstreams == nil || resting {
 		return false
 	}
-	began := f.Awake()
+	began := f.Uptime()
 	defer func() { f.discountSilence(began) }()
-	upstreams := f.Tellers()
+	upstreams := f.Upstreams()
 	rand.Shuffle(len(upstreams), func(i, j int) { upstreams[i], upstreams[j] = upstreams[j], upstreams[i] })
 	for _, p := range upstreams {
 		err := f.followUpstream(ctx, p)
--- a/io/process/feed/feed_test.go
+++ b/io/process/feed/feed_test.go
@@ -18,12 +18,12 @@
 	s.set("target/a", "", false)
 	s.set("target/b", "", false)
 	f := newFeed(s)
-	f.Wait = minOutage + 200*time.Millisecond
+	f.WatchWait = minOutage + 200*time.Millisecond
 	runFeed(t, f)
 	eventually(t, "both are known", func() bool { return targetIDs(f) == "a b" })
 	// Two watches without changes, after which the last confirmed state is more
 	// than two waits old.
-	time.Sleep(2*f.Wait + 300*time.Millisecond)
+	time.Sleep(2*f.WatchWait + 300*time.Millisecond)
 	s.set("target/a", "", true)
 	if took := eventually(t, "a is gone", func() bool { return targetIDs(f) == "b" }); took > 500*time.Millisecond {
 		t.Errorf("a was used for %s after its removal", took)
@@ -43,7 +43,7 @@
 	runFeed(t, f)
 	eventually(t, "both are known", func() bool { return targetIDs(f) == "a b" })
 	s.fail(errors.New("down"))
-	time.Sleep(f.Wait + minOutage + 300*time.Millisecond)
+	time.Sleep(f.WatchWait + minOutage + 300*time.Millisecond)
 	s.set("target/a", "", true)
 	s.set("target/b", "", true)
 	s.dropHistory()
@@ -72,7 +72,7 @@
 	runFeed(t, f)
 	eventually(t, "both are known", func() bool { return targetIDs(f) == "a b" })
 	s.fail(errors.New("cut off"))
-	time.Sleep(f.Wait + minOutage + 300*time.Millisecond)
+	time.Sleep(f.WatchWait + minOutage + 300*time.Millisecond)
 	s.fail(nil)
 	back := time.Now()
 	eventually(t, "the store is in touch", func() bool { age, _ := f.Age(); return age < minOutage/2 })
@@ -158,7 +158,7 @@
 	down := time.Now()
 	time.Sleep(1500 * time.Millisecond)
 	age, _ := f.Age()
-	if least := time.Since(down) - reader.Wait; age < least {
+	if least := time.Since(down) - reader.WatchWait; age < least {
 		t.Errorf("the state is reported as %s old, the store has been down for %s", age, time.Since(down))
 	}
 }
@@ -176,8 +176,8 @@
 	own := newFakeStore()
 	own.set("config", "1", false)
 	f := newFeed(own)
-	f.Tellers = func() []Peer { return []Peer{peer} }
-	f.TellWait = 2 * time.Second
+	f.Upstreams = func() []Peer { return []Peer{peer} }
+	f.UpstreamWait = 2 * time.Second
 	runFeed(t, f)
 	for i := range 5 {
 		s.set("target/"+strconv.Itoa(i), "", false)
--- a/io/process/feed/log.go
+++ b/io/process/feed/log.go
@@ -25,7 +25,7 @@
 	f.Log.Record(d)
 }
 
-func (f *Feed) logTarget(action string, fact Fact, revision uint64) {
+func (f *Feed) logTarget(action string, fact DecodedItem, revision uint64) {
 	t := fact.Target
 	if t == nil {
 		return
@@ -53,7 +53,7 @@
 		}
 		f.Log.Record(trail.Decision{
 			Area: trail.AreaConfig, Action: "versionDated", Subject: e.Model, Choice: versionText(e.Version),
-			Reason: reason, AgeMS: (f.Awake() - e.Since).Milliseconds(),
+			Reason: reason, AgeMS: (f.Uptime() - e.Since).Milliseconds(),
 		})
 	}
 }
@@ -74,7 +74,7 @@
 		d.Reason = "received late or from a peer"
 	}
 	if f.known {
-		d.AgeMS = (f.Awake() - f.confirmed).Milliseconds()
+		d.AgeMS = (f.Uptime() - f.confirmed).Milliseconds()
 	}
 	f.Log.Record(d)
 }
--- a/io/process/feed/outage.go
+++ b/io/process/feed/outage.go
@@ -8,7 +8,7 @@
 // if an upstream replied minOutage or more after the store was last known to be
 // up. f.mu must be held.
 func (f *Feed) recordStoreAnswer(maxDuration time.Duration) {
-	now := f.Awake()
+	now := f.Uptime()
 	if f.known && (now-f.storeUpUntil > maxDuration+minOutage || f.upstreamRepliedAt-f.storeUpUntil > minOutage) {
 		f.storeBackAt = f.Clock.Now()
 	}
@@ -22,7 +22,7 @@
 // come without gaps, so only these can show that the store is down. f.mu must
 // be held.
 func (f *Feed) recordPeerReply(waited bool, age time.Duration) {
-	now := f.Awake()
+	now := f.Uptime()
 	f.storeUpUntil = max(f.storeUpUntil, now-max(0, age-maxReaderAge))
 	if waited {
 		f.upstreamRepliedAt = now
@@ -37,7 +37,7 @@
 func (f *Feed) discountSilence(began time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.Awake()
+	now := f.Uptime()
 	silent := now - max(began, f.upstreamRepliedAt)
 	f.storeUpUntil = min(now, f.storeUpUntil+silent)
 	f.upstreamRepliedAt += silent
--- a/io/process/feed/publish.go
+++ b/io/process/feed/publish.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func sortedKeys(m map[string]Fact) []string {
+func sortedKeys(m map[string]DecodedItem) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/io/process/feed/query.go
+++ b/io/process/feed/query.go
@@ -24,7 +24,7 @@
 		case <-f.Clock.After(peerPollInterval):
 		}
 		age, known := f.Age()
-		if known && age <= f.Wait+f.TellWait+peerPollInterval {
+		if known && age <= f.WatchWait+f.UpstreamWait+peerPollInterval {
 			continue
 		}
 		f.queryPeers(ctx)
@@ -67,10 +67,10 @@
 // known. It learns of an announcement earlier than the processes that get their
 // state from it.
 func (f *Feed) randomReader() []Peer {
-	if f.Readers == nil {
+	if f.StoreReaders == nil {
 		return nil
 	}
-	readers := f.Readers()
+	readers := f.StoreReaders()
 	if len(readers) == 0 {
 		return nil
 	}
@@ -82,7 +82,7 @@
 func (f *Feed) nextAnnouncementQuery() (time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.nextQuery - f.Awake(), f.announcements.ShouldAsk(f.queries)
+	return f.nextQuery - f.Uptime(), f.announcements.ShouldAsk(f.queries)
 }
 
 // countQuery counts a query and schedules the next one.
@@ -96,7 +96,7 @@
 // scheduleQuery sets the time of the next query. f.mu must be held.
 func (f *Feed) scheduleQuery() {
 	pause := min(announcementQueryBase<<f.queries, announcementQueryMax)
-	f.nextQuery = f.Awake() + pause/2 + rand.N(pause)
+	f.nextQuery = f.Uptime() + pause/2 + rand.N(pause)
 }
 
 // queryPeers asks a few peers in parallel, the given ones first. Asked in turn,
@@ -156,7 +156,7 @@
 
 // exchange sends one request, applies the reply and returns it.
 func (f *Feed) exchange(c *link.Conn, wait time.Duration) (*factsReply, error) {
-	asked := f.Awake()
+	asked := f.Uptime()
 	f.mu.Lock()
 	after := f.revision
 	f.mu.Unlock()
@@ -189,7 +189,7 @@
 		if len(part.Announced) == 0 {
 			part.Announced = reply.Announced
 		}
-		part.Away, part.StoreLost = part.Away || reply.Away, part.StoreLost || reply.StoreLost
+		part.StoreUnreachable, part.StoreLost = part.StoreUnreachable || reply.StoreUnreachable, part.StoreLost || reply.StoreLost
 		part.Items = append(reply.Items, part.Items...)
 		part.Keys = append(reply.Keys, part.Keys...)
 		reply = part
@@ -216,11 +216,11 @@
 	}
 	defer end()
 	for ctx.Err() == nil {
-		if err := c.SetReadDeadline(time.Now().Add(f.TellWait + f.replyTimeout())); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(f.UpstreamWait + f.replyTimeout())); err != nil {
 			return err
 		}
-		asked := f.Awake()
-		reply, err := f.exchange(c, f.TellWait)
+		asked := f.Uptime()
+		reply, err := f.exchange(c, f.UpstreamWait)
 		if err != nil {
 			return err
 		}
@@ -230,7 +230,7 @@
 		if !reply.Known {
 			return errUpstreamEmpty
 		}
-		if age := f.Awake() - asked + reply.Age; age > 2*f.TellWait+upstreamAgeMargin {
+		if age := f.Uptime() - asked + reply.Age; age > 2*f.UpstreamWait+upstreamAgeMargin {
 			return errUpstreamStale
 		}
 	}
@@ -245,20 +245,20 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := verlog.Reply{Asked: asked, Got: f.Awake(), LongPoll: waited, StoreUnreachable: reply.Away}
+	r := verlog.Reply{Asked: asked, Got: f.Uptime(), LongPoll: waited, StoreUnreachable: reply.StoreUnreachable}
 	f.mergeAnnouncements(r, reply.Announced)
 	f.recordPeerReply(waited, reply.Age)
 	since := r.Since(reply.Age)
-	if !f.contact().ShouldAdopt(since, reply.At) {
+	if !f.contact().ShouldAdopt(since, reply.AtRevision) {
 		return
 	}
-	if reply.At > f.revision {
+	if reply.AtRevision > f.revision {
 		f.applyReply(reply)
 	}
-	if age := f.Awake() - f.confirmed; !f.known || age > f.Wait+watchSlack {
-		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + reply.Age.String(), Revision: reply.At})
+	if age := f.Uptime() - f.confirmed; !f.known || age > f.WatchWait+watchSlack {
+		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "told", Choice: peer, Reason: "age " + reply.Age.String(), Revision: reply.AtRevision})
 	}
-	f.confirm(since, reply.At)
+	f.confirm(since, reply.AtRevision)
 }
 
 // applyReply applies the items of a reply with a higher revision. f.mu must be
@@ -275,7 +275,7 @@
 	items := reply.Items
 	for key := range f.items {
 		if !present[key] {
-			items = append(items, Item{Key: key, Revision: reply.At, Deleted: true})
+			items = append(items, Item{Key: key, Revision: reply.AtRevision, Deleted: true})
 		}
 	}
 	f.apply(items, verlog.OptionalTime{})
--- a/io/process/feed/relay.go
+++ b/io/process/feed/relay.go
@@ -28,7 +28,7 @@
 	// maxPollWait bounds how long a request may wait for a change, and how long
 	// a connection is kept without a request.
 	maxPollWait = 10 * time.Second
-	// upstreamPauseDefault is how long a process without StoreRest calls the
+	// upstreamPauseDefault is how long a process without StoreBackoff calls the
 	// store before it tries its upstreams again after none of them reported:
 	// the settings may name machines that no longer exist, and each try delays
 	// its watch of the store.
@@ -73,10 +73,10 @@
 // factsReply is one part of a reply. Ages are sent instead of times, because
 // the clocks of processes differ. Last marks the last part.
 type factsReply struct {
-	Known bool          `msgpack:"known"`
-	At    uint64        `msgpack:"at"`
-	Age   time.Duration `msgpack:"age"`
-	Items []Item        `msgpack:"-"`
+	Known      bool          `msgpack:"known"`
+	AtRevision uint64        `msgpack:"at"`
+	Age        time.Duration `msgpack:"age"`
+	Items      []Item        `msgpack:"-"`
 	// Packed is the result of packItems for Items.
 	Packed []byte `msgpack:"packed"`
 	// Changes is set when Items are all changes after the requested revision,
@@ -88,9 +88,9 @@
 	// store holds only the newest, and the time limit that counts from an
 	// earlier announcement ends first.
 	Announced []verlog.VersionReport `msgpack:"named"`
-	// Away is set if the sender has been unable to reach the store since Age
+	// StoreUnreachable is set if the sender has been unable to reach the store since Age
 	// ago.
-	Away bool `msgpack:"away"`
+	StoreUnreachable bool `msgpack:"away"`
 	// StoreLost is set if the last two calls of the sender to the store failed.
 	StoreLost bool `msgpack:"lost"`
 	Last      bool `msgpack:"last"`
@@ -186,7 +186,7 @@
 func (f *Feed) buildReply(req *factsRequest) []*factsReply {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	t := &factsReply{Known: f.known, At: f.revision, Age: max(0, f.Awake()-f.confirmed), Announced: f.announcements.VersionReports(f.Awake()), Away: f.contact().StoreUnreachable(f.ranSince), StoreLost: f.storeLost}
+	t := &factsReply{Known: f.known, AtRevision: f.revision, Age: max(0, f.Uptime()-f.confirmed), Announced: f.announcements.VersionReports(f.Uptime()), StoreUnreachable: f.contact().StoreUnreachable(f.ranSince), StoreLost: f.storeLost}
 	if !f.known || f.revision <= req.After {
 		t.Last = true
 		return []*factsReply{t}
@@ -205,7 +205,7 @@
 		size += len(it.Value)
 		if size > replyPartBytes {
 			out = append(out, t)
-			t = &factsReply{Known: true, At: f.revision, Age: t.Age}
+			t = &factsReply{Known: true, AtRevision: f.revision, Age: t.Age}
 			size = 0
 		}
 	}
--- a/io/process/feed/removals_test.go
+++ b/io/process/feed/removals_test.go
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	f.confirm(f.Awake(), s.revision)
+	f.confirm(f.Uptime(), s.revision)
 }
 
 // pullFromPeer makes f apply the reply of a peer.
@@ -77,7 +77,7 @@
 		part.Keys = append(reply.Keys, part.Keys...)
 		reply = part
 	}
-	f.adoptReply(f.Awake(), false, "peer", reply)
+	f.adoptReply(f.Uptime(), false, "peer", reply)
 }
 
 // A process is disconnected while more targets leave than removals are
--- a/io/process/feed/silent_test.go
+++ b/io/process/feed/silent_test.go
@@ -36,18 +36,18 @@
 	const bound = 2 * time.Second
 	s := newFakeStore()
 	s.set("config", "1", false)
-	var tellers []Peer
+	var upstreams []Peer
 	var stores []*silentStore
 	for _, name := range []string{"one", "two"} {
 		silent := &silentStore{fakeStore: newFakeStore()}
 		silent.set("config", "1", false)
-		_, teller := newUpstream(t, name, silent)
-		tellers, stores = append(tellers, teller), append(stores, silent)
+		_, upstream := newUpstream(t, name, silent)
+		upstreams, stores = append(upstreams, upstream), append(stores, silent)
 	}
 	f := newFeed(s)
 	setEntryWaits(f)
-	f.Tellers = func() []Peer { return tellers }
-	f.Peers = func() []Peer { return tellers }
+	f.Upstreams = func() []Peer { return upstreams }
+	f.Peers = func() []Peer { return upstreams }
 	runFeed(t, f)
 	eventually(t, "the configuration is known", func() bool { return f.Current().Table != nil })
 	for _, silent := range stores {
--- a/io/process/feed/start_test.go
+++ b/io/process/feed/start_test.go
@@ -27,7 +27,7 @@
 	s.set("target/a", "", false)
 	f := newFeed(s)
 	unresponsive := []Peer{silentPeer(t), silentPeer(t), silentPeer(t)}
-	f.Tellers = func() []Peer { return unresponsive }
+	f.Upstreams = func() []Peer { return unresponsive }
 	runFeed(t, f)
 	took := eventually(t, "the state from the store", func() bool { return targetIDs(f) == "a" })
 	if most := 2*upstreamDialTimeout + 500*time.Millisecond; took > most {
@@ -41,17 +41,17 @@
 func TestFrozenUpstreamIsDropped(t *testing.T) {
 	s := newFakeStore()
 	s.set("target/a", "", false)
-	frozen := freezeAfterOneReply(t, &factsReply{Known: true, At: 1, Last: true})
+	frozen := freezeAfterOneReply(t, &factsReply{Known: true, AtRevision: 1, Last: true})
 	f := newFeed(s)
-	f.TellWait = 500 * time.Millisecond
-	f.Tellers = func() []Peer { return []Peer{frozen} }
+	f.UpstreamWait = 500 * time.Millisecond
+	f.Upstreams = func() []Peer { return []Peer{frozen} }
 	runFeed(t, f)
 	took := eventually(t, "the store is read", func() bool { return targetIDs(f) == "a" })
-	if most := f.TellWait + peerTimeout + 500*time.Millisecond; took > most {
+	if most := f.UpstreamWait + peerTimeout + 500*time.Millisecond; took > most {
 		t.Errorf("the change came after %s, want %s at most", took, most)
 	}
 	s.set("target/b", "", false)
-	if took := eventually(t, "a change is received", func() bool { return targetIDs(f) == "a b" }); took > upstreamDialTimeout+f.Wait+500*time.Millisecond {
+	if took := eventually(t, "a change is received", func() bool { return targetIDs(f) == "a b" }); took > upstreamDialTimeout+f.WatchWait+500*time.Millisecond {
 		t.Errorf("a change came after %s although the upstream had stopped responding", took)
 	}
 }
--- a/io/process/feed/store.go
+++ b/io/process/feed/store.go
@@ -10,9 +10,9 @@
 	"hawthornferry/core/request/table"
 )
 
-// ErrHistory is returned by a watch if the store no longer has the changes
+// ErrHistoryLost is returned by a watch if the store no longer has the changes
 // after the given revision; everything has to be listed again.
-var ErrHistory = errors.New("the store no longer has this history")
+var ErrHistoryLost = errors.New("the store no longer has this history")
 
 // Item is one key of the store. Deleted marks a key that was removed at
 // Revision; it has no value.
@@ -25,15 +25,15 @@
 
 // Page is one page of a list. At is the store's revision when it was read.
 type Page struct {
-	Items []Item
-	More  bool
-	At    uint64
+	Items      []Item
+	More       bool
+	AtRevision uint64
 }
 
 // Changes is the result of a watch; the next watch continues after revision At.
 type Changes struct {
-	Items []Item
-	At    uint64
+	Items      []Item
+	AtRevision uint64
 }
 
 // Store is the platform's store. Both calls return once their context ends.
@@ -42,9 +42,9 @@
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
 }
 
-// Fact is the decoded value of one item. At most one field is set; none is for
+// DecodedItem is the decoded value of one item. At most one field is set; none is for
 // an item that this system doesn't use.
-type Fact struct {
+type DecodedItem struct {
 	Config  *Config
 	Target  *facts.Target
 	Version *facts.ModelVersion
@@ -56,7 +56,7 @@
 	Origin facts.Origin
 }
 
-// Reader decodes items. An error means that the item is not usable.
-type Reader interface {
-	Read(it Item) (Fact, error)
+// Decoder decodes items. An error means that the item is not usable.
+type Decoder interface {
+	Decode(it Item) (DecodedItem, error)
 }
--- a/io/process/feed/store_outage_test.go
+++ b/io/process/feed/store_outage_test.go
@@ -24,7 +24,7 @@
 	w.Self = newSelf(name)
 	w.setPeers()
 	w.Peers = func() []Peer { return *w.peers.Load() }
-	w.Readers = w.Peers
+	w.StoreReaders = w.Peers
 	runFeed(t, w.Feed)
 	w.peer, _ = servePeer(t, w.Feed)
 	eventually(t, "version 1 is known", func() bool { return newestVersion(w.Feed) == 1 })
--- a/io/process/feed/upstream_test.go
+++ b/io/process/feed/upstream_test.go
@@ -15,8 +15,8 @@
 
 // setEntryWaits sets the waits of an entry.
 func setEntryWaits(f *Feed) {
-	f.Wait = 800 * time.Millisecond
-	f.TellWait = 500 * time.Millisecond
+	f.WatchWait = 800 * time.Millisecond
+	f.UpstreamWait = 500 * time.Millisecond
 }
 
 // newUpstream starts a feed that reads s with the wait of an entry and serves
@@ -25,7 +25,7 @@
 	t.Helper()
 	f := newFeed(s)
 	f.Self = newSelf(name)
-	f.Wait = 800 * time.Millisecond
+	f.WatchWait = 800 * time.Millisecond
 	runFeed(t, f)
 	peer, _ := servePeer(t, f)
 	return f, peer
@@ -44,7 +44,7 @@
 	_, upstream := newUpstream(t, "cutOff", unreachable)
 	f := newFeed(s)
 	setEntryWaits(f)
-	f.Tellers = func() []Peer { return []Peer{upstream} }
+	f.Upstreams = func() []Peer { return []Peer{upstream} }
 	unresponsive := []Peer{silentPeer(t), silentPeer(t)}
 	f.Peers = func() []Peer { return append([]Peer{connected}, unresponsive...) }
 	runFeed(t, f)
@@ -52,7 +52,7 @@
 	unreachable.fail(errors.New("cut off"))
 	// The upstream's state may be as old as two of its watches when it is
 	// disconnected.
-	time.Sleep(upstreamAgeMargin + 2*f.TellWait + f.Wait)
+	time.Sleep(upstreamAgeMargin + 2*f.UpstreamWait + f.WatchWait)
 	for i := range 4 {
 		version := uint64(i + 2)
 		s.set("config", strconv.FormatUint(version, 10), false)
@@ -76,7 +76,7 @@
 	_, upstream := newUpstream(t, "refused", refused)
 	f := newFeed(s)
 	setEntryWaits(f)
-	f.Tellers = func() []Peer { return []Peer{upstream} }
+	f.Upstreams = func() []Peer { return []Peer{upstream} }
 	f.Peers = func() []Peer { return []Peer{connected} }
 	runFeed(t, f)
 	eventually(t, "the configuration is known", func() bool { return f.Current().Table != nil })
@@ -101,7 +101,7 @@
 		f := newFeed(newFakeStore())
 		f.init()
 		f.Peers = func() []Peer { return []Peer{unresponsive, responsive} }
-		f.confirm(f.Awake()-time.Minute, 0)
+		f.confirm(f.Uptime()-time.Minute, 0)
 		done := make(chan struct{})
 		go func() {
 			f.queryPeers(t.Context())
@@ -128,18 +128,18 @@
 		name  string
 		first factsReply
 	}{
-		{"younger confirmation", factsReply{Known: true, At: 1}},
-		{"one change fewer", factsReply{Known: true, At: 2, Age: 2 * time.Second, Items: two, Keys: keys}},
-		{"both", factsReply{Known: true, At: 2, Items: two, Keys: keys}},
+		{"younger confirmation", factsReply{Known: true, AtRevision: 1}},
+		{"one change fewer", factsReply{Known: true, AtRevision: 2, Age: 2 * time.Second, Items: two, Keys: keys}},
+		{"both", factsReply{Known: true, AtRevision: 2, Items: two, Keys: keys}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			f := newFeed(newFakeStore())
 			f.init()
-			asked := f.Awake()
-			f.adoptReply(asked, false, "start", &factsReply{Known: true, At: 1, Age: 3 * time.Second, Items: one, Keys: keys})
+			asked := f.Uptime()
+			f.adoptReply(asked, false, "start", &factsReply{Known: true, AtRevision: 1, Age: 3 * time.Second, Items: one, Keys: keys})
 			f.adoptReply(asked, false, "first", &tt.first)
-			f.adoptReply(asked, false, "second", &factsReply{Known: true, At: 3, Age: time.Second, Items: three, Keys: keys})
+			f.adoptReply(asked, false, "second", &factsReply{Known: true, AtRevision: 3, Age: time.Second, Items: three, Keys: keys})
 			if diff := cmp.Diff(uint64(3), f.Current().Table.Version); diff != "" {
 				t.Errorf("configuration (-want +got):\n%s", diff)
 			}
@@ -188,16 +188,16 @@
 	s.set("target/b", "", false)
 	reader := newFeed(s)
 	reader.Self = newSelf("reader")
-	reader.Wait = 800 * time.Millisecond
+	reader.WatchWait = 800 * time.Millisecond
 	runFeed(t, reader)
 	peer, freeze := freezablePeer(t, reader)
 	own := &answerCounter{Store: s}
 	f := newFeed(own)
 	setEntryWaits(f)
-	f.Tellers = func() []Peer { return []Peer{peer} }
+	f.Upstreams = func() []Peer { return []Peer{peer} }
 	runFeed(t, f)
 	eventually(t, "both are known", func() bool { return targetIDs(f) == "a b" })
-	time.Sleep(f.Wait + minOutage + 300*time.Millisecond)
+	time.Sleep(f.WatchWait + minOutage + 300*time.Millisecond)
 	calls := own.answers.Load()
 	freeze()
 	eventually(t, "the store has answered", func() bool { return own.answers.Load() > calls })
@@ -218,7 +218,7 @@
 	_, peer := newUpstream(t, "reader", s)
 	f := newFeed(s)
 	setEntryWaits(f)
-	f.Tellers = func() []Peer { return []Peer{peer} }
+	f.Upstreams = func() []Peer { return []Peer{peer} }
 	runFeed(t, f)
 	eventually(t, "both are known", func() bool { return targetIDs(f) == "a b" })
 	s.fail(errors.New("down"))
--- a/io/process/feed/versions.go
+++ b/io/process/feed/versions.go
@@ -20,7 +20,7 @@
 func (f *Feed) recordStoreFailure(failuresBefore int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastFailure = f.Awake()
+	f.lastFailure = f.Uptime()
 	if !f.storeLost && failuresBefore > 0 {
 		f.storeLost = true
 		close(f.changed)
@@ -47,7 +47,7 @@
 // as it was written. f.mu must be held.
 func (f *Feed) addAnnouncement(v *facts.ModelVersion, live verlog.OptionalTime) {
 	c := f.contact()
-	e := c.EntryFor(v.Model, v.Version, live, f.Awake())
+	e := c.EntryFor(v.Model, v.Version, live, f.Uptime())
 	e.StoreUnreachable = c.StoreUnreachable(f.ranSince)
 	f.announcements.Add(e)
 	f.queries = 0
@@ -70,10 +70,10 @@
 // versions returns the announced versions with times on the feed's Clock. f.mu
 // must be held.
 func (f *Feed) versions() []facts.ModelVersion {
-	now, awake := f.Clock.Now(), f.Awake()
+	now, uptime := f.Clock.Now(), f.Uptime()
 	var out []facts.ModelVersion
 	for _, n := range f.announcements.All() {
-		out = append(out, facts.ModelVersion{Model: n.Model, Version: n.Version, Since: now.Add(n.Since - awake), Read: n.Read})
+		out = append(out, facts.ModelVersion{Model: n.Model, Version: n.Version, Since: now.Add(n.Since - uptime), Read: n.Read})
 	}
 	return out
 }
--- a/io/process/feed/watch.go
+++ b/io/process/feed/watch.go
@@ -13,7 +13,7 @@
 // set of changes.
 func (f *Feed) syncOnce(ctx context.Context) error {
 	f.mu.Lock()
-	contact, wait := f.contact(), f.Wait
+	contact, wait := f.contact(), f.WatchWait
 	if len(f.graceEnds) > 0 {
 		wait = min(wait, graceCheckInterval)
 	}
@@ -21,15 +21,15 @@
 	if !contact.Known {
 		return f.list(ctx)
 	}
-	asked := f.Awake()
+	asked := f.Uptime()
 	wait = contact.WatchWait(asked, wait)
 	callCtx, cancel := context.WithTimeout(ctx, wait+watchSlack)
 	defer cancel()
 	c, err := f.Store.Watch(callCtx, contact.Revision, wait)
-	got := f.Awake()
-	if errors.Is(err, ErrHistory) {
+	got := f.Uptime()
+	if errors.Is(err, ErrHistoryLost) {
 		f.mu.Lock()
-		f.recordStoreAnswer(f.Wait)
+		f.recordStoreAnswer(f.WatchWait)
 		f.mu.Unlock()
 		f.Log.Record(trail.Decision{Area: trail.AreaConfig, Action: "listAnew", Reason: err.Error(), Revision: contact.Revision})
 		return f.list(ctx)
@@ -40,20 +40,20 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	// A peer may have sent a newer revision in the meantime.
-	if c.At >= f.revision {
+	if c.AtRevision >= f.revision {
 		call := verlog.StoreCall{Asked: asked, Got: got, Wait: wait}
 		live := f.contact().ChangesMadeAt(call, f.ranSince)
-		f.recordStoreAnswer(f.Wait)
+		f.recordStoreAnswer(f.WatchWait)
 		f.recordAnswerTime(call)
 		f.apply(c.Items, live)
-		f.confirm(asked, c.At)
+		f.confirm(asked, c.AtRevision)
 	}
 	return nil
 }
 
 // list reads all pages and replaces the state with them.
 func (f *Feed) list(ctx context.Context) error {
-	asked := f.Awake()
+	asked := f.Uptime()
 	var items []Item
 	var first uint64
 	after := ""
@@ -66,7 +66,7 @@
 		f.recordStoreAnswer(pageTimeout)
 		f.mu.Unlock()
 		if after == "" {
-			first = p.At
+			first = p.AtRevision
 		}
 		items = append(items, p.Items...)
 		if !p.More || len(p.Items) == 0 {
@@ -81,7 +81,7 @@
 	if first < f.revision {
 		return nil
 	}
-	f.recordAnswerTime(verlog.StoreCall{Asked: asked, Got: f.Awake()})
+	f.recordAnswerTime(verlog.StoreCall{Asked: asked, Got: f.Uptime()})
 	f.replaceAll(items, first)
 	f.confirm(asked, first)
 	return nil
--- a/io/process/hosted/entry.go
+++ b/io/process/hosted/entry.go
@@ -9,7 +9,7 @@
 	"hawthornferry/core/request/budget"
 	"hawthornferry/core/request/place"
 	"hawthornferry/io/process/alert"
-	"hawthornferry/io/process/pulse"
+	"hawthornferry/io/process/loads"
 	"hawthornferry/io/request/direct"
 )
 
@@ -27,10 +27,10 @@
 // Entry is the process that accepts callers' requests and forwards each to a target. Set
 // the exported fields before Run.
 type Entry struct {
-	Settings Settings
-	Platform Platform
-	Dialect  direct.Dialect
-	Log      io.Writer
+	Settings    Settings
+	Platform    Platform
+	HeaderCodec direct.HeaderCodec
+	Log         io.Writer
 }
 
 // Run runs the entry until ctx ends and requests in flight have finished.
@@ -39,32 +39,32 @@
 	if err != nil {
 		return err
 	}
-	callers, err := listen("callers", e.Settings.Callers)
+	callers, err := listen("callers", e.Settings.CallersAddr)
 	if err != nil {
 		return err
 	}
 	bounds := e.Settings.Bounds
 	server := &direct.Server{
-		Net: callers, Clock: p.clock, Log: p.log, Metrics: p.metrics, Source: p.feed, Dialect: e.Dialect,
+		Listener: callers, Clock: p.clock, Log: p.log, Metrics: p.metrics, Source: p.feed, HeaderCodec: e.HeaderCodec,
 		Placer: &place.Placer{
 			Name: e.Settings.VM.Name, Zone: e.Settings.VM.Zone, Regions: e.Settings.Regions,
 			Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		},
 		Rules: direct.Rules{
-			TableAge: scaleDuration(bounds.Apply, tableShare),
-			Grace:    bounds.Grace,
-			Version:  bounds.Version,
-			Retry:    budget.Budget{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
+			MaxTableAge:      scaleDuration(bounds.ConfigDelay, tableShare),
+			GracePeriod:      bounds.GracePeriod,
+			OldVersionPeriod: bounds.OldVersionPeriod,
+			RetryBudget:      budget.Budget{Ratio: bounds.RetryRatio, Slack: bounds.RetrySlack, Window: bounds.RetryWindow},
 		},
 	}
 	if bounds.StrictKeys {
-		server.Rules.KeyAge = scaleDuration(bounds.Revoke, keyShare)
+		server.Rules.MaxKeyAge = scaleDuration(bounds.RevocationDelay, keyShare)
 	}
 	server.Suspects = p.alerts
 	hubClient := &alert.HubClient{Self: p.self, Clock: p.clock, Log: p.log, Registry: p.alerts}
 	listChecker := &alert.ListChecker{Clock: p.clock, Registry: p.alerts, Source: p.feed}
-	loadListener := &pulse.Listener{Self: p.self, Clock: p.clock, Log: p.log}
-	reports := &loadReports{entry: e.Settings.VM, sidePort: e.Settings.SidePort, setSides: loadListener.Want, report: server.Report}
+	loadListener := &loads.Listener{Self: p.self, Clock: p.clock, Log: p.log}
+	reports := &loadReports{entry: e.Settings.VM, sidePort: e.Settings.SidePort, setSides: loadListener.SetSides, report: server.Report}
 	loadListener.OnLoad = reports.receive
 	p.components = append(
 		p.components,
@@ -72,10 +72,10 @@
 		component{"load reports", loadListener.Run},
 		component{"alerts", hubClient.Run},
 		component{"target list", listChecker.Run},
-		component{"alert hubs", func(ctx context.Context) error { return p.updateHubs(ctx, hubClient.Want) }},
+		component{"alert hubs", func(ctx context.Context) error { return p.updateHubs(ctx, hubClient.SetHubs) }},
 		component{"sides to listen to", func(ctx context.Context) error { return reports.watchTargets(ctx, p.feed) }},
 	)
-	p.ready, p.drain, p.served, p.ends = server.Ready, server.Drain, server.Served, server.Ends
+	p.ready, p.drain, p.served, p.ends = server.Ready, server.Drain, server.Served, server.AttemptEnds
 	peers, api, err := e.listeners()
 	if err != nil {
 		return err
@@ -85,11 +85,11 @@
 
 func (e *Entry) listeners() (peers, api []net.Listener, err error) {
 	s := e.Settings
-	ready, err := listen("readiness", s.Ready)
+	ready, err := listen("readiness", s.ReadyAddr)
 	if err != nil {
 		return nil, nil, err
 	}
-	metrics, err := listen("metrics", s.Metrics)
+	metrics, err := listen("metrics", s.MetricsAddr)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -98,8 +98,8 @@
 		return nil, nil, err
 	}
 	peers = append(peers, own)
-	if s.Control.IsValid() && s.Control != s.VM.Address {
-		control, err := listen("control", s.Control)
+	if s.ControlAddr.IsValid() && s.ControlAddr != s.VM.Address {
+		control, err := listen("control", s.ControlAddr)
 		if err != nil {
 			return nil, nil, err
 		}
--- a/io/process/hosted/process.go
+++ b/io/process/hosted/process.go
@@ -26,18 +26,18 @@
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/process/admin"
 	"hawthornferry/io/process/alert"
-	"hawthornferry/io/process/awake"
 	"hawthornferry/io/process/feed"
-	"hawthornferry/io/process/trace"
+	"hawthornferry/io/process/jsonl"
+	"hawthornferry/io/process/uptime"
 	"hawthornferry/io/request/direct"
 )
 
 // Platform is the access of a process to the platform that it runs on.
 type Platform struct {
-	Store  feed.Store
-	Reader feed.Reader
-	// Settings rereads the settings; nil if they cannot change while the process runs.
-	Settings func() (Settings, error)
+	Store   feed.Store
+	Decoder feed.Decoder
+	// ReloadSettings rereads the settings; nil if they cannot change while the process runs.
+	ReloadSettings func() (Settings, error)
 }
 
 // Sizes and times that apply to every process.
@@ -77,10 +77,10 @@
 	log           trail.Log
 	metrics       tally.Scope
 	feed          *feed.Feed
-	stallDetector *awake.StallDetector
+	stallDetector *uptime.StallDetector
 	alerts        *alert.Registry
 
-	sink           *trace.Sink
+	sink           *jsonl.Sink
 	metricsCloser  io.Closer
 	metricsHandler http.Handler
 	handlers       map[link.Purpose]link.Handler
@@ -104,34 +104,34 @@
 
 func newProcess(s Settings, platform Platform, out io.Writer) (*process, error) {
 	debug.SetGCPercent(gcPercent)
-	if s.Memory > 0 {
-		debug.SetMemoryLimit(int64(float64(s.Memory) * memoryLimitShare))
+	if s.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(float64(s.MemoryLimit) * memoryLimitShare))
 	}
-	p := &process{settings: s, latest: s, readSettings: platform.Settings, clock: clockwork.NewRealClock(), ready: func() error { return nil }, served: func() []place.TargetVersion { return nil }, ends: func() []trail.AttemptEndCount { return nil }}
+	p := &process{settings: s, latest: s, readSettings: platform.ReloadSettings, clock: clockwork.NewRealClock(), ready: func() error { return nil }, served: func() []place.TargetVersion { return nil }, ends: func() []trail.AttemptEndCount { return nil }}
 	p.started = p.clock.Now()
 	p.self = &link.Self{VM: s.VM, Boot: uuid.NewString()}
 	p.metrics, p.metricsHandler, p.metricsCloser = admin.NewMetrics()
-	p.sink = &trace.Sink{Out: out, Buffer: logBufferLines, Metrics: p.metrics}
-	logger, err := trace.NewLogger(p.sink, logrus.InfoLevel.String())
+	p.sink = &jsonl.Sink{Out: out, QueueLines: logBufferLines, Metrics: p.metrics}
+	logger, err := jsonl.NewLogger(p.sink, logrus.InfoLevel.String())
 	if err != nil {
 		return nil, err
 	}
 	p.logger = logger
-	p.log = &trace.Log{Process: s.Node, Clock: p.clock, Logger: logger, Routine: direct.Routine, Budget: &trace.Budget{PerSecond: logLinesPerSecond, RoutinePerSecond: routineLinesPerSecond, Metrics: p.metrics}}
-	p.stallDetector = &awake.StallDetector{Clock: p.clock, Now: awake.Now, Log: p.log, Metrics: p.metrics}
+	p.log = &jsonl.Log{Process: s.NodeName, Clock: p.clock, Logger: logger, Routine: direct.IsRoutine, RateLimiter: &jsonl.RateLimiter{PerSecond: logLinesPerSecond, RoutinePerSecond: routineLinesPerSecond, Metrics: p.metrics}}
+	p.stallDetector = &uptime.StallDetector{Clock: p.clock, Now: uptime.Now, Log: p.log, Metrics: p.metrics}
 	wait, peerWait := entryWaits(s.Bounds)
 	if s.VM.Role == fleet.RoleSide {
 		wait, peerWait = sideStoreWait, sidePeerWait
 	}
 	p.feed = &feed.Feed{
 		Self: p.self, Clock: p.clock, Log: p.log, Metrics: p.metrics,
-		Store: platform.Store, Reader: platform.Reader, Awake: awake.Now, RanSince: p.stallDetector.RanSince, Wait: wait,
-		Drain: s.Bounds.Drain, Peers: p.peers, Readers: p.seeds,
+		Store: platform.Store, Decoder: platform.Decoder, Uptime: uptime.Now, RanSince: p.stallDetector.RanSince, WatchWait: wait,
+		DrainTime: s.Bounds.DrainTime, Peers: p.peers, StoreReaders: p.seeds,
 	}
 	if !p.readsStore() {
-		p.feed.Tellers, p.feed.TellWait = p.seeds, peerWait
+		p.feed.Upstreams, p.feed.UpstreamWait = p.seeds, peerWait
 		if s.VM.Role == fleet.RoleSide {
-			p.feed.StoreRest = sideStoreBackoff
+			p.feed.StoreBackoff = sideStoreBackoff
 		}
 	}
 	p.alerts = &alert.Registry{Clock: p.clock, Log: p.log, Metrics: p.metrics}
@@ -144,7 +144,7 @@
 // if there are no seeds. The store's rate limit does not grow with the number of
 // processes, and each call has a cost.
 func (p *process) readsStore() bool {
-	return len(p.settings.Seeds) == 0 || slices.Contains(p.settings.Seeds, p.settings.Control)
+	return len(p.settings.Seeds) == 0 || slices.Contains(p.settings.Seeds, p.settings.ControlAddr)
 }
 
 // peers returns the processes that may know the state of the store: the seeds and the
@@ -163,7 +163,7 @@
 func (p *process) seeds() []feed.Peer {
 	var out []feed.Peer
 	for _, a := range p.current().Seeds {
-		if a != p.settings.Control {
+		if a != p.settings.ControlAddr {
 			out = append(out, feed.Peer{Address: a})
 		}
 	}
@@ -198,11 +198,11 @@
 	var sink errgroup.Group
 	sink.Go(func() error { return p.sink.Run(sinkCtx) })
 	p.logger.WithFields(logrus.Fields{
-		"vm": p.settings.Node, "address": p.settings.VM.Name, "role": p.settings.VM.Role, "zone": p.settings.VM.Zone,
+		"vm": p.settings.NodeName, "address": p.settings.VM.Name, "role": p.settings.VM.Role, "zone": p.settings.VM.Zone,
 		"boot": p.self.Boot, "pid": os.Getpid(),
 	}).Info("started")
 	err := p.runComponents(ctx, peers, api)
-	p.logger.WithField("vm", p.settings.Node).WithField("reason", stopReason(err)).Info("stopped")
+	p.logger.WithField("vm", p.settings.NodeName).WithField("reason", stopReason(err)).Info("stopped")
 	stopSink()
 	return errors.CombineErrors(err, errors.CombineErrors(p.flushLog(&sink), p.metricsCloser.Close()))
 }
@@ -236,7 +236,7 @@
 	g, runCtx := errgroup.WithContext(runCtx)
 	components := append([]component{{"store feed", p.feed.Run}, {"settings", p.watchSettings}, {"gauges", p.runGauges}, {"state log", p.logState}, {"standstills", p.stallDetector.Run}}, p.components...)
 	for _, nl := range peers {
-		l := &link.Listener{Self: p.self, Net: nl, Handlers: p.handlers, Rejected: p.rejected}
+		l := &link.Listener{Self: p.self, Net: nl, Handlers: p.handlers, OnReject: p.rejected}
 		components = append(components, component{"peers", l.Run})
 	}
 	for _, nl := range api {
@@ -251,7 +251,7 @@
 		return g.Wait()
 	case <-ctx.Done():
 	}
-	p.logger.WithField("vm", p.settings.Node).Info("draining")
+	p.logger.WithField("vm", p.settings.NodeName).Info("draining")
 	err := p.drainWithin()
 	stop()
 	return errors.CombineErrors(err, g.Wait())
@@ -265,7 +265,7 @@
 	if p.drain == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.Grace-killReserve)
+	ctx, cancel := context.WithTimeout(context.Background(), p.settings.Bounds.GracePeriod-killReserve)
 	defer cancel()
 	return operr.Wrap("drain within the grace period", "", p.drain(ctx))
 }
@@ -282,7 +282,7 @@
 		Boot: p.self.Boot, Started: p.started, Ready: true,
 	}}
 	if err := p.ready(); err != nil {
-		s.Process.Ready, s.Process.Reason = false, err.Error()
+		s.Process.Ready, s.Process.NotReadyReason = false, err.Error()
 	}
 	s.Config = admin.Config{Revision: p.self.Revision.Load(), VMs: len(p.feed.Current().Targets)}
 	return s
--- a/io/process/hosted/reports.go
+++ b/io/process/hosted/reports.go
@@ -9,7 +9,7 @@
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/request/place"
 	"hawthornferry/io/process/feed"
-	"hawthornferry/io/process/pulse"
+	"hawthornferry/io/process/loads"
 )
 
 // loadReports connects an entry to the sides of the engines in its subset of the
@@ -101,7 +101,7 @@
 }
 
 // receive passes on the load report that a side sends for the engine on its VM.
-func (r *loadReports) receive(side netip.AddrPort, l pulse.Load) {
+func (r *loadReports) receive(side netip.AddrPort, l loads.Load) {
 	r.mu.Lock()
 	vm, known := r.vms[side.Addr()]
 	if known {
@@ -111,8 +111,8 @@
 	r.mu.Unlock()
 	for _, id := range vm.targets {
 		r.report(id, place.LoadReport{
-			Alive: l.Alive, Active: l.Active, Queued: l.Queued, Slowness: l.Pace, ServedVersion: l.Serving, Loading: l.Loading,
-			Listeners: l.OwnZone + l.OtherZones, TotalEntries: entries, StartedAt: l.Born,
+			Alive: l.Alive, Active: l.Active, Queued: l.Queued, Slowness: l.Slowness, ServedVersion: l.ServedVersion, Loading: l.Loading,
+			Listeners: l.OwnZone + l.OtherZones, TotalEntries: entries, StartedAt: l.StartedAt,
 		})
 	}
 }
--- a/io/process/hosted/rollout.go
+++ b/io/process/hosted/rollout.go
@@ -13,7 +13,7 @@
 	"hawthornferry/core/process/fleet"
 	"hawthornferry/core/process/view"
 	"hawthornferry/core/request/table"
-	"hawthornferry/io/version/shelf"
+	"hawthornferry/io/version/adapt"
 )
 
 // firstVersion is the version that engines serve before any is announced.
@@ -110,7 +110,7 @@
 
 // newView describes the platform's state as an environment document in which the
 // service's model has the given edition.
-func newView(s Settings, f *facts.Facts, service table.Service, e *shelf.Edition, vms []fleet.VM) view.View {
+func newView(s Settings, f *facts.Facts, service table.Service, e *adapt.KnownVersion, vms []fleet.VM) view.View {
 	d := &envdoc.Document{
 		Revision: f.Revision,
 		Stage:    envdoc.StageProduction,
--- a/io/process/hosted/settings.go
+++ b/io/process/hosted/settings.go
@@ -14,59 +14,59 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// Settings are the settings of one process, read at its start. Of changes to them, only
+// ReloadSettings are the settings of one process, read at its start. Of changes to them, only
 // Seeds takes effect while the process runs.
 type Settings struct {
 	// VM describes this process to its peers. They identify each other by address, so
 	// its name is the address; Node is the operators' name of the machine.
-	VM   fleet.VM
-	Node string
+	VM       fleet.VM
+	NodeName string
 	// Regions maps each zone to its region.
 	Regions map[string]string
 	// Seeds are entries that read the store and are asked for its state by the other
 	// processes. Some of them may be down.
 	Seeds []netip.AddrPort
-	// Callers, Ready and Control are the addresses on which an entry listens for
+	// CallersAddr, Ready and Control are the addresses on which an entry listens for
 	// callers, for the load balancer's readiness checks, and for peers.
-	Callers netip.AddrPort
-	Ready   netip.AddrPort
-	Control netip.AddrPort
-	Metrics netip.AddrPort
-	Store   netip.AddrPort
-	// Target is the address of the engine next to a side.
-	Target netip.AddrPort
+	CallersAddr netip.AddrPort
+	ReadyAddr   netip.AddrPort
+	ControlAddr netip.AddrPort
+	MetricsAddr netip.AddrPort
+	StoreAddr   netip.AddrPort
+	// EngineAddr is the address of the engine next to a side.
+	EngineAddr netip.AddrPort
 	// SidePort is the port on which every side listens for peers.
 	SidePort uint16
-	// Memory is the memory limit of the process in bytes, and Link the bandwidth of the
+	// MemoryLimit is the memory limit of the process in bytes, and Link the bandwidth of the
 	// VM's link in bytes per second.
-	Memory int64
-	Link   int64
-	Bounds Bounds
+	MemoryLimit int64
+	LinkRate    int64
+	Bounds      Bounds
 }
 
 // Bounds are the guarantees that the operator requires of the system.
 type Bounds struct {
-	// Contact is how long a machine must have run undisturbed for the other bounds to
+	// MinUndisturbed is how long a machine must have run undisturbed for the other bounds to
 	// apply to it.
-	Contact time.Duration
-	// Drain is how long a target may still get requests after it started leaving.
-	Drain time.Duration
-	// Grace is the time between the platform's request to stop and the kill.
-	Grace time.Duration
-	// Apply is the maximum time until a new configuration takes effect.
-	Apply time.Duration
-	// Revoke is the maximum time for which a revoked key may still be accepted by any
+	MinUndisturbed time.Duration
+	// DrainTime is how long a target may still get requests after it started leaving.
+	DrainTime time.Duration
+	// GracePeriod is the time between the platform's request to stop and the kill.
+	GracePeriod time.Duration
+	// ConfigDelay is the maximum time until a new configuration takes effect.
+	ConfigDelay time.Duration
+	// RevocationDelay is the maximum time for which a revoked key may still be accepted by any
 	// process, also by one that is disconnected. It applies if StrictKeys is set.
-	StrictKeys bool
-	Revoke     time.Duration
+	StrictKeys      bool
+	RevocationDelay time.Duration
 	// RetryRatio and RetrySlack limit the retries within any RetryWindow, over all
 	// entries: RetryRatio relative to the requests, RetrySlack as a fixed allowance.
 	RetryRatio  float64
 	RetryWindow time.Duration
 	RetrySlack  float64
-	// Version is the maximum time after the announcement of a version during which
+	// OldVersionPeriod is the maximum time after the announcement of a version during which
 	// requests may still start on an older one.
-	Version time.Duration
+	OldVersionPeriod time.Duration
 	// Fencing is set if targets reject an order with an outdated number.
 	Fencing bool
 }
@@ -76,16 +76,16 @@
 	if err := s.VM.Check(); err != nil {
 		return err
 	}
-	if !s.Store.IsValid() {
+	if !s.StoreAddr.IsValid() {
 		return errors.New("address of the platform's store is missing")
 	}
-	if s.VM.Role == fleet.RoleEntry && (!s.Callers.IsValid() || !s.Ready.IsValid()) {
+	if s.VM.Role == fleet.RoleEntry && (!s.CallersAddr.IsValid() || !s.ReadyAddr.IsValid()) {
 		return errors.New("addresses for callers and for readiness are missing")
 	}
-	if s.VM.Role == fleet.RoleSide && (!s.Target.IsValid() || s.VM.Service == "") {
+	if s.VM.Role == fleet.RoleSide && (!s.EngineAddr.IsValid() || s.VM.Service == "") {
 		return errors.New("the side's target or its service is missing")
 	}
-	if s.Bounds.Grace <= 0 || s.Bounds.Drain <= 0 {
+	if s.Bounds.GracePeriod <= 0 || s.Bounds.DrainTime <= 0 {
 		return errors.New("bound on draining or grace period is missing or not positive")
 	}
 	return nil
--- a/io/process/hosted/side.go
+++ b/io/process/hosted/side.go
@@ -16,11 +16,11 @@
 	"hawthornferry/core/version/roll"
 	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
-	"hawthornferry/io/process/awake"
-	"hawthornferry/io/process/pulse"
+	"hawthornferry/io/process/loads"
+	"hawthornferry/io/process/uptime"
+	"hawthornferry/io/version/adapt"
 	"hawthornferry/io/version/order"
 	"hawthornferry/io/version/pace"
-	"hawthornferry/io/version/shelf"
 	"hawthornferry/io/version/swarm"
 )
 
@@ -73,17 +73,17 @@
 type Side struct {
 	Settings Settings
 	Platform Platform
-	Engine   shelf.Engine
+	Engine   adapt.Engine
 	// Origin creates the client of the origin server, whose address may change.
-	Origin func(address func() netip.AddrPort) shelf.Origin
+	Origin func(address func() netip.AddrPort) adapt.Origin
 	Log    io.Writer
 
 	process       *process
-	adapter       *shelf.Shelf
-	manifests     *shelf.Library
+	adapter       *adapt.Adapter
+	manifests     *adapt.ManifestReader
 	node          *swarm.Node
 	rollout       *rolloutView
-	loadPublisher *pulse.Publisher
+	loadPublisher *loads.Publisher
 	vms           vmCache
 
 	mu     sync.Mutex
@@ -93,13 +93,13 @@
 // update is the input of the components that distribute and load weights: the platform's
 // state, the version to load and the versions to fetch.
 type update struct {
-	facts    *facts.Facts
-	selected chunk.Digest
-	editions []chunk.Digest
+	facts     *facts.Facts
+	selected  chunk.Digest
+	manifests []chunk.Digest
 }
 
 func (u *update) equal(o *update) bool {
-	return u.facts == o.facts && u.selected == o.selected && slices.Equal(u.editions, o.editions)
+	return u.facts == o.facts && u.selected == o.selected && slices.Equal(u.manifests, o.manifests)
 }
 
 // Run runs the side until ctx ends.
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	metrics, err := listen("metrics", s.Settings.Metrics)
+	metrics, err := listen("metrics", s.Settings.MetricsAddr)
 	if err != nil {
 		return err
 	}
@@ -124,38 +124,38 @@
 func (s *Side) build() {
 	p := s.process
 	s.rollout = newRolloutView(s.Settings)
-	s.adapter = &shelf.Shelf{Clock: p.clock, Log: p.log, Engine: s.Engine, Origin: s.Origin(s.originAddress)}
-	s.manifests = &shelf.Library{
-		Self: p.self, Clock: p.clock, Log: p.log, Shelf: s.adapter,
-		Peers: s.sides, Read: func(*shelf.Edition) { s.refresh() },
+	s.adapter = &adapt.Adapter{Clock: p.clock, Log: p.log, Engine: s.Engine, Origin: s.Origin(s.originAddress)}
+	s.manifests = &adapt.ManifestReader{
+		Self: p.self, Clock: p.clock, Log: p.log, Adapter: s.adapter,
+		Peers: s.sides, OnManifest: func(*adapt.KnownVersion) { s.refresh() },
 	}
-	rate := scaleRate(s.Settings.Link, weightLinkShare)
+	rate := scaleRate(s.Settings.LinkRate, weightLinkShare)
 	s.node = &swarm.Node{
 		Self: p.self, Clock: p.clock, Log: p.log, Logger: p.logger, Metrics: p.metrics,
 		Members: s.members, Staging: s.adapter, Source: s.adapter, CacheBytes: cacheBytes,
-		Burst: spread.Config{
+		Spread: spread.Config{
 			MinTimeout: minStallTimeout, MaxBackoff: maxRetryPause, OriginSlots: originDownloads, UploadSlots: peerUploads, DownloadSlots: peerDownloads,
 		},
-		BlockTime: blockTime,
-		Inflow:    &pace.Window{Clock: p.clock, Most: max(scaleRate(rate, inflightTime.Seconds()), minInflight)},
-		Pacer:     pace.New(pace.Config{Up: rate, Down: rate}, p.clock),
+		MaxBlockTime: blockTime,
+		InflowWindow: &pace.Window{Clock: p.clock, MaxBytes: max(scaleRate(rate, inflightTime.Seconds()), minInflight)},
+		Pacer:        pace.New(pace.Config{Up: rate, Down: rate}, p.clock),
 	}
-	orderer := &order.Orderer{
-		Self: p.self, Clock: p.clock, Awake: awake.Now, Log: p.log, Source: s.rollout, Engine: s.adapter,
-		Verified: s.verified, Draining: func() bool { return false }, Deadline: s.loadDeadline,
+	controller := &order.Controller{
+		Self: p.self, Clock: p.clock, Uptime: uptime.Now, Log: p.log, Source: s.rollout, Engine: s.adapter,
+		VerifiedManifest: s.verified, Draining: func() bool { return false }, Deadline: s.loadDeadline,
 	}
-	s.loadPublisher = &pulse.Publisher{Clock: p.clock, Log: p.log, Engine: s.Engine, Zone: s.Settings.VM.Zone}
-	s.loadPublisher.OnUrgentChange = orderer.Notice
-	s.adapter.Loading = s.loadPublisher.Announce
+	s.loadPublisher = &loads.Publisher{Clock: p.clock, Log: p.log, Engine: s.Engine, Zone: s.Settings.VM.Zone}
+	s.loadPublisher.OnUrgentChange = controller.Recheck
+	s.adapter.OnLoading = s.loadPublisher.Announce
 	p.served = s.served
 	p.handlers[link.PurposeWeights] = s.node.Handler()
-	p.handlers[link.PurposeOrders] = orderer.Handler()
+	p.handlers[link.PurposeOrders] = controller.Handler()
 	p.handlers[link.PurposeLoad] = s.loadPublisher.Handler()
-	p.handlers[link.PurposeEditions] = s.manifests.Handler()
+	p.handlers[link.PurposeManifests] = s.manifests.Handler()
 	p.components = append(
 		p.components,
 		component{"weights", s.node.Run},
-		component{"load orders", orderer.Run},
+		component{"load orders", controller.Run},
 		component{"manifests", s.manifests.Run},
 		component{"load reports", s.loadPublisher.Run},
 		component{"wanted version", s.watchState},
@@ -187,28 +187,28 @@
 	if !ok {
 		return
 	}
-	s.manifests.Want(model, versions)
-	var editions []*shelf.Edition
-	var wanted []swarm.Wanted
+	s.manifests.SetWanted(model, versions)
+	var known []*adapt.KnownVersion
+	var wanted []swarm.WantedVersion
 	for _, v := range versions {
-		if e, ok := s.adapter.Find(model, v); ok {
-			editions = append(editions, e)
-			wanted = append(wanted, swarm.Wanted{Model: model, Version: e.Manifest.Version, Manifest: e.Digest})
+		if e, ok := s.adapter.FindVersion(model, v); ok {
+			known = append(known, e)
+			wanted = append(wanted, swarm.WantedVersion{Model: model, Version: e.Manifest.Version, Manifest: e.Digest})
 		}
 	}
-	if len(editions) == 0 {
+	if len(known) == 0 {
 		return
 	}
-	s.apply(f, editions, wanted)
+	s.apply(f, known, wanted)
 }
 
 // apply passes a new view to the components unless it equals the last one. Most calls are
 // caused by the passage of time, which rarely changes it.
-func (s *Side) apply(f *facts.Facts, editions []*shelf.Edition, wanted []swarm.Wanted) {
-	selected := s.selectEdition(f, editions)
+func (s *Side) apply(f *facts.Facts, known []*adapt.KnownVersion, wanted []swarm.WantedVersion) {
+	selected := s.selectVersion(f, known)
 	next := update{facts: f, selected: selected.Digest}
-	for _, e := range editions {
-		next.editions = append(next.editions, e.Digest)
+	for _, e := range known {
+		next.manifests = append(next.manifests, e.Digest)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,20 +223,20 @@
 }
 
 func (s *Side) wanted(f *facts.Facts) (string, []uint64, bool) {
-	return wantedVersions(f, s.Settings.VM.Service, s.process.clock.Now(), s.Settings.Bounds.Version)
+	return wantedVersions(f, s.Settings.VM.Service, s.process.clock.Now(), s.Settings.Bounds.OldVersionPeriod)
 }
 
-// selectEdition returns the version to load: the newest, unless its weights are
+// selectVersion returns the version to load: the newest, unless its weights are
 // incomplete while those of the version before it are complete and that one's time limit
 // is about to expire. Loading the older one then keeps requests served from that limit
 // until the newest version is available.
-func (s *Side) selectEdition(f *facts.Facts, editions []*shelf.Edition) *shelf.Edition {
-	newest := editions[0]
-	if _, complete := s.verified(newest.Digest); complete || len(editions) == 1 {
+func (s *Side) selectVersion(f *facts.Facts, known []*adapt.KnownVersion) *adapt.KnownVersion {
+	newest := known[0]
+	if _, complete := s.verified(newest.Digest); complete || len(known) == 1 {
 		return newest
 	}
-	older := editions[1]
-	due, ok := f.Due(older.Model, s.process.clock.Now().Add(olderReserve-s.Settings.Bounds.Version))
+	older := known[1]
+	due, ok := f.Due(older.Model, s.process.clock.Now().Add(olderReserve-s.Settings.Bounds.OldVersionPeriod))
 	if _, complete := s.verified(older.Digest); complete && ok && due.Version >= older.Version {
 		return older
 	}
@@ -256,11 +256,11 @@
 // served returns the version that the engine next to this process serves; nil before the
 // engine's first answer.
 func (s *Side) served() []place.TargetVersion {
-	version, known := s.loadPublisher.Serving()
+	version, known := s.loadPublisher.ServedVersion()
 	if !known {
 		return nil
 	}
-	return []place.TargetVersion{{Service: s.Settings.VM.Service, Address: s.Settings.Target, Version: version}}
+	return []place.TargetVersion{{Service: s.Settings.VM.Service, Address: s.Settings.EngineAddr, Version: version}}
 }
 
 // verified returns the manifest of a version whose weights are completely staged and
@@ -278,8 +278,8 @@
 // version: loadReserve before entries stop sending requests to the version that it
 // serves.
 func (s *Side) loadDeadline() roll.Deadline {
-	serving, known := s.loadPublisher.Serving()
-	bound := s.Settings.Bounds.Version
+	serving, known := s.loadPublisher.ServedVersion()
+	bound := s.Settings.Bounds.OldVersionPeriod
 	f := s.process.feed.Current()
 	if !known || serving == 0 || bound <= 0 || f.Table == nil {
 		return roll.Deadline{}
--- a/io/process/hosted/waits.go
+++ b/io/process/hosted/waits.go
@@ -36,11 +36,11 @@
 // without any fault in the system.
 func entryWaits(b Bounds) (store, peer time.Duration) {
 	store = entryStoreWait
-	if b.Apply > 0 {
-		store = min(store, (scaleDuration(b.Apply, tableShare)-watchOverhead)/2)
+	if b.ConfigDelay > 0 {
+		store = min(store, (scaleDuration(b.ConfigDelay, tableShare)-watchOverhead)/2)
 	}
 	if b.StrictKeys {
-		store = min(store, scaleDuration(scaleDuration(b.Revoke, keyShare)-watchOverhead, 1/(2+peerWaitShare)))
+		store = min(store, scaleDuration(scaleDuration(b.RevocationDelay, keyShare)-watchOverhead, 1/(2+peerWaitShare)))
 	}
 	store = max(store, minWait)
 	return store, scaleDuration(store, peerWaitShare)
--- a/io/process/hosted/waits_test.go
+++ b/io/process/hosted/waits_test.go
@@ -17,11 +17,11 @@
 		bounds      Bounds
 		store, peer time.Duration
 	}{
-		{"long", Bounds{StrictKeys: true, Revoke: 5 * time.Second, Apply: 2 * time.Second}, entryStoreWait, entryPeerWait},
-		{"short bound on keys", Bounds{StrictKeys: true, Revoke: 1562500 * time.Microsecond, Apply: 2 * time.Second}, 400 * time.Millisecond, 250 * time.Millisecond},
-		{"short bound on keys, not strict", Bounds{Revoke: 1500 * time.Millisecond, Apply: 2 * time.Second}, entryStoreWait, entryPeerWait},
-		{"short bound on routes", Bounds{StrictKeys: true, Revoke: 5 * time.Second, Apply: time.Second}, 350 * time.Millisecond, 218750 * time.Microsecond},
-		{"bound below any wait", Bounds{StrictKeys: true, Revoke: 100 * time.Millisecond}, minWait, 62500 * time.Microsecond},
+		{"long", Bounds{StrictKeys: true, RevocationDelay: 5 * time.Second, ConfigDelay: 2 * time.Second}, entryStoreWait, entryPeerWait},
+		{"short bound on keys", Bounds{StrictKeys: true, RevocationDelay: 1562500 * time.Microsecond, ConfigDelay: 2 * time.Second}, 400 * time.Millisecond, 250 * time.Millisecond},
+		{"short bound on keys, not strict", Bounds{RevocationDelay: 1500 * time.Millisecond, ConfigDelay: 2 * time.Second}, entryStoreWait, entryPeerWait},
+		{"short bound on routes", Bounds{StrictKeys: true, RevocationDelay: 5 * time.Second, ConfigDelay: time.Second}, 350 * time.Millisecond, 218750 * time.Microsecond},
+		{"bound below any wait", Bounds{StrictKeys: true, RevocationDelay: 100 * time.Millisecond}, minWait, 62500 * time.Microsecond},
 		{"no bounds", Bounds{}, entryStoreWait, entryPeerWait},
 	}
 	for _, tc := range tests {
@@ -31,7 +31,7 @@
 				t.Errorf("waits (-want +got):\n%s", diff)
 			}
 			if tc.bounds.StrictKeys && store > minWait {
-				if oldest, trusted := 2*store+peer, scaleDuration(tc.bounds.Revoke, keyShare); oldest >= trusted {
+				if oldest, trusted := 2*store+peer, scaleDuration(tc.bounds.RevocationDelay, keyShare); oldest >= trusted {
 					t.Errorf("a copy of the state gets %s old, but is trusted for keys for %s", oldest, trusted)
 				}
 			}
--- a/io/process/trace/budget.go
+++ b/io/process/jsonl/budget.go
@@ -1,4 +1,4 @@
-package trace
+package jsonl
 
 import (
 	"cmp"
@@ -17,14 +17,14 @@
 // time. Beyond it, routine lines of further requests are omitted at once.
 const maxHeldRequests = 4096
 
-// Budget limits how many lines of each kind a Log writes per second. Lines of one
+// RateLimiter limits how many lines of each kind a Log writes per second. Lines of one
 // action are one kind, and routine lines of that action are a kind of their own.
 // Routine lines over the budget are held back until their request ends. If it
 // succeeds, they are all omitted; if it fails, is refused or is moved to another
 // target, they are written, so that the log has every line on it. Other lines over
 // the budget are omitted. Lines that are omitted are counted, and one line per action
 // reports their number. Set the exported fields before the first call.
-type Budget struct {
+type RateLimiter struct {
 	// PerSecond is the maximum number of lines of one kind that are written per
 	// second.
 	PerSecond int
@@ -55,7 +55,7 @@
 // admit returns the lines to write now, given the decision d and its line: the
 // report of a second that is over, lines of the request that were held back, and
 // line itself unless it is held back or omitted.
-func (b *Budget) admit(d trail.Decision, routine bool, line []byte) [][]byte {
+func (b *RateLimiter) admit(d trail.Decision, routine bool, line []byte) [][]byte {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := b.startSecond(d.Time)
@@ -81,7 +81,7 @@
 
 // holdOrOmit holds a routine line back. If the request ends with it, or too many
 // requests are held back, it omits all lines of the request.
-func (b *Budget) holdOrOmit(d trail.Decision, line []byte) {
+func (b *RateLimiter) holdOrOmit(d trail.Decision, line []byte) {
 	lines := append(b.held[d.Request], heldLine{d.Action, line})
 	if d.Action != answerAction && len(b.held) < maxHeldRequests {
 		b.held[d.Request] = lines
@@ -95,7 +95,7 @@
 
 // startSecond starts a new second when the current one is over, and returns the
 // lines that report what was omitted in it.
-func (b *Budget) startSecond(now time.Time) [][]byte {
+func (b *RateLimiter) startSecond(now time.Time) [][]byte {
 	if b.written != nil && now.Sub(b.secondStart) < time.Second && !now.Before(b.secondStart) {
 		return nil
 	}
@@ -112,7 +112,7 @@
 	return out
 }
 
-func (b *Budget) countOmitted(action string, n int) {
+func (b *RateLimiter) countOmitted(action string, n int) {
 	if b.Metrics != nil {
 		b.Metrics.Tagged(map[string]string{"action": action}).Counter("log_lines_left_out_total").Inc(int64(n))
 	}
--- a/io/process/trace/budget_test.go
+++ b/io/process/jsonl/budget_test.go
@@ -1,4 +1,4 @@
-package trace
+package jsonl
 
 import (
 	"bytes"
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	l := &Log{
-		Process: "e1", Clock: clock, Logger: logger, Budget: &Budget{PerSecond: perSecond},
+		Process: "e1", Clock: clock, Logger: logger, RateLimiter: &RateLimiter{PerSecond: perSecond},
 		Routine: func(d trail.Decision) bool { return d.Action == "placed" || d.Outcome == "relayed" },
 	}
 	for i := range requests {
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	l := &Log{
-		Clock: clockwork.NewFakeClock(), Logger: logger, Budget: &Budget{PerSecond: perSecond, RoutinePerSecond: routine},
+		Clock: clockwork.NewFakeClock(), Logger: logger, RateLimiter: &RateLimiter{PerSecond: perSecond, RoutinePerSecond: routine},
 		Routine: func(d trail.Decision) bool { return d.Outcome == "relayed" },
 	}
 	for i := range requests {
--- a/io/process/trace/log.go
+++ b/io/process/jsonl/log.go
@@ -1,4 +1,4 @@
-package trace
+package jsonl
 
 import (
 	"bytes"
@@ -26,8 +26,8 @@
 	// Routine reports whether a decision is routine: its line is the first to be
 	// omitted when the output is slow or the Budget is used up. nil means that none is.
 	Routine func(d trail.Decision) bool
-	// Budget limits the lines written per second; nil for no limit.
-	Budget *Budget
+	// RateLimiter limits the lines written per second; nil for no limit.
+	RateLimiter *RateLimiter
 }
 
 var _ trail.Log = (*Log)(nil)
@@ -63,10 +63,10 @@
 
 func (l *Log) write(d trail.Decision, b []byte) error {
 	routine := l.Routine != nil && l.Routine(d)
-	if l.Budget == nil {
+	if l.RateLimiter == nil {
 		return l.writeLine(routine, b)
 	}
-	for _, line := range l.Budget.admit(d, routine, b) {
+	for _, line := range l.RateLimiter.admit(d, routine, b) {
 		if err := l.writeLine(routine, line); err != nil {
 			return err
 		}
--- a/io/process/trace/sink.go
+++ b/io/process/jsonl/sink.go
@@ -2,7 +2,7 @@
 // trail), which the commands replay and explain read, and its other messages. It
 // never makes a request wait for the log output, and can limit the lines per second.
 // Packages host and hosted set it up at the start of a process.
-package trace
+package jsonl
 
 import (
 	"bytes"
@@ -17,16 +17,16 @@
 	"hawthornferry/core/process/operr"
 )
 
-// DefaultBuffer is the length of a Sink's queue in lines when Buffer is 0.
-const DefaultBuffer = 4096
+// DefaultQueueLines is the length of a Sink's queue in lines when Buffer is 0.
+const DefaultQueueLines = 4096
 
 // Sink is an io.Writer that queues lines for Out, so that Write never blocks. Each
 // Write is one line. Buffer is the length of the queue in lines. Set the exported
 // fields before the first Write.
 type Sink struct {
-	Out     io.Writer
-	Buffer  int
-	Metrics tally.Scope
+	Out        io.Writer
+	QueueLines int
+	Metrics    tally.Scope
 
 	once    sync.Once
 	lines   chan []byte
@@ -35,9 +35,9 @@
 
 func (s *Sink) init() {
 	s.once.Do(func() {
-		n := s.Buffer
+		n := s.QueueLines
 		if n <= 0 {
-			n = DefaultBuffer
+			n = DefaultQueueLines
 		}
 		s.lines = make(chan []byte, n)
 		if s.Metrics == nil {
@@ -125,8 +125,8 @@
 	}
 }
 
-// Open opens the output of a log: stderr, stdout, or a file to append to.
-func Open(output string) (io.WriteCloser, error) {
+// OpenOutput opens the output of a log: stderr, stdout, or a file to append to.
+func OpenOutput(output string) (io.WriteCloser, error) {
 	switch output {
 	case "", "stderr":
 		return standardStream{os.Stderr}, nil
--- a/io/process/trace/trace_test.go
+++ b/io/process/jsonl/trace_test.go
@@ -1,4 +1,4 @@
-package trace
+package jsonl
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 // lines were dropped.
 func TestBlockedOutputDropsAndCountsLines(t *testing.T) {
 	var out bytes.Buffer
-	sink := &Sink{Out: &out, Buffer: 2}
+	sink := &Sink{Out: &out, QueueLines: 2}
 	logger, err := NewLogger(sink, "error")
 	if err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 // dropped before the queue is full.
 func TestRoutineLinesAreDroppedFirst(t *testing.T) {
 	var out bytes.Buffer
-	sink := &Sink{Out: &out, Buffer: 8}
+	sink := &Sink{Out: &out, QueueLines: 8}
 	logger, err := NewLogger(sink, "error")
 	if err != nil {
 		t.Fatal(err)
--- a/io/process/pulse/listen.go
+++ b/io/process/loads/listen.go
@@ -1,4 +1,4 @@
-package pulse
+package loads
 
 import (
 	"context"
@@ -29,17 +29,17 @@
 	// OnLoad is called with each report of the side at addr. It must not block.
 	OnLoad func(addr netip.AddrPort, l Load)
 
-	sides link.Keeper
+	sides link.PeerRunner
 }
 
 // Run maintains the connections until ctx ends.
 func (l *Listener) Run(ctx context.Context) error {
-	l.sides.Keep = l.maintain
+	l.sides.Serve = l.maintain
 	return l.sides.Run(ctx)
 }
 
-// Want sets the sides to be connected to from now on.
-func (l *Listener) Want(addrs []netip.AddrPort) { l.sides.Want(addrs) }
+// SetSides sets the sides to be connected to from now on.
+func (l *Listener) SetSides(addrs []netip.AddrPort) { l.sides.SetPeers(addrs) }
 
 // maintain keeps a connection to one side, and logs when its first report arrives and when
 // the connection is lost.
--- a/io/process/pulse/listen_test.go
+++ b/io/process/loads/listen_test.go
@@ -1,4 +1,4 @@
-package pulse
+package loads
 
 import (
 	"context"
@@ -80,7 +80,7 @@
 		t.Helper()
 		end := time.Now().Add(10 * time.Second)
 		for time.Now().Before(end) && !cmp.Equal(want, log.actions()) {
-			l.Want([]netip.AddrPort{addr})
+			l.SetSides([]netip.AddrPort{addr})
 			time.Sleep(10 * time.Millisecond)
 		}
 		if diff := cmp.Diff(want, log.actions()); diff != "" {
@@ -133,7 +133,7 @@
 		wg.Go(func() { _ = listener.Run(ctx) })
 		wg.Go(func() {
 			for ctx.Err() == nil {
-				listener.Want([]netip.AddrPort{netip.MustParseAddrPort(nl.Addr().String())})
+				listener.SetSides([]netip.AddrPort{netip.MustParseAddrPort(nl.Addr().String())})
 				time.Sleep(50 * time.Millisecond)
 			}
 		})
@@ -143,7 +143,7 @@
 		next := publisher.load
 		next.Active++
 		if urgent {
-			next.Serving++
+			next.ServedVersion++
 		}
 		publisher.publish(next)
 		publisher.mu.Unlock()
--- a/io/process/pulse/pulse.go
+++ b/io/process/loads/pulse.go
@@ -3,7 +3,7 @@
 // the sides of the engines that it uses (Listener). An entry sees only its own requests;
 // without these reports it would send more to engines that other entries have filled.
 // Package hosted runs both.
-package pulse
+package loads
 
 import (
 	"context"
@@ -16,7 +16,7 @@
 	"hawthornferry/core/process/trail"
 	"hawthornferry/io/conn/frame"
 	"hawthornferry/io/conn/link"
-	"hawthornferry/io/version/shelf"
+	"hawthornferry/io/version/adapt"
 )
 
 // Intervals and timeouts of a publisher.
@@ -47,14 +47,14 @@
 // the version that it serves, 0 for none, and Loading is set while it loads a version or is
 // about to.
 type Load struct {
-	Alive   bool    `msgpack:"alive"`
-	Active  int     `msgpack:"active"`
-	Queued  int     `msgpack:"queued"`
-	Pace    float64 `msgpack:"pace"`
-	Serving uint64  `msgpack:"serving"`
-	Loading bool    `msgpack:"loading"`
-	// Born is when the engine started, zero if it does not report that.
-	Born time.Time `msgpack:"born"`
+	Alive         bool    `msgpack:"alive"`
+	Active        int     `msgpack:"active"`
+	Queued        int     `msgpack:"queued"`
+	Slowness      float64 `msgpack:"pace"`
+	ServedVersion uint64  `msgpack:"serving"`
+	Loading       bool    `msgpack:"loading"`
+	// StartedAt is when the engine started, zero if it does not report that.
+	StartedAt time.Time `msgpack:"born"`
 	// OwnZone and OtherZones are the numbers of entries that are connected to the side, from
 	// the side's own zone and from others.
 	OwnZone    int `msgpack:"near"`
@@ -66,8 +66,8 @@
 
 // Check returns an error if a number is negative.
 func (l *Load) Check() error {
-	if l.Active < 0 || l.Queued < 0 || l.Pace < 0 || l.OwnZone < 0 || l.OtherZones < 0 {
-		return errors.Newf("load: %d active, %d queued, pace %g, %d and %d entries: want none below 0", l.Active, l.Queued, l.Pace, l.OwnZone, l.OtherZones)
+	if l.Active < 0 || l.Queued < 0 || l.Slowness < 0 || l.OwnZone < 0 || l.OtherZones < 0 {
+		return errors.Newf("load: %d active, %d queued, pace %g, %d and %d entries: want none below 0", l.Active, l.Queued, l.Slowness, l.OwnZone, l.OtherZones)
 	}
 	return nil
 }
@@ -76,7 +76,7 @@
 // decides whether the engine is usable. The other fields only affect how an entry weighs
 // targets against each other.
 func (l *Load) urgent(next *Load) bool {
-	return l.Alive != next.Alive || l.Serving != next.Serving || l.Loading != next.Loading || !l.Born.Equal(next.Born)
+	return l.Alive != next.Alive || l.ServedVersion != next.ServedVersion || l.Loading != next.Loading || !l.StartedAt.Equal(next.StartedAt)
 }
 
 func kinds() frame.Kinds {
@@ -90,7 +90,7 @@
 type Publisher struct {
 	Clock  clockwork.Clock
 	Log    trail.Log
-	Engine shelf.Engine
+	Engine adapt.Engine
 	// Zone is the side's zone.
 	Zone string
 	// OnUrgentChange, when set, is called when a poll finds a change that decides whether
@@ -120,10 +120,10 @@
 	}
 }
 
-// Serving returns the version that the engine serves, or false before the first report.
-func (p *Publisher) Serving() (uint64, bool) {
+// ServedVersion returns the version that the engine serves, or false before the first report.
+func (p *Publisher) ServedVersion() (uint64, bool) {
 	l, published, _ := p.current()
-	return l.Serving, published
+	return l.ServedVersion, published
 }
 
 // Handler returns the handler for connections of entries.
@@ -165,7 +165,7 @@
 	r, err := p.Engine.Report(ctx)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := Load{Alive: true, Active: r.Active, Queued: r.Queued, Pace: r.Pace, Serving: r.Serving, Loading: r.Loading, Born: r.Born}
+	next := Load{Alive: true, Active: r.Active, Queued: r.Queued, Slowness: r.Slowness, ServedVersion: r.ServedVersion, Loading: r.Loading, StartedAt: r.StartedAt}
 	if err != nil {
 		p.failures++
 		if p.failures < maxFailedPolls {
@@ -179,7 +179,7 @@
 	if next == p.load && p.published {
 		return
 	}
-	if next.Alive != p.load.Alive || next.Serving != p.load.Serving || !p.published {
+	if next.Alive != p.load.Alive || next.ServedVersion != p.load.ServedVersion || !p.published {
 		p.logState(next, err)
 	}
 	if p.OnUrgentChange != nil && p.load.urgent(&next) {
@@ -198,7 +198,7 @@
 }
 
 func (p *Publisher) logState(l Load, err error) {
-	d := trail.Decision{Area: trail.AreaMember, Action: "engineAlive", Load: l.Active, Version: l.Serving}
+	d := trail.Decision{Area: trail.AreaMember, Action: "engineAlive", Load: l.Active, Version: l.ServedVersion}
 	if !l.Alive {
 		d.Action = "engineSilent"
 	}
--- a/io/process/host/host.go
+++ b/io/process/proc/host.go
@@ -1,7 +1,7 @@
 // Package host runs what entries and sides have in common: logs, metrics, configuration, the
 // listener for peers and the administration API. The commands in package cmds open a Host;
 // packages entry and side add their own components to it and call Run.
-package host
+package proc
 
 import (
 	"context"
@@ -24,8 +24,8 @@
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/process/admin"
 	"hawthornferry/io/process/conf"
-	"hawthornferry/io/process/gauge"
-	"hawthornferry/io/process/trace"
+	"hawthornferry/io/process/jsonl"
+	"hawthornferry/io/process/trends"
 	"hawthornferry/io/process/watch"
 )
 
@@ -35,22 +35,22 @@
 	Run  func(ctx context.Context) error
 }
 
-// Host is the common part of a process. Settings, Version, Peers and Admin are set before
+// Process is the common part of a process. Settings, Version, Peers and Admin are set before
 // Open, which creates the fields from Self to Watcher. Those from Components to Drain are set
 // before Run.
-type Host struct {
+type Process struct {
 	Settings conf.Settings
 	Version  string
 	Peers    net.Listener
 	Admin    net.Listener
 
-	Self    *link.Self
-	Clock   clockwork.Clock
-	Logger  *logrus.Logger
-	Log     trail.Log
-	Metrics tally.Scope
-	Gauge   *gauge.Gauge
-	Watcher *watch.Watcher
+	Self     *link.Self
+	Clock    clockwork.Clock
+	Logger   *logrus.Logger
+	Log      trail.Log
+	Metrics  tally.Scope
+	Recorder *trends.Recorder
+	Watcher  *watch.Watcher
 
 	Components []Component
 	Handlers   map[link.Purpose]link.Handler
@@ -64,12 +64,12 @@
 	started  time.Time
 	metrics  http.Handler
 	closers  []io.Closer
-	sinks    []*trace.Sink
+	sinks    []*jsonl.Sink
 	draining chan struct{}
 }
 
 // Open creates the common components from the settings.
-func (h *Host) Open() error {
+func (h *Process) Open() error {
 	h.Clock = clockwork.NewRealClock()
 	h.started = h.Clock.Now()
 	h.draining = make(chan struct{})
@@ -80,7 +80,7 @@
 	var closer io.Closer
 	h.Metrics, h.metrics, closer = admin.NewMetrics()
 	h.closers = append(h.closers, closer)
-	h.Gauge = &gauge.Gauge{Clock: h.Clock, Metrics: h.Metrics}
+	h.Recorder = &trends.Recorder{Clock: h.Clock, Metrics: h.Metrics}
 	if err := h.openLogs(); err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 	return nil
 }
 
-func (h *Host) openSelf() {
+func (h *Process) openSelf() {
 	p := h.Settings.Process
 	h.Self = &link.Self{Boot: uuid.NewString()}
 	h.Self.VM = fleet.VM{
@@ -102,7 +102,7 @@
 	}
 }
 
-func (h *Host) openLogs() error {
+func (h *Process) openLogs() error {
 	logs := h.Settings.Log
 	logger, err := h.openLog(logs.Output)
 	if err != nil {
@@ -116,37 +116,37 @@
 			return err
 		}
 	}
-	h.Log = &trace.Log{Process: h.Self.VM.Name, Boot: h.Self.Boot, Clock: h.Clock, Logger: decisions}
+	h.Log = &jsonl.Log{Process: h.Self.VM.Name, Boot: h.Self.Boot, Clock: h.Clock, Logger: decisions}
 	return nil
 }
 
-func (h *Host) openLog(output string) (*logrus.Logger, error) {
-	out, err := trace.Open(output)
+func (h *Process) openLog(output string) (*logrus.Logger, error) {
+	out, err := jsonl.OpenOutput(output)
 	if err != nil {
 		return nil, err
 	}
-	sink := &trace.Sink{Out: out, Buffer: h.Settings.Log.Buffer, Metrics: h.Metrics}
+	sink := &jsonl.Sink{Out: out, QueueLines: h.Settings.Log.Buffer, Metrics: h.Metrics}
 	h.closers = append(h.closers, out)
 	h.sinks = append(h.sinks, sink)
-	return trace.NewLogger(sink, h.Settings.Log.Level)
+	return jsonl.NewLogger(sink, h.Settings.Log.Level)
 }
 
-func (h *Host) openWatcher() {
+func (h *Process) openWatcher() {
 	h.Watcher = &watch.Watcher{
-		Self:        h.Self,
-		Clock:       h.Clock,
-		Log:         h.Log,
-		Metrics:     h.Metrics,
-		Environment: h.Settings.Platform.Environment,
-		Config:      h.Settings.Platform.Config,
-		VMList:      h.Settings.Platform.VMList,
-		Seeds:       h.Settings.Peers.Seeds,
+		Self:          h.Self,
+		Clock:         h.Clock,
+		Log:           h.Log,
+		Metrics:       h.Metrics,
+		Environment:   h.Settings.Platform.Environment,
+		ConfigService: h.Settings.Platform.Config,
+		VMListService: h.Settings.Platform.VMList,
+		Seeds:         h.Settings.Peers.Seeds,
 	}
 }
 
 // Run runs the process until ctx ends, then drains it within the grace period. It returns an
 // error if a component failed or work was still in flight when the grace period ended.
-func (h *Host) Run(ctx context.Context) error {
+func (h *Process) Run(ctx context.Context) error {
 	sinkCtx, stopSinks := context.WithCancel(context.Background())
 	var sinks errgroup.Group
 	for _, s := range h.sinks {
@@ -162,7 +162,7 @@
 // runComponents runs the components until ctx ends or one fails. They keep running while the
 // process drains: calls in flight still need sessions, configuration and the administration
 // API.
-func (h *Host) runComponents(ctx context.Context) error {
+func (h *Process) runComponents(ctx context.Context) error {
 	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	g, runCtx := errgroup.WithContext(runCtx)
@@ -180,7 +180,7 @@
 	return errors.CombineErrors(err, g.Wait())
 }
 
-func (h *Host) drain() error {
+func (h *Process) drain() error {
 	if h.Drain == nil {
 		return nil
 	}
@@ -189,29 +189,29 @@
 	return operr.Wrap("drain within the grace period", "", h.Drain(ctx))
 }
 
-func (h *Host) allComponents() []Component {
+func (h *Process) allComponents() []Component {
 	handlers := map[link.Purpose]link.Handler{link.PurposeConfig: h.Watcher.Handler()}
 	for p, handler := range h.Handlers {
 		handlers[p] = handler
 	}
-	peers := &link.Listener{Self: h.Self, Net: h.Peers, Handlers: handlers, Rejected: h.rejected}
+	peers := &link.Listener{Self: h.Self, Net: h.Peers, Handlers: handlers, OnReject: h.rejected}
 	api := &admin.Server{Listener: h.Admin, Status: h.status, Ready: h.ready, Metrics: h.metrics}
 	components := []Component{
 		{Name: "peer listener", Run: peers.Run},
 		{Name: "administration API", Run: api.Run},
 		{Name: "configuration", Run: h.Watcher.Run},
-		{Name: "measures", Run: h.Gauge.Run},
+		{Name: "measures", Run: h.Recorder.Run},
 	}
 	return append(components, h.Components...)
 }
 
-func (h *Host) rejected(err error) {
+func (h *Process) rejected(err error) {
 	h.Metrics.Counter("peers_rejected_total").Inc(1)
 	h.Logger.WithError(err).Warn("peer rejected")
 }
 
 // Draining reports whether the process is shutting down.
-func (h *Host) Draining() bool {
+func (h *Process) Draining() bool {
 	select {
 	case <-h.draining:
 		return true
@@ -220,7 +220,7 @@
 	}
 }
 
-func (h *Host) ready() error {
+func (h *Process) ready() error {
 	if h.Draining() {
 		return errors.New("draining")
 	}
@@ -233,26 +233,26 @@
 	return h.Ready()
 }
 
-func (h *Host) status() admin.Status {
+func (h *Process) status() admin.Status {
 	s := admin.Status{Process: h.processStatus(), Config: h.configStatus(), Traffic: h.traffic()}
-	s.Drift = h.Gauge.Drift()
-	s.Tables = h.Gauge.Tables()
+	s.Drift = h.Recorder.Drift()
+	s.Tables = h.Recorder.Tables()
 	if h.AddStatus != nil {
 		h.AddStatus(&s)
 	}
 	return s
 }
 
-func (h *Host) traffic() []admin.Traffic {
+func (h *Process) traffic() []admin.Traffic {
 	var out []admin.Traffic
 	for _, p := range link.Purposes() {
-		t := h.Self.Totals.Of(p)
+		t := h.Self.Totals.ByPurpose(p)
 		out = append(out, admin.Traffic{Purpose: string(p), Received: t.Received(), Sent: t.Sent()})
 	}
 	return out
 }
 
-func (h *Host) processStatus() admin.Process {
+func (h *Process) processStatus() admin.Process {
 	vm := h.Self.VM
 	p := admin.Process{
 		Name:    vm.Name,
@@ -266,25 +266,25 @@
 	}
 	if err := h.ready(); err != nil {
 		p.Ready = false
-		p.Reason = err.Error()
+		p.NotReadyReason = err.Error()
 	}
 	return p
 }
 
-func (h *Host) configStatus() admin.Config {
+func (h *Process) configStatus() admin.Config {
 	v := h.Watcher.Current()
 	st := h.Watcher.Stats()
 	c := admin.Config{
-		Environment: h.Settings.Platform.Environment,
-		Revision:    v.Revision(),
-		Service:     st.Service,
-		Refused:     st.Refused,
-		Fault:       st.Fault,
-		Conflict:    st.Conflict,
-		Reader:      st.Reader,
-		Peers:       st.Peers,
-		ListVersion: st.ListVersion,
-		VMs:         len(v.VMs),
+		Environment:      h.Settings.Platform.Environment,
+		Revision:         v.Revision(),
+		ReadRevision:     st.ReadRevision,
+		RefusedRevision:  st.RefusedRevision,
+		RefusalReason:    st.RefusalReason,
+		ConflictRevision: st.ConflictRevision,
+		Reader:           st.Reader,
+		Peers:            st.Peers,
+		VMListVersion:    st.VMListVersion,
+		VMs:              len(v.VMs),
 	}
 	if v.Document != nil {
 		c.Stage = string(v.Document.Stage)
@@ -292,7 +292,7 @@
 	return c
 }
 
-func (h *Host) close() error {
+func (h *Process) close() error {
 	var err error
 	for _, c := range h.closers {
 		err = errors.CombineErrors(err, c.Close())
--- a/io/process/side/meter.go
+++ b/io/process/side/meter.go
@@ -16,9 +16,9 @@
 // region's link, until ctx ends. Without it, transfers of weights would take the whole link
 // and answers to calls would queue behind them.
 func (s *Side) meterCalls(ctx context.Context) error {
-	calls := trafficCounter{traffic: s.Host.Self.Totals.Of(link.PurposeCalls)}
-	crossRegion := trafficCounter{traffic: s.Host.Self.Totals.Abroad()}
-	tick := s.Host.Clock.NewTicker(meterInterval)
+	calls := trafficCounter{traffic: s.Process.Self.Totals.ByPurpose(link.PurposeCalls)}
+	crossRegion := trafficCounter{traffic: s.Process.Self.Totals.CrossRegion()}
+	tick := s.Process.Clock.NewTicker(meterInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -27,10 +27,10 @@
 		case <-tick.Chan():
 		}
 		received, sent := calls.delta()
-		s.pacer.Down.Live(received)
-		s.pacer.Up.Live(sent)
+		s.pacer.Down.CountLive(received)
+		s.pacer.Up.CountLive(sent)
 		in, out := crossRegion.delta()
-		s.pacer.Cross.Live(max(in, out))
+		s.pacer.RegionMeter.CountLive(max(in, out))
 	}
 }
 
--- a/io/process/side/side.go
+++ b/io/process/side/side.go
@@ -15,8 +15,8 @@
 	"hawthornferry/core/version/roll"
 	"hawthornferry/core/version/spread"
 	"hawthornferry/io/conn/link"
-	"hawthornferry/io/process/awake"
-	"hawthornferry/io/process/host"
+	"hawthornferry/io/process/proc"
+	"hawthornferry/io/process/uptime"
 	"hawthornferry/io/request/gate"
 	"hawthornferry/io/version/order"
 	"hawthornferry/io/version/pace"
@@ -26,22 +26,22 @@
 
 // Side is one side process. Host must be opened before Run; nothing else is set.
 type Side struct {
-	Host *host.Host
+	Process *proc.Process
 
-	gate    *gate.Gate
-	node    *swarm.Node
-	orderer *order.Orderer
-	pacer   *pace.Pacer
+	gate       *gate.Proxy
+	node       *swarm.Node
+	controller *order.Controller
+	pacer      *pace.Pacer
 }
 
 // Run runs the side until ctx ends and it has drained.
 func (s *Side) Run(ctx context.Context) error {
-	h := s.Host
+	h := s.Process
 	h.Handlers = map[link.Purpose]link.Handler{}
 	s.buildGate()
 	if h.Settings.Target.Kind == envdoc.KindEngine {
 		s.buildDistribution()
-		s.buildOrderer()
+		s.buildController()
 	}
 	h.AddStatus = s.addStatus
 	h.Drain = s.gate.Drain
@@ -49,31 +49,31 @@
 }
 
 func (s *Side) buildGate() {
-	h := s.Host
+	h := s.Process
 	limits := calls.DefaultLimits()
 	limits.MaxRecords = h.Settings.Limits.MaxRecords
 	limits.RecordMaxAge = h.Settings.Limits.RecordAge
-	s.gate = &gate.Gate{
-		Self:        h.Self,
-		Clock:       h.Clock,
-		Log:         h.Log,
-		Metrics:     h.Metrics,
-		Gauge:       h.Gauge,
-		Source:      h.Watcher,
-		Target:      h.Settings.Target.Address,
-		Service:     h.Settings.Target.Service,
-		Limits:      limits,
-		MaxInFlight: h.Settings.Limits.MaxInFlight,
+	s.gate = &gate.Proxy{
+		Self:         h.Self,
+		Clock:        h.Clock,
+		Log:          h.Log,
+		Metrics:      h.Metrics,
+		Recorder:     h.Recorder,
+		Source:       h.Watcher,
+		Target:       h.Settings.Target.Address,
+		Service:      h.Settings.Target.Service,
+		LedgerLimits: limits,
+		MaxInFlight:  h.Settings.Limits.MaxInFlight,
 	}
 	h.Handlers[link.PurposeCalls] = s.gate.Handler()
-	h.Components = append(h.Components, host.Component{Name: "gate", Run: s.gate.Run})
+	h.Components = append(h.Components, proc.Component{Name: "gate", Run: s.gate.Run})
 }
 
 // The cache of chunks may use the memory limit divided by cacheDivisor.
 const cacheDivisor = 4
 
 func (s *Side) buildDistribution() {
-	h := s.Host
+	h := s.Process
 	links := h.Settings.Links
 	s.pacer = pace.New(pace.Config{Up: links.Up, Down: links.Down, Region: links.Region}, h.Clock)
 	s.node = &swarm.Node{
@@ -82,10 +82,10 @@
 		Log:     h.Log,
 		Logger:  h.Logger,
 		Metrics: h.Metrics,
-		Staging: &stage.Client{Engine: h.Settings.Target.Address},
+		Staging: &stage.Client{Address: h.Settings.Target.Address},
 		Origin:  h.Settings.Platform.Origin,
 		Store:   h.Settings.Platform.Store,
-		Burst:   spread.Config{UploadSlots: h.Settings.Limits.UploadSlots},
+		Spread:  spread.Config{UploadSlots: h.Settings.Limits.UploadSlots},
 		Pacer:   s.pacer,
 		// The engine's staging area holds every chunk; the cache only saves reading
 		// chunks again that several peers request at about the same time. If it took
@@ -94,26 +94,26 @@
 	}
 	h.Handlers[link.PurposeWeights] = s.node.Handler()
 	h.Components = append(h.Components,
-		host.Component{Name: "weights", Run: s.node.Run},
-		host.Component{Name: "wanted versions", Run: s.watchView},
-		host.Component{Name: "live traffic", Run: s.meterCalls},
+		proc.Component{Name: "weights", Run: s.node.Run},
+		proc.Component{Name: "wanted versions", Run: s.watchView},
+		proc.Component{Name: "live traffic", Run: s.meterCalls},
 	)
 }
 
-func (s *Side) buildOrderer() {
-	h := s.Host
-	s.orderer = &order.Orderer{
-		Self:     h.Self,
-		Clock:    h.Clock,
-		Awake:    awake.Now,
-		Log:      h.Log,
-		Source:   h.Watcher,
-		Engine:   &order.Engine{Address: h.Settings.Target.Address, Client: &http.Client{}},
-		Verified: s.verified,
-		Draining: h.Draining,
+func (s *Side) buildController() {
+	h := s.Process
+	s.controller = &order.Controller{
+		Self:             h.Self,
+		Clock:            h.Clock,
+		Uptime:           uptime.Now,
+		Log:              h.Log,
+		Source:           h.Watcher,
+		Engine:           &order.EngineClient{Address: h.Settings.Target.Address, Client: &http.Client{}},
+		VerifiedManifest: s.verified,
+		Draining:         h.Draining,
 	}
-	h.Handlers[link.PurposeOrders] = s.orderer.Handler()
-	h.Components = append(h.Components, host.Component{Name: "load orders", Run: s.orderer.Run})
+	h.Handlers[link.PurposeOrders] = s.controller.Handler()
+	h.Components = append(h.Components, proc.Component{Name: "load orders", Run: s.controller.Run})
 }
 
 // listTimeout is how long a side that has just started waits for a VM list before it
@@ -123,11 +123,11 @@
 
 // watchView passes each new view to the distribution of weights.
 func (s *Side) watchView(ctx context.Context) error {
-	timeout := s.Host.Clock.After(listTimeout)
+	timeout := s.Process.Clock.After(listTimeout)
 	timedOut := false
 	for {
-		changed := s.Host.Watcher.Changed()
-		v := s.Host.Watcher.Current()
+		changed := s.Process.Watcher.Changed()
+		v := s.Process.Watcher.Current()
 		if timedOut || len(v.VMs) > 0 {
 			s.update(v)
 		}
@@ -142,13 +142,13 @@
 }
 
 func (s *Side) update(v view.View) {
-	want, ok := roll.WantOf(v, s.Host.Self.VM)
+	want, ok := roll.WantOf(v, s.Process.Self.VM)
 	if !ok {
 		return
 	}
-	var wanted []swarm.Wanted
+	var wanted []swarm.WantedVersion
 	if want.Placed && want.Manifest != "" {
-		wanted = append(wanted, swarm.Wanted{Model: want.Model, Version: want.Version, Manifest: want.Manifest})
+		wanted = append(wanted, swarm.WantedVersion{Model: want.Model, Version: want.Version, Manifest: want.Manifest})
 	}
 	s.node.Update(v, wanted)
 }
--- a/io/process/side/status.go
+++ b/io/process/side/status.go
@@ -14,29 +14,29 @@
 }
 
 func (s *Side) target() admin.Target {
-	vm := s.Host.Self.VM
+	vm := s.Process.Self.VM
 	return admin.Target{
 		Name:     vm.Name,
 		Service:  vm.Service,
 		Zone:     vm.Zone,
 		State:    string(vm.State),
-		Serving:  s.gate.Serving(),
+		Serving:  s.gate.ServedVersion(),
 		InFlight: s.gate.InFlight(),
 	}
 }
 
 func (s *Side) rollouts() []admin.Rollout {
-	want, ok := roll.WantOf(s.Host.Watcher.Current(), s.Host.Self.VM)
+	want, ok := roll.WantOf(s.Process.Watcher.Current(), s.Process.Self.VM)
 	if !ok || !want.Placed {
 		return nil
 	}
 	var out []admin.Rollout
 	for _, p := range s.node.Progress() {
-		z := admin.Progress{Zone: want.Zone, Want: 1, ChunksHeld: p.Have, ChunksTotal: p.Total}
+		z := admin.Progress{Zone: want.Zone, Wanted: 1, ChunksHeld: p.Held, ChunksTotal: p.Total}
 		if p.Verified {
 			z.Staged = 1
 		}
-		if s.gate.Serving() == p.Wanted.Manifest {
+		if s.gate.ServedVersion() == p.Wanted.Manifest {
 			z.Serving = 1
 		}
 		out = append(out, admin.Rollout{
--- a/io/process/gauge/gauge.go
+++ b/io/process/trends/gauge.go
@@ -1,7 +1,7 @@
 // Package gauge records measures that show a slow decline of a process (latencies, counts and
 // table sizes), and publishes them as metrics and in the status. Package host creates one
-// Gauge for each process; packages front and gate record their measures in it.
-package gauge
+// Recorder for each process; packages front and gate record their measures in it.
+package trends
 
 import (
 	"context"
@@ -33,9 +33,9 @@
 	Len   func() int
 }
 
-// Gauge holds the measures of a process. Set the exported fields before the first use. It is
+// Recorder holds the measures of a process. Set the exported fields before the first use. It is
 // safe for concurrent use. A nil Gauge ignores samples.
-type Gauge struct {
+type Recorder struct {
 	Clock   clockwork.Clock
 	Metrics tally.Scope
 
@@ -45,8 +45,8 @@
 	scopes  map[string]tally.Scope
 }
 
-// Latency adds a duration to the latency measure called name.
-func (g *Gauge) Latency(name string, d time.Duration) {
+// AddLatency adds a duration to the latency measure called name.
+func (g *Recorder) AddLatency(name string, d time.Duration) {
 	if g == nil {
 		return
 	}
@@ -55,8 +55,8 @@
 	g.tracker.AddLatency(g.Clock.Now(), name, d)
 }
 
-// Count adds n to the counter called name.
-func (g *Gauge) Count(name string, n int) {
+// AddCount adds n to the counter called name.
+func (g *Recorder) AddCount(name string, n int) {
 	if g == nil {
 		return
 	}
@@ -65,8 +65,8 @@
 	g.tracker.AddCount(g.Clock.Now(), name, n)
 }
 
-// Watch adds a table whose size is read every publishInterval. Its Len must not use the gauge.
-func (g *Gauge) Watch(t Table) {
+// WatchTable adds a table whose size is read every publishInterval. Its Len must not use the gauge.
+func (g *Recorder) WatchTable(t Table) {
 	if g == nil {
 		return
 	}
@@ -76,7 +76,7 @@
 }
 
 // Run reads sizes and updates metrics until ctx ends.
-func (g *Gauge) Run(ctx context.Context) error {
+func (g *Recorder) Run(ctx context.Context) error {
 	tick := g.Clock.NewTicker(publishInterval)
 	defer tick.Stop()
 	for {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (g *Gauge) publish() {
+func (g *Recorder) publish() {
 	rows := g.Tables()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -106,7 +106,7 @@
 	}
 }
 
-func (g *Gauge) scopeLocked(l drift.Result) tally.Scope {
+func (g *Recorder) scopeLocked(l drift.Result) tally.Scope {
 	key := fmt.Sprint(l.Name, l.Window)
 	if s, ok := g.scopes[key]; ok {
 		return s
@@ -126,7 +126,7 @@
 }
 
 // Tables returns the watched tables with their current sizes.
-func (g *Gauge) Tables() []admin.Table {
+func (g *Recorder) Tables() []admin.Table {
 	g.mu.Lock()
 	tables := slices.Clone(g.tables)
 	g.mu.Unlock()
@@ -139,7 +139,7 @@
 }
 
 // Drift returns a row for each measure and time scale with enough windows to compare.
-func (g *Gauge) Drift() []admin.Drift {
+func (g *Recorder) Drift() []admin.Drift {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var out []admin.Drift
--- a/io/process/gauge/gauge_test.go
+++ b/io/process/trends/gauge_test.go
@@ -1,4 +1,4 @@
-package gauge
+package trends
 
 import (
 	"testing"
@@ -16,10 +16,10 @@
 func TestDeclineIsReportedInStatusAndMetrics(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	scope := tally.NewTestScope("", nil)
-	g := &Gauge{Clock: clock, Metrics: scope}
-	g.Watch(Table{Name: "prefixes", Bound: 10, Len: func() int { return 3 }})
+	g := &Recorder{Clock: clock, Metrics: scope}
+	g.WatchTable(Table{Name: "prefixes", Bound: 10, Len: func() int { return 3 }})
 	for i := range 4 {
-		g.Latency("firstByte helper", time.Duration(1+i/3)*100*time.Millisecond)
+		g.AddLatency("firstByte helper", time.Duration(1+i/3)*100*time.Millisecond)
 		clock.Advance(5 * time.Minute)
 	}
 	g.publish()
--- a/io/process/awake/awake.go
+++ b/io/process/uptime/awake.go
@@ -2,7 +2,7 @@
 // suspended (Now), and detects when this process stalled (StallDetector). Ages of information
 // are measured with them: package hosted passes both to package feed, and packages order and
 // shelf use Now.
-package awake
+package uptime
 
 import (
 	"context"
--- a/io/process/awake/awake_test.go
+++ b/io/process/uptime/awake_test.go
@@ -1,4 +1,4 @@
-package awake
+package uptime
 
 import (
 	"testing"
--- a/io/process/watch/fleet_test.go
+++ b/io/process/watch/fleet_test.go
@@ -82,7 +82,7 @@
 	m := &testProcess{log: &decisionRecorder{}}
 	m.Watcher = &Watcher{
 		Self: self, Clock: clockwork.NewRealClock(), Log: m.log, Metrics: tally.NoopScope,
-		Environment: "pindan", Config: services, VMList: services,
+		Environment: "pindan", ConfigService: services, VMListService: services,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	listener := &link.Listener{
--- a/io/process/watch/read.go
+++ b/io/process/watch/read.go
@@ -81,7 +81,7 @@
 // readDocuments reads the document once at the start, since the peers may be
 // behind, and then while this process is a reader.
 func (w *Watcher) readDocuments(ctx context.Context) {
-	if !w.Config.IsValid() {
+	if !w.ConfigService.IsValid() {
 		return
 	}
 	s := w.documents.fetcher
@@ -164,7 +164,7 @@
 // readVMs reads the VM list once at the start and then while this process is a
 // reader.
 func (w *Watcher) readVMs(ctx context.Context) {
-	if !w.VMList.IsValid() {
+	if !w.VMListService.IsValid() {
 		return
 	}
 	s := w.vmList.fetcher
--- a/io/process/watch/stats.go
+++ b/io/process/watch/stats.go
@@ -7,22 +7,22 @@
 // Stats describes the distribution of the configuration, for the administration
 // API. Service is the revision that this process has last read from the service
 // itself. Refused is the revision that was last refused, and Fault the reason.
-// Conflict is the revision in force when another document with the same
+// ConflictRevision is the revision in force when another document with the same
 // revision was received. Received and Sent are the total bytes of all
 // configuration connections, Platform those of the documents and VM lists that
 // this process has read itself.
 type Stats struct {
-	Revision    uint64
-	Service     uint64
-	Refused     uint64
-	Fault       string
-	Conflict    uint64
-	ListVersion uint64
-	Reader      bool
-	Peers       int
-	Received    uint64
-	Sent        uint64
-	Platform    uint64
+	Revision         uint64
+	ReadRevision     uint64
+	RefusedRevision  uint64
+	RefusalReason    string
+	ConflictRevision uint64
+	VMListVersion    uint64
+	Reader           bool
+	Peers            int
+	ReceivedBytes    uint64
+	SentBytes        uint64
+	PlatformBytes    uint64
 }
 
 // Stats returns the latest statistics, which are updated once in each
@@ -36,14 +36,14 @@
 func (w *Watcher) setService(revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stats.Service = revision
+	w.stats.ReadRevision = revision
 }
 
 func (w *Watcher) setFault(revision uint64, reason string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.stats.Refused = revision
-	w.stats.Fault = reason
+	w.stats.RefusedRevision = revision
+	w.stats.RefusalReason = reason
 }
 
 // countBytes adds the bytes of a connection that has ended to the totals.
@@ -62,16 +62,16 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.stats.Revision = w.node.Held(gossip.TopicDocument).Mark.Version
-	w.stats.ListVersion = w.node.Held(gossip.TopicVMs).Mark.Version
-	w.stats.Conflict = w.node.Conflict(gossip.TopicDocument)
+	w.stats.VMListVersion = w.node.Held(gossip.TopicVMs).Mark.Version
+	w.stats.ConflictRevision = w.node.Conflict(gossip.TopicDocument)
 	w.stats.Reader = w.documents.reading.Load()
 	w.stats.Peers = len(w.conns)
-	w.stats.Received = received
-	w.stats.Sent = sent
-	w.stats.Platform = w.documents.fetcher.bytesRead.Load() + w.vmList.fetcher.bytesRead.Load()
+	w.stats.ReceivedBytes = received
+	w.stats.SentBytes = sent
+	w.stats.PlatformBytes = w.documents.fetcher.bytesRead.Load() + w.vmList.fetcher.bytesRead.Load()
 	w.Metrics.Gauge("config_revision").Update(float64(w.stats.Revision))
 	w.Metrics.Gauge("config_peers").Update(float64(w.stats.Peers))
 	w.Metrics.Gauge("config_received_bytes").Update(float64(received))
 	w.Metrics.Gauge("config_sent_bytes").Update(float64(sent))
-	w.Metrics.Gauge("platform_read_bytes").Update(float64(w.stats.Platform))
+	w.Metrics.Gauge("platform_read_bytes").Update(float64(w.stats.PlatformBytes))
 }
--- a/io/process/watch/watch.go
+++ b/io/process/watch/watch.go
@@ -36,16 +36,16 @@
 
 // Watcher keeps the document in force and the VM list up to date, and is the
 // view.Source of its process. Set the exported fields before Run. If Config and
-// VMList are invalid addresses, the process depends on its peers alone.
+// VMListService are invalid addresses, the process depends on its peers alone.
 type Watcher struct {
-	Self        *link.Self
-	Clock       clockwork.Clock
-	Log         trail.Log
-	Metrics     tally.Scope
-	Environment string
-	Config      netip.AddrPort
-	VMList      netip.AddrPort
-	Seeds       []netip.AddrPort
+	Self          *link.Self
+	Clock         clockwork.Clock
+	Log           trail.Log
+	Metrics       tally.Scope
+	Environment   string
+	ConfigService netip.AddrPort
+	VMListService netip.AddrPort
+	Seeds         []netip.AddrPort
 
 	initOnce sync.Once
 	events   chan event
@@ -92,11 +92,11 @@
 		w.dialer.dialing = map[netip.AddrPort]bool{}
 		w.node.Zone = w.Self.VM.Zone
 		w.node.Accept = w.accept
-		w.documents.fetcher = newFetcher(w.Config)
-		w.vmList.fetcher = newFetcher(w.VMList)
+		w.documents.fetcher = newFetcher(w.ConfigService)
+		w.vmList.fetcher = newFetcher(w.VMListService)
 		w.documents.wake = make(chan struct{}, 1)
 		w.vmList.wake = make(chan struct{}, 1)
-		w.Self.NotifyAhead(w.peerAhead)
+		w.Self.OnPeerAhead(w.peerAhead)
 	})
 }
 
--- a/io/process/watch/watch_test.go
+++ b/io/process/watch/watch_test.go
@@ -51,7 +51,7 @@
 	p.vms = []fleet.VM{vm}
 	p.promote(3, document(time.Second))
 	w := newWatcher("a", "z1")
-	w.Config, w.VMList = addr, addr
+	w.ConfigService, w.VMListService = addr, addr
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- w.Run(ctx) }()
--- a/io/request/await/await.go
+++ b/io/request/await/await.go
@@ -1,7 +1,7 @@
 // Package await lets concurrent requests wait for the verdicts of a policy. A policy,
 // such as a place.Placer or an admit.Admitter, is a plain value without locks whose
 // calls return verdicts on any of the waiting requests. Packages direct and front use
-// Desk for their policies.
+// Dispatcher for their policies.
 package await
 
 import (
@@ -9,11 +9,11 @@
 	"sync"
 )
 
-// Desk serializes calls to a policy and delivers each verdict to the request that waits
+// Dispatcher serializes calls to a policy and delivers each verdict to the request that waits
 // for it. Set ID before the first call.
-type Desk[V any] struct {
-	// ID returns the ID of the request that a verdict is for.
-	ID func(v V) string
+type Dispatcher[V any] struct {
+	// RequestID returns the ID of the request that a verdict is for.
+	RequestID func(v V) string
 
 	mu      sync.Mutex
 	waiting map[string]chan V
@@ -21,14 +21,14 @@
 
 // Do runs f with exclusive access to the policy and delivers the verdicts that f
 // returns.
-func (d *Desk[V]) Do(f func() []V) {
+func (d *Dispatcher[V]) Do(f func() []V) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.deliver(f())
 }
 
-// Tick is like Do, but does nothing if no request is waiting.
-func (d *Desk[V]) Tick(f func() []V) {
+// DoIfWaiting is like Do, but does nothing if no request is waiting.
+func (d *Dispatcher[V]) DoIfWaiting(f func() []V) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.waiting) > 0 {
@@ -41,7 +41,7 @@
 // request back, and returns false. withdraw gets the verdict if it was delivered at the
 // same moment, otherwise nil: a place that was already granted must be given back, or
 // it would stay taken forever.
-func (d *Desk[V]) Await(ctx context.Context, id string, offer func() []V, withdraw func(v *V) []V) (V, bool) {
+func (d *Dispatcher[V]) Await(ctx context.Context, id string, offer func() []V, withdraw func(v *V) []V) (V, bool) {
 	c := make(chan V, 1)
 	d.mu.Lock()
 	if d.waiting == nil {
@@ -70,9 +70,9 @@
 
 // deliver sends verdicts to the requests that wait for them. The caller must hold d.mu.
 // A verdict for which nobody waits is dropped, because its request has been withdrawn.
-func (d *Desk[V]) deliver(vs []V) {
+func (d *Dispatcher[V]) deliver(vs []V) {
 	for _, v := range vs {
-		id := d.ID(v)
+		id := d.RequestID(v)
 		if c, ok := d.waiting[id]; ok {
 			delete(d.waiting, id)
 			c <- v
--- a/io/request/await/await_test.go
+++ b/io/request/await/await_test.go
@@ -11,21 +11,21 @@
 	id, decision string
 }
 
-func newDesk() *Desk[verdict] {
-	return &Desk[verdict]{ID: func(v verdict) string { return v.id }}
+func newDispatcher() *Dispatcher[verdict] {
+	return &Dispatcher[verdict]{RequestID: func(v verdict) string { return v.id }}
 }
 
 // A verdict that is returned later, for another request's call, must reach the request
 // that waits for it.
 func TestVerdictReachesItsRequest(t *testing.T) {
-	d := newDesk()
+	d := newDispatcher()
 	got := make(chan verdict)
 	go func() {
 		v, _ := d.Await(t.Context(), "1", func() []verdict { return nil }, nil)
 		got <- v
 	}()
 	for waiting := false; !waiting; {
-		d.Tick(func() []verdict {
+		d.DoIfWaiting(func() []verdict {
 			waiting = true
 			return []verdict{{"2", "for another request"}, {"1", "placed"}}
 		})
@@ -41,7 +41,7 @@
 func TestCancelledRequestReturnsGrantedPlace(t *testing.T) {
 	granted := []verdict{{"1", "placed"}}
 	for range 100 {
-		d := newDesk()
+		d := newDispatcher()
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		returned := false
@@ -58,7 +58,7 @@
 // When a caller disconnects while its request waits, the request must be withdrawn, and
 // a later verdict must be dropped.
 func TestCancelledRequestIsWithdrawn(t *testing.T) {
-	d := newDesk()
+	d := newDispatcher()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	withdrawn := false
--- a/io/request/direct/attempts.go
+++ b/io/request/direct/attempts.go
@@ -88,7 +88,7 @@
 			s.fail(w, q, out, wait)
 			return place.Verdict{}, false
 		}
-		v, ok := s.dispatcher.place(ctx, s.placerWork(q))
+		v, ok := s.dispatcher.place(ctx, s.placerRequest(q))
 		if !ok {
 			s.endUnanswered(w, q, out)
 			return v, false
@@ -134,12 +134,12 @@
 	if err := x.roundTrip(req, q.body); err != nil {
 		return resend.Broken, errors.CombineErrors(err, x.abortReason())
 	}
-	reply := s.Dialect.Reply(x.resp.StatusCode, x.resp.Header)
+	reply := s.HeaderCodec.ReadReply(x.resp.StatusCode, x.resp.Header)
 	if reply.NotRun {
 		return resend.NotRun, errors.Newf("status %d", x.resp.StatusCode)
 	}
-	if reply.Call != "" && reply.Call != q.call.ID {
-		return resend.MismatchedReply, errors.Newf("response is for request %q", reply.Call)
+	if reply.RequestID != "" && reply.RequestID != q.call.ID {
+		return resend.MismatchedReply, errors.Newf("response is for request %q", reply.RequestID)
 	}
 	if x.resp.StatusCode < http.StatusMultipleChoices && !reply.Signed {
 		return resend.Broken, errors.New("response is not signed by the target")
--- a/io/request/direct/buffered.go
+++ b/io/request/direct/buffered.go
@@ -37,7 +37,7 @@
 	h := c.w.Header()
 	closing := h.Get("Connection")
 	in := resp.Header.Clone()
-	gate.StripHops(in)
+	gate.RemoveHopByHopHeaders(in)
 	in.Del("Content-Length")
 	for name, values := range in {
 		h[name] = values
--- a/io/request/direct/dialect.go
+++ b/io/request/direct/dialect.go
@@ -14,54 +14,54 @@
 )
 
 // Call holds what the headers of a caller's request say.
-type Call struct {
+type CallerHeaders struct {
 	// ID identifies the request.
 	ID string
-	// Key is the customer's API key.
-	Key string
+	// APIKey is the customer's API key.
+	APIKey string
 	// Deadline is how long the caller waits, zero if it does not say.
 	Deadline time.Duration
-	// Prompt is the length of the prompt, in tokens.
-	Prompt int
-	// Answer is the maximum length of the answer, in tokens.
-	Answer int
-	// Hint is the length of the answer that the caller expects, in tokens.
-	Hint int
-	// LastEvent is the ID of the last event that the caller has of a stream that it
+	// PromptTokens is the length of the prompt, in tokens.
+	PromptTokens int
+	// MaxAnswerTokens is the maximum length of the answer, in tokens.
+	MaxAnswerTokens int
+	// ExpectedAnswerTokens is the length of the answer that the caller expects, in tokens.
+	ExpectedAnswerTokens int
+	// LastEventID is the ID of the last event that the caller has of a stream that it
 	// resumes.
-	LastEvent string
+	LastEventID string
 }
 
 // Forward holds what the entry adds to a request that it sends to a target.
-type Forward struct {
+type ForwardHeaders struct {
 	// Target is the ID of the target.
 	Target string
-	// Left is the time until the deadline of the request.
-	Left     time.Duration
-	Customer string
-	// LastEvent is the ID of the last event that the caller has.
-	LastEvent string
+	// Remaining is the time until the deadline of the request.
+	Remaining time.Duration
+	Customer  string
+	// LastEventID is the ID of the last event that the caller has.
+	LastEventID string
 	// Version is the model version that the target must serve, zero for any.
-	Version uint64
+	RequiredVersion uint64
 }
 
 // Reply holds what the headers of a target's response say.
-type Reply struct {
+type ReplyHeaders struct {
 	// Signed is set if the response was produced by a target and not by something in
 	// between.
 	Signed bool
 	// NotRun is set if the target says that the request did not run.
 	NotRun bool
 	// Call is the ID of the request that was answered, empty if the headers do not say.
-	Call string
+	RequestID string
 }
 
-// Dialect reads and writes the headers that callers and targets use.
-type Dialect interface {
+// HeaderCodec reads and writes the headers that callers and targets use.
+type HeaderCodec interface {
 	// Call reads the headers of a caller's request. An error rejects the request.
-	Call(r *http.Request) (Call, error)
+	ReadCaller(r *http.Request) (CallerHeaders, error)
 	// Forward writes the headers of a request to a target.
-	Forward(h http.Header, f Forward)
+	WriteForward(h http.Header, f ForwardHeaders)
 	// Reply reads the headers of a target's response.
-	Reply(status int, h http.Header) Reply
+	ReadReply(status int, h http.Header) ReplyHeaders
 }
--- a/io/request/direct/dispatcher.go
+++ b/io/request/direct/dispatcher.go
@@ -18,12 +18,12 @@
 type dispatcher struct {
 	clock  clockwork.Clock
 	placer *place.Placer
-	await.Desk[place.Verdict]
+	await.Dispatcher[place.Verdict]
 }
 
 func newDispatcher(clock clockwork.Clock, p *place.Placer) *dispatcher {
 	d := &dispatcher{clock: clock, placer: p}
-	d.ID = func(v place.Verdict) string { return v.ID }
+	d.RequestID = func(v place.Verdict) string { return v.ID }
 	return d
 }
 
@@ -37,7 +37,7 @@
 		case <-ctx.Done():
 			return
 		case <-tick.Chan():
-			d.Tick(func() []place.Verdict { return d.placer.Tick(d.clock.Now()) })
+			d.DoIfWaiting(func() []place.Verdict { return d.placer.Tick(d.clock.Now()) })
 		}
 	}
 }
--- a/io/request/direct/endcounts.go
+++ b/io/request/direct/endcounts.go
@@ -72,6 +72,6 @@
 	return slices.Clone(e.counts)
 }
 
-// Ends returns, by cause, how many attempts the entry has aborted and how many
+// AttemptEnds returns, by cause, how many attempts the entry has aborted and how many
 // responses it has cut off in the middle since the start of the process.
-func (s *Server) Ends() []trail.AttemptEndCount { return s.endCounts.all() }
+func (s *Server) AttemptEnds() []trail.AttemptEndCount { return s.endCounts.all() }
--- a/io/request/direct/handle.go
+++ b/io/request/direct/handle.go
@@ -37,7 +37,7 @@
 // request is the state of one caller's request.
 type request struct {
 	incoming  *http.Request
-	call      Call
+	call      CallerHeaders
 	body      []byte
 	facts     *facts.Facts
 	factsAge  facts.Age
@@ -113,7 +113,7 @@
 // returns false and the error response if the request cannot be served.
 func (s *Server) prepare(w http.ResponseWriter, q *request) (errorResponse, bool) {
 	var err error
-	if q.call, err = s.Dialect.Call(q.incoming); err != nil {
+	if q.call, err = s.HeaderCodec.ReadCaller(q.incoming); err != nil {
 		return errorResponse{status: http.StatusBadRequest, reason: err.Error()}, false
 	}
 	s.snapshotFacts(q)
@@ -163,7 +163,7 @@
 // to the facts. If these are too old to be sure, the caller is told to retry: a
 // configuration that adds the route or key may not have reached this process yet.
 func (s *Server) notFoundError(q *request, status int, reason string) errorResponse {
-	if q.factsAge.OlderThan(s.Rules.TableAge) {
+	if q.factsAge.OlderThan(s.Rules.MaxTableAge) {
 		return errorResponse{status: http.StatusServiceUnavailable, reason: reason + "ByOldBelief", retryAfter: staleFactsRetryAfter}
 	}
 	return errorResponse{status: status, reason: reason}
@@ -193,15 +193,15 @@
 
 // identifyCustomer determines the customer by the API key. A process that has not
 // learned that a key was revoked must not accept it. So if the facts are older than
-// KeyAge, no key is accepted and the caller has to try another entry.
+// MaxKeyAge, no key is accepted and the caller has to try another entry.
 func (s *Server) identifyCustomer(q *request) (errorResponse, bool) {
 	if !q.facts.Table.RequiresKey() || q.route.AllowAnonymous {
 		return errorResponse{}, true
 	}
-	if s.Rules.KeyAge > 0 && q.factsAge.OlderThan(s.Rules.KeyAge) {
+	if s.Rules.MaxKeyAge > 0 && q.factsAge.OlderThan(s.Rules.MaxKeyAge) {
 		return errorResponse{status: http.StatusServiceUnavailable, reason: "keysTooOld", retryAfter: staleFactsRetryAfter}, false
 	}
-	c, ok := q.facts.Table.CustomerByKey(q.call.Key)
+	c, ok := q.facts.Table.CustomerByKey(q.call.APIKey)
 	if !ok {
 		return s.notFoundError(q, http.StatusUnauthorized, "unknownKey"), false
 	}
@@ -245,17 +245,17 @@
 		q.firstAskedAt = q.arrivedAt
 	}
 	q.deadline = q.arrivedAt.Add(d)
-	q.lastEventID = q.call.LastEvent
+	q.lastEventID = q.call.LastEventID
 }
 
-// placerWork returns the request in the form that the placer takes.
-func (s *Server) placerWork(q *request) place.Request {
-	answerTokens := q.call.Hint
+// placerRequest returns the request in the form that the placer takes.
+func (s *Server) placerRequest(q *request) place.Request {
+	answerTokens := q.call.ExpectedAnswerTokens
 	if answerTokens <= 0 {
-		answerTokens = q.call.Answer
+		answerTokens = q.call.MaxAnswerTokens
 	}
 	return place.Request{
-		ID: q.call.ID, Service: q.service.Name, Kind: q.route.Name, PromptTokens: q.call.Prompt, AnswerTokens: answerTokens,
+		ID: q.call.ID, Service: q.service.Name, Kind: q.route.Name, PromptTokens: q.call.PromptTokens, AnswerTokens: answerTokens,
 		FirstRequestedAt: q.firstAskedAt, Objective: q.route.Objective, Deadline: q.deadline, Priority: q.route.Priority,
 		Limits: s.versionLimits(q), NewestVersion: s.newestVersion(q), FailedTargets: q.failedTargets, Resumed: q.responseBegun,
 	}
@@ -265,12 +265,12 @@
 // the request may begin on an older one.
 func (s *Server) versionLimits(q *request) []place.VersionLimit {
 	e := q.service.Engine
-	if e == nil || s.Rules.Version <= 0 {
+	if e == nil || s.Rules.OldVersionPeriod <= 0 {
 		return nil
 	}
 	var out []place.VersionLimit
 	for _, v := range s.Source.Current().VersionsOf(e.Model) {
-		out = append(out, place.VersionLimit{Version: v.Version, Until: v.Since.Add(s.Rules.Version - beginMargin)})
+		out = append(out, place.VersionLimit{Version: v.Version, Until: v.Since.Add(s.Rules.OldVersionPeriod - beginMargin)})
 	}
 	return out
 }
@@ -278,10 +278,10 @@
 // minVersion returns the oldest version that the request may begin on now, 0 for any.
 func (s *Server) minVersion(q *request) uint64 {
 	e := q.service.Engine
-	if e == nil || s.Rules.Version <= 0 {
+	if e == nil || s.Rules.OldVersionPeriod <= 0 {
 		return 0
 	}
-	v, ok := s.Source.Current().Due(e.Model, s.Clock.Now().Add(beginMargin-s.Rules.Version))
+	v, ok := s.Source.Current().Due(e.Model, s.Clock.Now().Add(beginMargin-s.Rules.OldVersionPeriod))
 	if ok {
 		s.logMinVersion(v)
 	}
@@ -327,14 +327,14 @@
 // targetRequest returns the HTTP request to send to the target of v.
 func (s *Server) targetRequest(ctx context.Context, q *request, v place.Verdict) *http.Request {
 	h := q.incoming.Header.Clone()
-	gate.StripHops(h)
+	gate.RemoveHopByHopHeaders(h)
 	if h.Get("User-Agent") == "" {
 		// An empty value keeps net/http from adding its own User-Agent.
 		h.Set("User-Agent", "")
 	}
-	s.Dialect.Forward(h, Forward{
-		Target: v.Target.ID, Left: q.deadline.Sub(s.Clock.Now()), Customer: q.customer,
-		LastEvent: q.lastEventID, Version: s.expectedVersion(q, v.ServedVersion),
+	s.HeaderCodec.WriteForward(h, ForwardHeaders{
+		Target: v.Target.ID, Remaining: q.deadline.Sub(s.Clock.Now()), Customer: q.customer,
+		LastEventID: q.lastEventID, RequiredVersion: s.expectedVersion(q, v.ServedVersion),
 	})
 	out := (&http.Request{Method: q.incoming.Method, Host: q.incoming.Host, Header: h, Close: true}).WithContext(ctx)
 	u := *q.incoming.URL
--- a/io/request/direct/handle_test.go
+++ b/io/request/direct/handle_test.go
@@ -42,11 +42,11 @@
 	return s.age, true
 }
 
-// keyDialect reads the key from the headers and nothing else.
-type keyDialect struct{ Dialect }
+// keyCodec reads the key from the headers and nothing else.
+type keyCodec struct{ HeaderCodec }
 
-func (keyDialect) Call(r *http.Request) (Call, error) {
-	return Call{ID: "1", Key: r.Header.Get("Key")}, nil
+func (keyCodec) ReadCaller(r *http.Request) (CallerHeaders, error) {
+	return CallerHeaders{ID: "1", APIKey: r.Header.Get("Key")}, nil
 }
 
 func keyedFacts(path, key string) *facts.Facts {
@@ -79,7 +79,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			for calls := range 6 {
 				s := &Server{
-					Clock: clockwork.NewFakeClock(), Dialect: keyDialect{}, Rules: Rules{KeyAge: 4 * time.Second, TableAge: 2 * time.Second},
+					Clock: clockwork.NewFakeClock(), HeaderCodec: keyCodec{}, Rules: Rules{MaxKeyAge: 4 * time.Second, MaxTableAge: 2 * time.Second},
 					Source: &changingSource{before: tc.before, after: tc.after, age: 10 * time.Second, calls: calls},
 				}
 				r := httptest.NewRequest(http.MethodGet, "/", nil)
--- a/io/request/direct/handover.go
+++ b/io/request/direct/handover.go
@@ -87,7 +87,7 @@
 	if _, blocked := s.blocked(q); blocked || left == 0 {
 		return nil
 	}
-	w := s.placerWork(q)
+	w := s.placerRequest(q)
 	w.ID, w.Resumed = q.placementID+"+", true
 	w.FailedTargets = append(w.FailedTargets[:len(w.FailedTargets):len(w.FailedTargets)], q.targetID)
 	v, ok := s.dispatcher.placeHandover(w, cause, bufferingTime(q.route.MaxEventGap))
--- a/io/request/direct/handover_test.go
+++ b/io/request/direct/handover_test.go
@@ -26,24 +26,26 @@
 	"hawthornferry/core/request/table"
 )
 
-// The headers of testDialect.
+// The headers of testCodec.
 const (
 	testHeaderID        = "Test-Id"
 	testHeaderNotRun    = "Test-Not-Run"
 	testHeaderLastEvent = "Test-After"
 )
 
-// testDialect transmits the request ID, the last event ID and whether the request ran.
-type testDialect struct{}
+// testCodec transmits the request ID, the last event ID and whether the request ran.
+type testCodec struct{}
 
-func (testDialect) Call(r *http.Request) (Call, error) {
-	return Call{ID: r.Header.Get(testHeaderID), Prompt: 100}, nil
+func (testCodec) ReadCaller(r *http.Request) (CallerHeaders, error) {
+	return CallerHeaders{ID: r.Header.Get(testHeaderID), PromptTokens: 100}, nil
 }
 
-func (testDialect) Forward(h http.Header, f Forward) { h.Set(testHeaderLastEvent, f.LastEvent) }
+func (testCodec) WriteForward(h http.Header, f ForwardHeaders) {
+	h.Set(testHeaderLastEvent, f.LastEventID)
+}
 
-func (testDialect) Reply(_ int, h http.Header) Reply {
-	return Reply{Signed: true, NotRun: h.Get(testHeaderNotRun) != ""}
+func (testCodec) ReadReply(_ int, h http.Header) ReplyHeaders {
+	return ReplyHeaders{Signed: true, NotRun: h.Get(testHeaderNotRun) != ""}
 }
 
 // streamEvents is the number of events in a complete stream.
@@ -111,9 +113,9 @@
 	known := withStreams(idleEngines("a", "b"))
 	known.Targets[0].Address, known.Targets[1].Address = addressOf(a), addressOf(b)
 	m.server = &Server{
-		Net: nl, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Dialect: testDialect{},
+		Listener: nl, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, HeaderCodec: testCodec{},
 		Placer: &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))},
-		Rules:  Rules{Retry: budget.Budget{Ratio: 1, Slack: 100, Window: time.Second}},
+		Rules:  Rules{RetryBudget: budget.Budget{Ratio: 1, Slack: 100, Window: time.Second}},
 	}
 	m.server.Source = &testSource{facts: known}
 	m.server.init()
