--- a/io/request/direct/handoverpause_test.go
+++ b/io/request/direct/handoverpause_test.go
@@ -24,12 +24,12 @@
 	}
 }
 
-// longPromptDialect gives each request a prompt that an idle engine reads in 600 ms.
-type longPromptDialect struct{ testDialect }
+// longPromptCodec gives each request a prompt that an idle engine reads in 600 ms.
+type longPromptCodec struct{ testCodec }
 
-func (d longPromptDialect) Call(r *http.Request) (Call, error) {
-	c, err := d.testDialect.Call(r)
-	c.Prompt = 600
+func (d longPromptCodec) ReadCaller(r *http.Request) (CallerHeaders, error) {
+	c, err := d.testCodec.ReadCaller(r)
+	c.PromptTokens = 600
 	return c, err
 }
 
@@ -42,7 +42,7 @@
 		requests <- struct{}{}
 		<-r.Context().Done()
 	})
-	m.server.Dialect = longPromptDialect{}
+	m.server.HeaderCodec = longPromptCodec{}
 	_, in := m.startStream()
 	m.requestLoad()
 	for range streamEvents - 1 {
--- a/io/request/direct/progress.go
+++ b/io/request/direct/progress.go
@@ -60,10 +60,10 @@
 	return now.Sub(p.firstEventAt)
 }
 
-// Routine reports whether d is the line of a request that went well: one attempt, on
+// IsRoutine reports whether d is the line of a request that went well: one attempt, on
 // time. If the log exceeds its budget, these lines are dropped before those of other
 // requests.
-func Routine(d trail.Decision) bool {
+func IsRoutine(d trail.Decision) bool {
 	return d.Action == actionAnswer && d.Outcome == string(resend.Relayed) && d.Attempts == 0 && d.Reason == ""
 }
 
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -29,20 +29,20 @@
 
 // Rules are the operator's limits on how requests are served.
 type Rules struct {
-	// KeyAge is the maximum age of the facts by which an API key may be accepted, zero
+	// MaxKeyAge is the maximum age of the facts by which an API key may be accepted, zero
 	// for any age.
-	KeyAge time.Duration
-	// TableAge is the maximum age of the facts by which a caller may be told that a
+	MaxKeyAge time.Duration
+	// MaxTableAge is the maximum age of the facts by which a caller may be told that a
 	// route or a key does not exist.
-	TableAge time.Duration
-	// Grace is the grace period of a stop: the time from the request to stop until the
+	MaxTableAge time.Duration
+	// GracePeriod is the grace period of a stop: the time from the request to stop until the
 	// process is killed.
-	Grace time.Duration
+	GracePeriod time.Duration
 	// Version is how long after the announcement of a model version requests may still
 	// begin on older ones.
-	Version time.Duration
-	// Retry limits the retries that are sent to each service.
-	Retry budget.Budget
+	OldVersionPeriod time.Duration
+	// RetryBudget limits the retries that are sent to each service.
+	RetryBudget budget.Budget
 }
 
 // Timeouts and size limits of the HTTP server.
@@ -62,14 +62,14 @@
 // Server accepts requests from callers and serves them. Set the exported fields before
 // Run.
 type Server struct {
-	Net     net.Listener
-	Clock   clockwork.Clock
-	Log     trail.Log
-	Metrics tally.Scope
-	Source  Source
-	Dialect Dialect
-	Placer  *place.Placer
-	Rules   Rules
+	Listener    net.Listener
+	Clock       clockwork.Clock
+	Log         trail.Log
+	Metrics     tally.Scope
+	Source      Source
+	HeaderCodec HeaderCodec
+	Placer      *place.Placer
+	Rules       Rules
 	// Suspects tells which requests may crash targets. If it is nil, no request is
 	// blocked.
 	Suspects Suspects
@@ -129,9 +129,9 @@
 	wg.Go(func() { s.followFacts(ctx) })
 	stop := context.AfterFunc(ctx, func() { s.server.Close() })
 	defer stop()
-	err := s.server.Serve(s.Net)
+	err := s.server.Serve(s.Listener)
 	if !errors.Is(err, http.ErrServerClosed) {
-		return operr.Wrap("serve callers", s.Net.Addr().String(), err)
+		return operr.Wrap("serve callers", s.Listener.Addr().String(), err)
 	}
 	<-ctx.Done()
 	return nil
@@ -225,7 +225,7 @@
 	}
 	s.draining.Store(true)
 	select {
-	case <-s.Clock.After(min(maxDrainNotice, time.Duration(drainNoticeShare*float64(s.Rules.Grace)))):
+	case <-s.Clock.After(min(maxDrainNotice, time.Duration(drainNoticeShare*float64(s.Rules.GracePeriod)))):
 	case <-ctx.Done():
 	}
 	return operr.Wrap("drain", "", s.server.Shutdown(ctx))
@@ -250,7 +250,7 @@
 func (s *Server) retryBudget(service string) *budget.Budget {
 	b, ok := s.retryBudgets[service]
 	if !ok {
-		b = &budget.Budget{Ratio: s.Rules.Retry.Ratio, Slack: s.Rules.Retry.Slack, Window: s.Rules.Retry.Window}
+		b = &budget.Budget{Ratio: s.Rules.RetryBudget.Ratio, Slack: s.Rules.RetryBudget.Slack, Window: s.Rules.RetryBudget.Window}
 		s.retryBudgets[service] = b
 	}
 	b.Entries = s.maxEntries
--- a/io/request/direct/suspects.go
+++ b/io/request/direct/suspects.go
@@ -16,31 +16,32 @@
 // Suspects keeps track of requests that may crash the targets that run them. Package
 // alert implements it.
 type Suspects interface {
-	// Any reports whether anything is recorded about any request. It is called for each
+	// HasRecords reports whether anything is recorded about any request. It is called for each
 	// request and must be cheap.
-	Any() bool
+	HasRecords() bool
 	// Blocked reports whether a request must be refused, and after what time its caller
 	// may retry.
 	Blocked(k poison.Fingerprint) (time.Duration, bool)
-	// Struck records that a target dropped the connection during an attempt. at
+	// RecordFailure records that a target dropped the connection during an attempt. at
 	// identifies the start of that target, and ran is how long the response had been
 	// under way.
-	Struck(k poison.Fingerprint, at poison.Incarnation, ran time.Duration)
-	// Succeeded records that a request completed without crashing its target.
-	Succeeded(k poison.Fingerprint)
-	// Answered records that a target has answered a request that was sent at began. at
+	RecordFailure(k poison.Fingerprint, at poison.Incarnation, ran time.Duration)
+	// RecordSuccess records that a request completed without crashing its target.
+	RecordSuccess(k poison.Fingerprint)
+	// RecordAnswer records that a target has answered a request that was sent at began. at
 	// identifies the start of that target.
-	Answered(began time.Time, at poison.Incarnation)
+	RecordAnswer(began time.Time, at poison.Incarnation)
 }
 
 // noSuspects blocks no request.
 type noSuspects struct{}
 
-func (noSuspects) Any() bool                                                    { return false }
-func (noSuspects) Blocked(poison.Fingerprint) (time.Duration, bool)             { return 0, false }
-func (noSuspects) Struck(poison.Fingerprint, poison.Incarnation, time.Duration) {}
-func (noSuspects) Succeeded(poison.Fingerprint)                                 {}
-func (noSuspects) Answered(time.Time, poison.Incarnation)                       {}
+func (noSuspects) HasRecords() bool { return false }
+
+func (noSuspects) Blocked(poison.Fingerprint) (time.Duration, bool)                    { return 0, false }
+func (noSuspects) RecordFailure(poison.Fingerprint, poison.Incarnation, time.Duration) {}
+func (noSuspects) RecordSuccess(poison.Fingerprint)                                    {}
+func (noSuspects) RecordAnswer(time.Time, poison.Incarnation)                          {}
 
 // reasonCrashesTargets is the reason given when a request is refused because it crashes
 // targets.
@@ -49,7 +50,7 @@
 // blocked reports whether a request must not be sent to any target, and after what time
 // its caller may retry.
 func (s *Server) blocked(q *request) (time.Duration, bool) {
-	if !s.Suspects.Any() {
+	if !s.Suspects.HasRecords() {
 		return 0, false
 	}
 	return s.Suspects.Blocked(q.fingerprint())
@@ -61,13 +62,13 @@
 	at := poison.NewIncarnation(t.ID, t.StartedAt)
 	switch {
 	case o == resend.Broken && (lostConnection(err) || lostConnection(q.progress.responseErr)):
-		s.Suspects.Struck(q.fingerprint(), at, q.progress.responseDuration(s.Clock.Now()))
-	case !s.Suspects.Any():
+		s.Suspects.RecordFailure(q.fingerprint(), at, q.progress.responseDuration(s.Clock.Now()))
+	case !s.Suspects.HasRecords():
 	case o == resend.Relayed || o == resend.TargetFailure:
-		s.Suspects.Answered(q.progress.attemptStart, at)
+		s.Suspects.RecordAnswer(q.progress.attemptStart, at)
 		// With an error status, the request may not have run.
 		if q.progress.status < http.StatusBadRequest {
-			s.Suspects.Succeeded(q.fingerprint())
+			s.Suspects.RecordSuccess(q.fingerprint())
 		}
 	}
 }
--- a/io/request/direct/suspects_test.go
+++ b/io/request/direct/suspects_test.go
@@ -26,13 +26,15 @@
 	calls []string
 }
 
-func (r *suspectsRecorder) Any() bool { return true }
+func (r *suspectsRecorder) HasRecords() bool { return true }
 
-func (r *suspectsRecorder) Struck(_ poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
+func (r *suspectsRecorder) RecordFailure(_ poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
 	r.calls = append(r.calls, "struck "+at.Target+" after "+ran.String())
 }
-func (r *suspectsRecorder) Succeeded(poison.Fingerprint) { r.calls = append(r.calls, "succeeded") }
-func (r *suspectsRecorder) Answered(_ time.Time, at poison.Incarnation) {
+
+func (r *suspectsRecorder) RecordSuccess(poison.Fingerprint) { r.calls = append(r.calls, "succeeded") }
+
+func (r *suspectsRecorder) RecordAnswer(_ time.Time, at poison.Incarnation) {
 	r.calls = append(r.calls, "answered "+at.Target)
 }
 
--- a/io/request/direct/watchdog.go
+++ b/io/request/direct/watchdog.go
@@ -93,14 +93,14 @@
 // timeToBegin returns how much longer a request may begin on a version. It returns
 // false if there is no limit, as when no newer version is known.
 func (s *Server) timeToBegin(q *request, serving uint64) (time.Duration, bool) {
-	if q.service.Engine == nil || serving == 0 || s.Rules.Version <= 0 {
+	if q.service.Engine == nil || serving == 0 || s.Rules.OldVersionPeriod <= 0 {
 		return 0, false
 	}
 	since, replaced := s.Source.Current().ReplacedSince(q.service.Engine.Model, serving)
 	if !replaced {
 		return 0, false
 	}
-	return s.Rules.Version - beginMargin - s.Clock.Since(since), true
+	return s.Rules.OldVersionPeriod - beginMargin - s.Clock.Since(since), true
 }
 
 // versionTooOld reports whether a request may no longer begin on a version.
--- a/io/request/direct/watchdog_test.go
+++ b/io/request/direct/watchdog_test.go
@@ -46,7 +46,7 @@
 	entry, engine := net.Pipe()
 	t.Cleanup(func() { engine.Close() })
 	w := &watchdogTest{t: t, clock: clockwork.NewFakeClock(), testSource: &testSource{facts: &facts.Facts{}}}
-	w.server = &Server{Clock: w.clock, Source: w.testSource, Rules: Rules{Version: 8 * time.Second}}
+	w.server = &Server{Clock: w.clock, Source: w.testSource, Rules: Rules{OldVersionPeriod: 8 * time.Second}}
 	w.q = &request{service: table.Service{Name: "svc", Engine: &table.Engine{Model: "m"}}, deadline: w.clock.Now().Add(time.Hour)}
 	w.x = &exchange{conn: entry, closed: make(chan struct{}), stopAfterFunc: func() bool { return true }}
 	t.Cleanup(w.x.close)
@@ -94,7 +94,7 @@
 			w.advance(time.Second)
 			tc.learn(w)
 			announced := w.testSource.facts.Versions[0].Since
-			w.advance(announced.Add(w.server.Rules.Version).Sub(w.clock.Now()) - versionCheckInterval)
+			w.advance(announced.Add(w.server.Rules.OldVersionPeriod).Sub(w.clock.Now()) - versionCheckInterval)
 			if w.x.abortReason() == nil {
 				t.Error("not aborted before the deadline for beginning on the old version")
 			}
@@ -110,7 +110,7 @@
 	w.testSource.announce(3, w.clock.Now())
 	w.start()
 	w.watchdog.received()
-	w.advance(2 * w.server.Rules.Version)
+	w.advance(2 * w.server.Rules.OldVersionPeriod)
 	if diff := cmp.Diff(nil, w.x.abortReason()); diff != "" {
 		t.Errorf("abort reason (-want +got):\n%s", diff)
 	}
@@ -122,7 +122,7 @@
 	w := newWatchdogTest(t)
 	w.testSource.announce(2, w.clock.Now())
 	w.start()
-	body := &callbackBody{onRead: func() { w.advance(2 * w.server.Rules.Version) }}
+	body := &callbackBody{onRead: func() { w.advance(2 * w.server.Rules.OldVersionPeriod) }}
 	w.x.resp = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(body)}
 	rec := httptest.NewRecorder()
 	r := &bufferedRelay{q: w.q, caller: callerWriter{w: rec, rc: http.NewResponseController(rec)}}
@@ -145,7 +145,7 @@
 func TestVersionTooOldAtDeadline(t *testing.T) {
 	w := newWatchdogTest(t)
 	w.testSource.announce(2, w.clock.Now())
-	w.clock.Advance(w.server.Rules.Version - beginMargin - time.Millisecond)
+	w.clock.Advance(w.server.Rules.OldVersionPeriod - beginMargin - time.Millisecond)
 	if w.server.versionTooOld(w.q, 1) {
 		t.Error("version 1 is too old before its deadline")
 	}
--- a/io/request/direct/watchdogset_test.go
+++ b/io/request/direct/watchdogset_test.go
@@ -36,7 +36,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := newWatchdogTest(t)
 			w.server.Placer = &place.Placer{Zone: "z", Rand: rand.New(rand.NewPCG(1, 1))}
-			w.server.Rules.Retry = budget.Budget{Ratio: 1, Slack: 100, Window: time.Second}
+			w.server.Rules.RetryBudget = budget.Budget{Ratio: 1, Slack: 100, Window: time.Second}
 			w.server.init()
 			w.server.dispatcher.update(idleEngines("a", "b"))
 			w.q.targetID = "a"
--- a/io/request/front/body.go
+++ b/io/request/front/body.go
@@ -38,10 +38,10 @@
 // readBody reads a request's body within the limits on size and time. If that fails, it
 // writes the error response itself and returns false. The caller of readBody must call
 // release when the call has ended, to give back the body's share of the budget.
-func (f *Front) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), ok bool) {
+func (f *Server) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), ok bool) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(f.Limits.BodyTimeout))
-	budgeted := &budgetReader{Reader: http.MaxBytesReader(w, r.Body, int64(f.Limits.MaxBody)), budget: f.bodyBudget}
+	budgeted := &budgetReader{Reader: http.MaxBytesReader(w, r.Body, int64(f.Limits.MaxBodyBytes)), budget: f.bodyBudget}
 	body, err := io.ReadAll(budgeted)
 	if err != nil {
 		budgeted.release()
@@ -52,7 +52,7 @@
 	return body, budgeted.release, true
 }
 
-func (f *Front) rejectBody(w http.ResponseWriter, err error) {
+func (f *Server) rejectBody(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
--- a/io/request/front/choose.go
+++ b/io/request/front/choose.go
@@ -12,7 +12,7 @@
 
 // choose picks a target for rq, counts the call as in flight at that target and logs
 // the decision. The caller must release the returned member.
-func (f *Front) choose(rq *request) (*member, error) {
+func (f *Server) choose(rq *request) (*member, error) {
 	f.chooseMu.Lock()
 	candidates := f.pool.candidates(rq.routing.Service)
 	choice, err := f.Chooser.Choose(f.Clock.Now(), rq.routing, candidates)
--- a/io/request/front/drain_test.go
+++ b/io/request/front/drain_test.go
@@ -16,11 +16,11 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// waitStanding waits until the entry reports the wanted standing for the target.
-func (fl *testFleet) waitStanding(e *entry, name string, want picker.Availability) {
+// waitAvailability waits until the entry reports the wanted standing for the target.
+func (fl *testFleet) waitAvailability(e *entry, name string, want picker.Availability) {
 	for {
 		for _, t := range e.front.Targets() {
-			if t.VM.Name == name && t.Standing == want {
+			if t.VM.Name == name && t.Availability == want {
 				return
 			}
 		}
@@ -47,7 +47,7 @@
 	<-p.started
 	drained := make(chan error, 1)
 	go func() { drained <- s.gate.Drain(context.Background()) }()
-	fl.waitStanding(e, "b1", picker.AvailabilityLeaving)
+	fl.waitAvailability(e, "b1", picker.AvailabilityLeaving)
 	fl.addSide("b2", "booking", other)
 	fl.waitReady(e, "booking", 1)
 	check(t, "new call", "paid new", (<-fl.callAsync(e, "new", nil)).Body)
@@ -98,9 +98,9 @@
 	fl.waitReady(e, "booking", 1)
 	s.vm.State = fleet.StateLeaving
 	fl.setVM(s.vm)
-	fl.waitStanding(e, "b1", picker.AvailabilityLeaving)
+	fl.waitAvailability(e, "b1", picker.AvailabilityLeaving)
 	check(t, "caller result", "notRun", (<-fl.callAsync(e, "fee", nil)).Header.Get(headerOutcome))
-	for !s.gate.Beat().Leaving {
+	for !s.gate.Heartbeat().Leaving {
 		time.Sleep(time.Millisecond)
 	}
 	r := fl.callDirectly(s, func(m *sessn.Start, _ *sessn.Client) {})
@@ -119,8 +119,8 @@
 	s := fl.addSide("b1", "booking", p)
 	r := fl.callDirectly(s, func(m *sessn.Start, c *sessn.Client) {
 		for {
-			now, _ := c.Reading()
-			if now.At-m.Echo.At > fl.limits.MaxReadingAge {
+			now, _ := c.ClockReading()
+			if now.At-m.EchoedReading.At > fl.limits.MaxReadingAge {
 				return
 			}
 			time.Sleep(time.Millisecond)
@@ -143,9 +143,9 @@
 	for !c.Status().Connected {
 		time.Sleep(time.Millisecond)
 	}
-	echo, _ := c.Reading()
+	echo, _ := c.ClockReading()
 	m := &sessn.Start{
-		Request: "r", Method: http.MethodPost, Path: "/payments", Timeout: time.Minute, Echo: echo,
+		Request: "r", Method: http.MethodPost, Path: "/payments", Timeout: time.Minute, EchoedReading: echo,
 		Ticket: &calls.Ticket{CallID: "c", Binding: calls.BindFree, Service: "booking", Side: s.vm.Name, Issued: echo},
 	}
 	beforeSend(m, c)
--- a/io/request/front/faults_test.go
+++ b/io/request/front/faults_test.go
@@ -30,7 +30,7 @@
 func runFaultSequence(t *testing.T, r *rand.Rand) {
 	fl := newTestFleet(t)
 	fl.timing = fastTiming
-	fl.timing.Silent = 150 * time.Millisecond
+	fl.timing.SilenceTimeout = 150 * time.Millisecond
 	target := newPayments()
 	target.started = make(chan string, 4*callsUnderFaults)
 	proxies := make([]*proxy, 2)
--- a/io/request/front/fleet_test.go
+++ b/io/request/front/fleet_test.go
@@ -30,7 +30,7 @@
 
 // fastTiming shortens the session timeouts so that the tests run quickly. No test
 // result depends on the values.
-var fastTiming = sessn.Timing{Beat: 20 * time.Millisecond, Silent: time.Second, Redial: 10 * time.Millisecond}
+var fastTiming = sessn.Timing{HeartbeatInterval: 20 * time.Millisecond, SilenceTimeout: time.Second, RedialDelay: 10 * time.Millisecond}
 
 // testFleet runs entries and sides over real loopback sockets, with HTTP test servers
 // as targets. It is the view source of all of them.
@@ -113,7 +113,7 @@
 // side is a side process with its target.
 type side struct {
 	vm     fleet.VM
-	gate   *gate.Gate
+	gate   *gate.Proxy
 	cancel context.CancelFunc
 	done   chan struct{}
 
@@ -152,11 +152,11 @@
 		Address: netip.MustParseAddrPort(nl.Addr().String()), State: fleet.StateLive,
 	}
 	self := &link.Self{VM: s.vm, Boot: name + "-" + time.Now().Format("150405.000000000")}
-	s.gate = &gate.Gate{
+	s.gate = &gate.Proxy{
 		Self: self, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope,
-		Source: fl, Target: target, Service: service, Timing: fl.timing, Limits: fl.limits,
+		Source: fl, Target: target, Service: service, Timing: fl.timing, LedgerLimits: fl.limits,
 	}
-	s.gate.Timing.Silent = valueOr(fl.sideSilence, s.gate.Timing.Silent)
+	s.gate.Timing.SilenceTimeout = valueOr(fl.sideSilence, s.gate.Timing.SilenceTimeout)
 	s.gate.Log = valueOr(fl.log, s.gate.Log)
 	l := &link.Listener{Self: self, Net: reusableListener{nl}, Handlers: map[link.Purpose]link.Handler{link.PurposeCalls: s.gate.Handler()}}
 	ctx, cancel := context.WithCancel(fl.ctx)
@@ -186,7 +186,7 @@
 
 // entry is an entry process.
 type entry struct {
-	front *Front
+	front *Server
 	url   string
 }
 
@@ -202,14 +202,14 @@
 		Name: name, Role: fleet.RoleEntry, Zone: "z", Region: "r",
 		Address: netip.MustParseAddrPort(nl.Addr().String()), State: fleet.StateLive,
 	}}
-	f := &Front{
+	f := &Server{
 		Self: self, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope,
-		Source: fl, Net: nl, Timing: fl.timing,
+		Source: fl, Listener: nl, Timing: fl.timing,
 	}
 	f.Limits = fl.entryLimits
 	f.Limits.DrainNotice = 10 * time.Millisecond
 	f.Clock = valueOr(fl.entryClock, f.Clock)
-	f.Limits.Subset = 4
+	f.Limits.SubsetSize = 4
 	if len(first) > 0 {
 		f.Chooser = preferTarget{name: first[0], rest: newPolicy(f.Clock, self.VM)}
 	}
@@ -225,7 +225,7 @@
 	for {
 		count := 0
 		for _, t := range e.front.Targets() {
-			if t.VM.Service == service && t.Standing == "ready" {
+			if t.VM.Service == service && t.Availability == "ready" {
 				count++
 			}
 		}
--- a/io/request/front/front.go
+++ b/io/request/front/front.go
@@ -28,7 +28,7 @@
 	"hawthornferry/core/request/picker"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/conn/sessn"
-	"hawthornferry/io/process/gauge"
+	"hawthornferry/io/process/trends"
 )
 
 // Chooser picks the target of a call from the candidates.
@@ -36,21 +36,21 @@
 	Choose(now time.Time, r picker.Request, candidates []picker.Candidate) (picker.Choice, error)
 }
 
-// Front serves callers. Set the exported fields before Run; limits that are zero get
+// Server serves callers. Set the exported fields before Run; limits that are zero get
 // their defaults.
-type Front struct {
+type Server struct {
 	Self    *link.Self
 	Clock   clockwork.Clock
 	Log     trail.Log
 	Metrics tally.Scope
-	// Gauge records latencies, counts and table sizes to detect slow degradation. It
+	// Recorder records latencies, counts and table sizes to detect slow degradation. It
 	// may be nil.
-	Gauge  *gauge.Gauge
-	Source view.Source
+	Recorder *trends.Recorder
+	Source   view.Source
 	// ListenAddr is the address on which to accept callers. If Net is set, it is used
 	// instead.
 	ListenAddr netip.AddrPort
-	Net        net.Listener
+	Listener   net.Listener
 	// Chooser picks targets. If it is nil, a picker.Chooser is used.
 	Chooser Chooser
 	Timing  sessn.Timing
@@ -70,9 +70,9 @@
 	policy     *policy
 }
 
-func (f *Front) init() { f.setup.Do(f.initialize) }
+func (f *Server) init() { f.setup.Do(f.initialize) }
 
-func (f *Front) initialize() {
+func (f *Server) initialize() {
 	f.Limits = f.Limits.withDefaults()
 	f.policy = newPolicy(f.Clock, f.Self.VM)
 	if f.Chooser == nil {
@@ -88,13 +88,13 @@
 		ConnState:         trackConnState,
 		ReadHeaderTimeout: f.Limits.HeaderTimeout,
 		IdleTimeout:       f.Limits.IdleTimeout,
-		MaxHeaderBytes:    f.Limits.MaxHeader,
+		MaxHeaderBytes:    f.Limits.MaxHeaderBytes,
 	}
 }
 
 // Run serves callers until ctx ends, and then closes their connections. Call Drain
 // first to let the requests in flight finish.
-func (f *Front) Run(ctx context.Context) error {
+func (f *Server) Run(ctx context.Context) error {
 	f.init()
 	nl, err := f.listener()
 	if err != nil {
@@ -119,9 +119,9 @@
 	return nil
 }
 
-func (f *Front) listener() (net.Listener, error) {
-	if f.Net != nil {
-		return f.Net, nil
+func (f *Server) listener() (net.Listener, error) {
+	if f.Listener != nil {
+		return f.Listener, nil
 	}
 	nl, err := net.Listen("tcp", f.ListenAddr.String())
 	return nl, operr.Wrap("listen for callers", f.ListenAddr.String(), err)
@@ -134,7 +134,7 @@
 // Shutting down at once would close idle connections on which a request is just
 // arriving, and its caller would get no response. During the notice such requests are
 // served with a Connection: close header.
-func (f *Front) Drain(ctx context.Context) error {
+func (f *Server) Drain(ctx context.Context) error {
 	f.init()
 	f.draining.Store(true)
 	notice := f.Clock.NewTimer(f.Limits.DrainNotice)
@@ -148,18 +148,18 @@
 
 // Ready reports whether the load balancer may send callers here: the entry is serving,
 // has a document and is not draining.
-func (f *Front) Ready() bool {
+func (f *Server) Ready() bool {
 	return f.running.Load() && !f.draining.Load() && f.Source.Current().Document != nil
 }
 
 // Targets returns the targets that the entry has sessions with, sorted by name.
-func (f *Front) Targets() []TargetStatus {
+func (f *Server) Targets() []TargetStatus {
 	f.init()
 	return f.pool.targets()
 }
 
 // Outcomes returns the number of calls for each customer, service and outcome.
-func (f *Front) Outcomes() []OutcomeCount {
+func (f *Server) Outcomes() []OutcomeCount {
 	f.init()
 	return f.outcomes.list()
 }
--- a/io/request/front/limits.go
+++ b/io/request/front/limits.go
@@ -8,9 +8,9 @@
 
 // Limits limits the resources that callers may use. Sizes are in bytes.
 type Limits struct {
-	// MaxBody and MaxHeader limit a single request.
-	MaxBody   int
-	MaxHeader int
+	// MaxBodyBytes and MaxHeaderBytes limit a single request.
+	MaxBodyBytes   int
+	MaxHeaderBytes int
 	// MaxBodyBytesTotal limits the total size of the bodies of all requests in flight.
 	MaxBodyBytesTotal int
 	// HeaderTimeout and BodyTimeout limit how long a caller may take to send its
@@ -24,8 +24,8 @@
 	DrainNotice time.Duration
 	// MaxInFlight limits the number of calls in flight at the entry.
 	MaxInFlight int
-	// Subset is the maximum number of targets of a service to keep sessions with.
-	Subset int
+	// SubsetSize is the maximum number of targets of a service to keep sessions with.
+	SubsetSize int
 	// MaxAttempts is the maximum number of targets tried for a call.
 	MaxAttempts int
 	// QueryTimeout limits how long the entry tries to query a side for the outcome of a
@@ -37,8 +37,8 @@
 // DefaultLimits returns the limits that apply where none are configured.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxBody:           1 << 20,
-		MaxHeader:         32 << 10,
+		MaxBodyBytes:      1 << 20,
+		MaxHeaderBytes:    32 << 10,
 		MaxBodyBytesTotal: 16 << 20,
 		HeaderTimeout:     10 * time.Second,
 		BodyTimeout:       10 * time.Second,
@@ -46,7 +46,7 @@
 		IdleTimeout:       2 * time.Minute,
 		DrainNotice:       time.Second,
 		MaxInFlight:       2048,
-		Subset:            picker.DefaultSubsetSize,
+		SubsetSize:        picker.DefaultSubsetSize,
 		MaxAttempts:       3,
 		QueryTimeout:      3 * time.Second,
 	}
@@ -54,16 +54,16 @@
 
 func (l Limits) withDefaults() Limits {
 	d := DefaultLimits()
-	l.MaxBody = valueOr(l.MaxBody, d.MaxBody)
-	l.MaxHeader = valueOr(l.MaxHeader, d.MaxHeader)
-	l.MaxBodyBytesTotal = max(valueOr(l.MaxBodyBytesTotal, d.MaxBodyBytesTotal), l.MaxBody)
+	l.MaxBodyBytes = valueOr(l.MaxBodyBytes, d.MaxBodyBytes)
+	l.MaxHeaderBytes = valueOr(l.MaxHeaderBytes, d.MaxHeaderBytes)
+	l.MaxBodyBytesTotal = max(valueOr(l.MaxBodyBytesTotal, d.MaxBodyBytesTotal), l.MaxBodyBytes)
 	l.HeaderTimeout = valueOr(l.HeaderTimeout, d.HeaderTimeout)
 	l.BodyTimeout = valueOr(l.BodyTimeout, d.BodyTimeout)
 	l.WriteTimeout = valueOr(l.WriteTimeout, d.WriteTimeout)
 	l.IdleTimeout = valueOr(l.IdleTimeout, d.IdleTimeout)
 	l.DrainNotice = valueOr(l.DrainNotice, d.DrainNotice)
 	l.MaxInFlight = valueOr(l.MaxInFlight, d.MaxInFlight)
-	l.Subset = valueOr(l.Subset, d.Subset)
+	l.SubsetSize = valueOr(l.SubsetSize, d.SubsetSize)
 	l.MaxAttempts = valueOr(l.MaxAttempts, d.MaxAttempts)
 	l.QueryTimeout = valueOr(l.QueryTimeout, d.QueryTimeout)
 	return l
--- a/io/request/front/limits_test.go
+++ b/io/request/front/limits_test.go
@@ -16,7 +16,7 @@
 	fl := newTestFleet(t)
 	fl.addSide("b1", "booking", http.HandlerFunc(echo))
 	fl.entryLimits = Limits{
-		MaxBody: 1 << 10, MaxHeader: 4 << 10,
+		MaxBodyBytes: 1 << 10, MaxHeaderBytes: 4 << 10,
 		HeaderTimeout: 100 * time.Millisecond, BodyTimeout: 100 * time.Millisecond,
 	}
 	e := fl.addEntry("e1")
--- a/io/request/front/measure.go
+++ b/io/request/front/measure.go
@@ -4,28 +4,28 @@
 	"hawthornferry/core/request/admit"
 	"hawthornferry/core/request/calls"
 	"hawthornferry/core/request/picker"
-	"hawthornferry/io/process/gauge"
+	"hawthornferry/io/process/trends"
 )
 
 // addMeasures adds a finished request to the latencies and counts that Gauge watches
 // for slow degradation.
-func (f *Front) addMeasures(rq *request, res result) {
+func (f *Server) addMeasures(rq *request, res result) {
 	if rq.timeToFirstByte > 0 {
-		f.Gauge.Latency("firstByte "+rq.routing.Service, rq.timeToFirstByte)
+		f.Recorder.AddLatency("firstByte "+rq.routing.Service, rq.timeToFirstByte)
 	}
 	switch {
 	case res.outcome == calls.OutcomeUnknown:
-		f.Gauge.Count("unknown "+rq.routing.Service, 1)
+		f.Recorder.AddCount("unknown "+rq.routing.Service, 1)
 	case res.outcome == calls.OutcomeNotRun:
-		f.Gauge.Count("notRun "+rq.routing.Service, 1)
+		f.Recorder.AddCount("notRun "+rq.routing.Service, 1)
 	}
 }
 
 // watchTables registers the tables of the entry whose sizes Gauge watches.
-func (f *Front) watchTables() {
-	f.Gauge.Watch(gauge.Table{Name: "prefixes", Bound: picker.DefaultMaxPrefixes, Len: f.policy.prefixCount})
-	f.Gauge.Watch(gauge.Table{Name: "admission", Bound: admit.MaxRemembered + f.Limits.MaxInFlight, Len: f.policy.admissionCount})
-	f.Gauge.Watch(gauge.Table{Name: "sessions", Len: f.pool.size})
+func (f *Server) watchTables() {
+	f.Recorder.WatchTable(trends.Table{Name: "prefixes", Bound: picker.DefaultMaxPrefixes, Len: f.policy.prefixCount})
+	f.Recorder.WatchTable(trends.Table{Name: "admission", Bound: admit.MaxRemembered + f.Limits.MaxInFlight, Len: f.policy.admissionCount})
+	f.Recorder.WatchTable(trends.Table{Name: "sessions", Len: f.pool.size})
 }
 
 // prefixCount is the number of prompt prefixes that the chooser remembers.
--- a/io/request/front/once.go
+++ b/io/request/front/once.go
@@ -10,7 +10,7 @@
 )
 
 // runOnce runs a call that may run at most once.
-func (f *Front) runOnce(ctx context.Context, w http.ResponseWriter, rq *request) {
+func (f *Server) runOnce(ctx context.Context, w http.ResponseWriter, rq *request) {
 	switch {
 	case rq.ticket != nil:
 		f.runBound(ctx, w, rq, rq.ticket.Side)
@@ -23,7 +23,7 @@
 
 // runFree runs a once-call that has no ticket or key, so that any target may run it. If
 // an attempt certainly did not run, the call goes to another target under a new ID.
-func (f *Front) runFree(ctx context.Context, w http.ResponseWriter, rq *request) {
+func (f *Server) runFree(ctx context.Context, w http.ResponseWriter, rq *request) {
 	rq.binding = calls.BindFree
 	last := result{outcome: calls.OutcomeNotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
@@ -51,7 +51,7 @@
 }
 
 // runKeyed sends a call with an idempotency key to the side that owns the key.
-func (f *Front) runKeyed(ctx context.Context, w http.ResponseWriter, rq *request) {
+func (f *Server) runKeyed(ctx context.Context, w http.ResponseWriter, rq *request) {
 	rq.binding = calls.BindKey
 	rq.keyCallID = calls.KeyID(rq.routing.Customer, rq.routing.Service, rq.idempotencyKey)
 	vm, keyMembers, err := calls.Owner(f.Source.Current(), rq.routing.Service, rq.keyCallID)
@@ -64,7 +64,7 @@
 }
 
 // runBound sends a call to the only side that may run it.
-func (f *Front) runBound(ctx context.Context, w http.ResponseWriter, rq *request, side string) {
+func (f *Server) runBound(ctx context.Context, w http.ResponseWriter, rq *request, side string) {
 	m := f.pool.acquire(side)
 	if m == nil {
 		res := result{outcome: calls.OutcomeUnknown, status: http.StatusBadGateway, reason: "the side is gone"}
@@ -100,7 +100,7 @@
 }
 
 // writeAnswer sends a complete answer to the caller.
-func (f *Front) writeAnswer(w http.ResponseWriter, rq *request, o onceResult) {
+func (f *Server) writeAnswer(w http.ResponseWriter, rq *request, o onceResult) {
 	out := newCallerWriter(w, f.Limits.WriteTimeout)
 	copyHeader(w.Header(), o.answer.head.Header)
 	w.Header().Set(headerOutcome, string(calls.OutcomeDone))
@@ -108,7 +108,7 @@
 	if o.ticket != "" {
 		w.Header().Set(headerTicket, o.ticket)
 	}
-	f.recordResult(rq, result{outcome: calls.OutcomeDone, repeated: o.answer.head.Again})
+	f.recordResult(rq, result{outcome: calls.OutcomeDone, repeated: o.answer.head.Stored})
 	w.WriteHeader(o.answer.head.Status)
 	_ = out.send(o.answer.body)
 }
--- a/io/request/front/once_test.go
+++ b/io/request/front/once_test.go
@@ -201,7 +201,7 @@
 	s = fl.replace(s)
 	issued, err := calls.DecodeTicket(text)
 	check(t, "ticket", nil, err)
-	for s.gate.Beat().Reading.At <= issued.Issued.At {
+	for s.gate.Heartbeat().Reading.At <= issued.Issued.At {
 		// Until the new boot's clock passes the ticket's reading, the ticket is refused
 		// for being from the future, which is not what this test checks.
 		time.Sleep(time.Millisecond)
--- a/io/request/front/onceattempt.go
+++ b/io/request/front/onceattempt.go
@@ -22,7 +22,7 @@
 		Binding: rq.binding,
 		Service: rq.routing.Service,
 		Side:    m.client.VM.Name,
-		Issued:  start.Echo,
+		Issued:  start.EchoedReading,
 	}
 	if rq.binding == calls.BindKey {
 		t.CallID = rq.keyCallID
@@ -31,7 +31,7 @@
 }
 
 // attemptOnce makes one attempt at one side. It returns when the outcome is settled.
-func (f *Front) attemptOnce(ctx context.Context, m *member, rq *request) onceResult {
+func (f *Server) attemptOnce(ctx context.Context, m *member, rq *request) onceResult {
 	t := &onceAttempt{front: f, member: m, request: rq, state: calls.NewAttempt(rq.binding)}
 	if t.state.Bound && !t.waitConnected(ctx) {
 		return t.settledResult(ctx)
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, t.front.Limits.QueryTimeout)
 	defer cancel()
 	for {
-		next := t.member.client.Next()
+		next := t.member.client.StatusChanged()
 		if t.member.client.Status().Connected {
 			return true
 		}
@@ -93,7 +93,7 @@
 
 // onceAttempt runs the state machine of one attempt.
 type onceAttempt struct {
-	front   *Front
+	front   *Server
 	member  *member
 	request *request
 	state   calls.Attempt
@@ -174,7 +174,7 @@
 	asking, cancel := context.WithTimeout(ctx, t.front.Limits.QueryTimeout)
 	defer cancel()
 	for {
-		next := t.member.client.Next()
+		next := t.member.client.StatusChanged()
 		call, err := t.member.client.Query(&sessn.Query{Ticket: *t.request.ticket, Mark: true, Members: t.request.keyMembers})
 		if err == nil {
 			t.readUntilSettled(ctx, call)
--- a/io/request/front/policy.go
+++ b/io/request/front/policy.go
@@ -25,13 +25,13 @@
 	chooser         *picker.Chooser
 	admitter        *admit.Admitter
 	lastChooserTick time.Time
-	await.Desk[admit.Verdict]
+	await.Dispatcher[admit.Verdict]
 }
 
 func newPolicy(clock clockwork.Clock, self fleet.VM) *policy {
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	p := &policy{clock: clock, chooser: &picker.Chooser{Entry: self, Rand: rng}, admitter: &admit.Admitter{}}
-	p.ID = func(v admit.Verdict) string { return v.ID }
+	p.RequestID = func(v admit.Verdict) string { return v.ID }
 	return p
 }
 
--- a/io/request/front/pool.go
+++ b/io/request/front/pool.go
@@ -24,11 +24,11 @@
 
 // TargetStatus is the state of a target as seen by the entry.
 type TargetStatus struct {
-	VM       fleet.VM            `json:"vm"`
-	Standing picker.Availability `json:"standing"`
-	InFlight int                 `json:"inFlight"`
-	Serving  chunk.Digest        `json:"serving,omitempty"`
-	Boot     string              `json:"boot,omitempty"`
+	VM           fleet.VM            `json:"vm"`
+	Availability picker.Availability `json:"standing"`
+	InFlight     int                 `json:"inFlight"`
+	Serving      chunk.Digest        `json:"serving,omitempty"`
+	Boot         string              `json:"boot,omitempty"`
 }
 
 // memberID identifies a target process. A VM that replaces another of the same name has
@@ -56,7 +56,7 @@
 // pool keeps the entry's sessions. These are to a subset of each service's targets, of
 // limited size, and to sides outside it that the calls of tickets and keys need.
 type pool struct {
-	front *Front
+	front *Server
 
 	mu      sync.Mutex
 	ctx     context.Context
@@ -64,7 +64,7 @@
 	members map[memberID]*member
 }
 
-func newPool(f *Front) *pool {
+func newPool(f *Server) *pool {
 	return &pool{front: f, members: map[memberID]*member{}}
 }
 
@@ -149,7 +149,7 @@
 	}
 	var out []fleet.VM
 	for name := range services {
-		out = append(out, picker.Subset(p.front.Self.VM, name, live, p.front.Limits.Subset)...)
+		out = append(out, picker.Subset(p.front.Self.VM, name, live, p.front.Limits.SubsetSize)...)
 	}
 	return out
 }
@@ -167,8 +167,8 @@
 	ctx, cancel := context.WithCancel(p.ctx)
 	m := &member{vm: vm, cancel: cancel, listed: true, lastUsed: f.Clock.Now()}
 	m.client = &sessn.Client{Self: f.Self, Clock: f.Clock, VM: vm, Timing: f.Timing}
-	m.client.Changed = func() { p.reportLoad(m.client, vm) }
-	m.client.Events = func(cacheEvents []sessn.PrefixEvent) { p.cacheEvents(vm, cacheEvents) }
+	m.client.OnChange = func() { p.reportLoad(m.client, vm) }
+	m.client.OnCacheEvents = func(cacheEvents []sessn.PrefixEvent) { p.cacheEvents(vm, cacheEvents) }
 	p.members[idOf(vm)] = m
 	p.wg.Go(func() { _ = m.client.Run(ctx) })
 	return m
@@ -177,7 +177,7 @@
 // reportLoad passes a target's load report to the admitter.
 func (p *pool) reportLoad(c *sessn.Client, vm fleet.VM) {
 	s := c.Status()
-	if s.Connected && s.Beat.Load.Known {
+	if s.Connected && s.Heartbeat.Load.Known {
 		p.front.policy.reportLoad(vm.Service, vm.Name, loadReportOf(s))
 	}
 }
@@ -189,8 +189,8 @@
 }
 
 func loadReportOf(s sessn.Status) picker.LoadReport {
-	l := s.Beat.Load
-	return picker.LoadReport{ReceivedAt: s.At, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
+	l := s.Heartbeat.Load
+	return picker.LoadReport{ReceivedAt: s.ReceivedAt, Running: l.Running, Queued: l.Queued, Capacity: l.Capacity}
 }
 
 // acquire returns the member for the named VM and counts a call in flight at it, or
@@ -260,8 +260,8 @@
 
 func (m *member) candidate() picker.Candidate {
 	s := m.client.Status()
-	c := picker.Candidate{VM: m.vm, Availability: m.standing(s), InFlight: m.inFlight, ServedVersion: s.Beat.Serving}
-	if s.Beat.Load.Known {
+	c := picker.Candidate{VM: m.vm, Availability: m.availability(s), InFlight: m.inFlight, ServedVersion: s.Heartbeat.ServedVersion}
+	if s.Heartbeat.Load.Known {
 		c.Report = loadReportOf(s)
 	}
 	return c
@@ -269,13 +269,13 @@
 
 // standing combines what the VM list, the side's heartbeat and the state of the session
 // say. The first that excludes the target determines the result.
-func (m *member) standing(s sessn.Status) picker.Availability {
+func (m *member) availability(s sessn.Status) picker.Availability {
 	switch {
-	case m.vm.State == fleet.StateLeaving || s.Beat.Leaving:
+	case m.vm.State == fleet.StateLeaving || s.Heartbeat.Leaving:
 		return picker.AvailabilityLeaving
 	case !s.Connected:
 		return picker.AvailabilitySilent
-	case !s.Beat.Ready:
+	case !s.Heartbeat.Ready:
 		return picker.AvailabilityUnserved
 	}
 	return picker.AvailabilityReady
@@ -288,8 +288,8 @@
 	for _, m := range p.members {
 		s := m.client.Status()
 		out = append(out, TargetStatus{
-			VM: m.vm, Standing: m.standing(s), InFlight: m.inFlight,
-			Serving: s.Beat.Serving, Boot: s.Beat.Reading.Boot,
+			VM: m.vm, Availability: m.availability(s), InFlight: m.inFlight,
+			Serving: s.Heartbeat.ServedVersion, Boot: s.Heartbeat.Reading.Boot,
 		})
 	}
 	slices.SortFunc(out, func(a, b TargetStatus) int { return cmp.Compare(a.VM.Name, b.VM.Name) })
--- a/io/request/front/prefix_test.go
+++ b/io/request/front/prefix_test.go
@@ -20,7 +20,7 @@
 	content := strings.Repeat("permit desk ", 40)
 	prompt := expect.Prompt([]expect.Message{{Role: "system", Content: content}})
 	var page []string
-	for i, p := range expect.Prefixes(prompt) {
+	for i, p := range expect.PrefixHashes(prompt) {
 		page = append(page, fmt.Sprintf(`{"seq":%d,"action":"stored","prefix":%q}`, i+1, p))
 	}
 	add := func(name, events string) {
@@ -46,6 +46,6 @@
 	}
 }
 
-func (f *Front) knownPrefixes() int {
+func (f *Server) knownPrefixes() int {
 	return f.policy.prefixCount()
 }
--- a/io/request/front/repeat.go
+++ b/io/request/front/repeat.go
@@ -15,7 +15,7 @@
 
 // runRepeatable runs a call that may run more than once. A failed attempt is followed
 // by one on another target, within the limits of MaxAttempts and of the retry budget.
-func (f *Front) runRepeatable(ctx context.Context, w http.ResponseWriter, rq *request) {
+func (f *Server) runRepeatable(ctx context.Context, w http.ResponseWriter, rq *request) {
 	rl := f.newRelay(w, rq)
 	last := result{outcome: calls.OutcomeNotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
@@ -38,7 +38,7 @@
 	f.failRepeatable(w, rq, rl, last)
 }
 
-func (f *Front) newRelay(w http.ResponseWriter, rq *request) relay {
+func (f *Server) newRelay(w http.ResponseWriter, rq *request) relay {
 	out := newCallerWriter(w, f.Limits.WriteTimeout)
 	if rq.stream {
 		return newEventRelay(out)
@@ -48,7 +48,7 @@
 
 // prepareRetry decides whether a failed attempt is followed by another. If so, it
 // updates rq and rl for that.
-func (f *Front) prepareRetry(ctx context.Context, rq *request, rl relay, m *member, err error) bool {
+func (f *Server) prepareRetry(ctx context.Context, rq *request, rl relay, m *member, err error) bool {
 	if ctx.Err() != nil || errors.Is(err, errCallerWrite) || !rl.canRetry() {
 		return false
 	}
@@ -73,7 +73,7 @@
 // failRepeatable reports to the caller that it gets no complete answer. If a part of
 // the answer has been sent already, it aborts the connection: an orderly end would make
 // the part look complete.
-func (f *Front) failRepeatable(w http.ResponseWriter, rq *request, rl relay, res result) {
+func (f *Server) failRepeatable(w http.ResponseWriter, rq *request, rl relay, res result) {
 	if !rl.started() {
 		f.writeFailure(w, rq, res)
 		return
@@ -124,7 +124,7 @@
 
 // attemptRepeatable makes one attempt. It returns nil if the caller got the complete
 // answer.
-func (f *Front) attemptRepeatable(ctx context.Context, m *member, rq *request, rl relay) error {
+func (f *Server) attemptRepeatable(ctx context.Context, m *member, rq *request, rl relay) error {
 	startMessage, err := f.startMessage(ctx, m, rq)
 	if err != nil {
 		return err
@@ -166,8 +166,8 @@
 }
 
 // startMessage builds the message that starts the call at the member's side.
-func (f *Front) startMessage(ctx context.Context, m *member, rq *request) (*sessn.Start, error) {
-	echo, ok := m.client.Reading()
+func (f *Server) startMessage(ctx context.Context, m *member, rq *request) (*sessn.Start, error) {
+	echo, ok := m.client.ClockReading()
 	if !ok {
 		return nil, sessn.ErrUnsent
 	}
@@ -176,11 +176,11 @@
 		left = d.Sub(f.Clock.Now())
 	}
 	return &sessn.Start{
-		Request: rq.routing.ID,
-		Echo:    echo,
-		Method:  rq.method,
-		Path:    rq.path,
-		Header:  rq.header,
-		Timeout: max(left, time.Millisecond),
+		Request:       rq.routing.ID,
+		EchoedReading: echo,
+		Method:        rq.method,
+		Path:          rq.path,
+		Header:        rq.header,
+		Timeout:       max(left, time.Millisecond),
 	}, nil
 }
--- a/io/request/front/request.go
+++ b/io/request/front/request.go
@@ -54,7 +54,7 @@
 
 // newRequest returns the request for a call to the service, as described by its
 // headers.
-func (f *Front) newRequest(r *http.Request, s envdoc.Service) (*request, error) {
+func (f *Server) newRequest(r *http.Request, s envdoc.Service) (*request, error) {
 	rq := &request{kind: s.Kind, method: r.Method, header: forwardedHeader(r.Header), timeout: s.Timeout}
 	rq.routing = picker.Request{
 		ID:       uuid.NewString(),
@@ -129,7 +129,7 @@
 // forwardedHeader returns the headers to send to the target.
 func forwardedHeader(h http.Header) http.Header {
 	h = h.Clone()
-	gate.StripHops(h)
+	gate.RemoveHopByHopHeaders(h)
 	for _, name := range entryHeaders {
 		h.Del(name)
 	}
@@ -193,7 +193,7 @@
 }
 
 // recordResult counts and logs the result of a request.
-func (f *Front) recordResult(rq *request, res result) {
+func (f *Server) recordResult(rq *request, res result) {
 	f.outcomes.add(outcomeKey{customer: rq.routing.Customer, service: rq.routing.Service, outcome: res.outcome}, res)
 	f.addMeasures(rq, res)
 	d := trail.Decision{
@@ -209,7 +209,7 @@
 
 // writeFailure records a request that ends without the target's answer, and sends the
 // error response.
-func (f *Front) writeFailure(w http.ResponseWriter, rq *request, res result) {
+func (f *Server) writeFailure(w http.ResponseWriter, rq *request, res result) {
 	f.recordResult(rq, res)
 	Problem{
 		Status: res.status, Detail: res.reason, Outcome: res.outcome, RequestID: rq.routing.ID,
--- a/io/request/front/retry_test.go
+++ b/io/request/front/retry_test.go
@@ -39,7 +39,7 @@
 	var calls atomic.Int64
 	fl.addSide("h1", "helper", engineStub("", func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
 	e := fl.addEntry("e1")
-	fl.waitStanding(e, "h1", picker.AvailabilityUnserved)
+	fl.waitAvailability(e, "h1", picker.AvailabilityUnserved)
 	r := fl.call(e, http.MethodPost, chatURL, streamBody, nil)
 	check(t, "status", http.StatusServiceUnavailable, r.Status)
 	check(t, "outcome", "notRun", r.Header.Get(headerOutcome))
@@ -99,7 +99,7 @@
 // refused as not run, and must be served after the others have ended.
 func TestSideLimitsBodyBytes(t *testing.T) {
 	fl := newTestFleet(t)
-	fl.entryLimits = Limits{MaxBody: 8 << 20, MaxBodyBytesTotal: 64 << 20}
+	fl.entryLimits = Limits{MaxBodyBytes: 8 << 20, MaxBodyBytesTotal: 64 << 20}
 	p := newPayments()
 	fl.addSide("b1", "booking", p)
 	e := fl.addEntry("e1")
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -21,7 +21,7 @@
 const servicePrefix = "/v1/services/"
 
 // newRouter returns the handler for all paths that callers may use.
-func (f *Front) newRouter() http.Handler {
+func (f *Server) newRouter() http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
 	r.HandleFunc("/v1/chat/completions", f.limitInFlight(f.handleChat)).Methods(http.MethodPost)
 	r.HandleFunc("/v1/tickets", f.limitInFlight(f.handleTicketIssue)).Methods(http.MethodPost)
@@ -37,7 +37,7 @@
 
 // limitInFlight rejects requests while the entry has MaxInFlight calls. While the entry
 // drains, it tells callers to close their connections.
-func (f *Front) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
+func (f *Server) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if f.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -55,7 +55,7 @@
 
 // reject sends the error response to a request that was rejected before it became a
 // call.
-func (f *Front) reject(w http.ResponseWriter, status int, detail string, after time.Duration) {
+func (f *Server) reject(w http.ResponseWriter, status int, detail string, after time.Duration) {
 	f.Metrics.Counter("rejected").Inc(1)
 	Problem{
 		Status: status, Detail: detail, Outcome: calls.OutcomeNotRun,
@@ -63,17 +63,17 @@
 	}.write(w)
 }
 
-func (f *Front) handleNotFound(w http.ResponseWriter, _ *http.Request) {
+func (f *Server) handleNotFound(w http.ResponseWriter, _ *http.Request) {
 	f.reject(w, http.StatusNotFound, "no such path", 0)
 }
 
-func (f *Front) handleMethodNotAllowed(w http.ResponseWriter, _ *http.Request) {
+func (f *Server) handleMethodNotAllowed(w http.ResponseWriter, _ *http.Request) {
 	f.reject(w, http.StatusMethodNotAllowed, "method is not allowed here", 0)
 }
 
 // lookupService returns the named service of the given kind from the current document.
 // If there is none, it sends the error response and returns false.
-func (f *Front) lookupService(w http.ResponseWriter, name string, kind envdoc.ServiceKind) (envdoc.Service, bool) {
+func (f *Server) lookupService(w http.ResponseWriter, name string, kind envdoc.ServiceKind) (envdoc.Service, bool) {
 	d := f.Source.Current().Document
 	if d == nil {
 		f.reject(w, http.StatusServiceUnavailable, "no document is in force yet", retryAfter)
@@ -89,7 +89,7 @@
 
 // newRequestByName is newRequestFor for the named service. If there is no such service
 // of the given kind, it sends the error response and returns false.
-func (f *Front) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.ServiceKind) (*request, bool) {
+func (f *Server) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.ServiceKind) (*request, bool) {
 	s, ok := f.lookupService(w, name, kind)
 	if !ok {
 		return nil, false
@@ -99,7 +99,7 @@
 
 // newRequestFor returns the request for a call to s. If a header is invalid, it sends
 // the error response and returns false.
-func (f *Front) newRequestFor(w http.ResponseWriter, r *http.Request, s envdoc.Service) (*request, bool) {
+func (f *Server) newRequestFor(w http.ResponseWriter, r *http.Request, s envdoc.Service) (*request, bool) {
 	rq, err := f.newRequest(r, s)
 	if err != nil {
 		f.reject(w, http.StatusBadRequest, err.Error(), 0)
@@ -118,7 +118,7 @@
 const chatPath = "/v1/chat/completions"
 
 // handleChat serves a chat completion. The model names the service.
-func (f *Front) handleChat(w http.ResponseWriter, r *http.Request) {
+func (f *Server) handleChat(w http.ResponseWriter, r *http.Request) {
 	body, release, ok := f.readBody(w, r)
 	if !ok {
 		return
@@ -139,7 +139,7 @@
 }
 
 // handleService passes a call to a plain service through.
-func (f *Front) handleService(w http.ResponseWriter, r *http.Request) {
+func (f *Server) handleService(w http.ResponseWriter, r *http.Request) {
 	name := mux.Vars(r)["service"]
 	s, ok := f.lookupService(w, name, envdoc.KindPlain)
 	if !ok {
@@ -186,7 +186,7 @@
 }
 
 // admitAndRun waits for admission and then calls run, both within the call's deadline.
-func (f *Front) admitAndRun(w http.ResponseWriter, r *http.Request, rq *request, run func(context.Context, http.ResponseWriter, *request)) {
+func (f *Server) admitAndRun(w http.ResponseWriter, r *http.Request, rq *request, run func(context.Context, http.ResponseWriter, *request)) {
 	w.Header().Set(headerRequestID, rq.routing.ID)
 	ctx, cancel := clockwork.WithTimeout(r.Context(), f.Clock, rq.timeout)
 	defer cancel()
@@ -207,7 +207,7 @@
 
 // refuseAdmission reports to a caller that admission refused its call. A bound call may
 // have run already, so its side is queried first.
-func (f *Front) refuseAdmission(ctx context.Context, w http.ResponseWriter, rq *request, v admit.Verdict) {
+func (f *Server) refuseAdmission(ctx context.Context, w http.ResponseWriter, rq *request, v admit.Verdict) {
 	res := result{
 		outcome: calls.OutcomeNotRun, reason: string(v.Reason),
 		status: http.StatusTooManyRequests, retryAfter: v.RetryAfter, refusedAtAdmission: true,
@@ -220,7 +220,7 @@
 	f.runOnce(ctx, w, rq)
 }
 
-func (f *Front) logAdmission(rq *request, v admit.Verdict) {
+func (f *Server) logAdmission(rq *request, v admit.Verdict) {
 	f.Log.Record(trail.Decision{
 		Area: trail.AreaAdmission, Action: string(v.Decision), Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Reason: string(v.Reason), Revision: f.Self.Revision.Load(),
--- a/io/request/front/streamlog.go
+++ b/io/request/front/streamlog.go
@@ -7,7 +7,7 @@
 
 // logStreamHead logs the version that answers a stream and whether the caller already
 // has a part of it. From this, the replay command checks that no stream mixes versions.
-func (f *Front) logStreamHead(rq *request, m *member, rl relay, h *sessn.Head) {
+func (f *Server) logStreamHead(rq *request, m *member, rl relay, h *sessn.Head) {
 	r, ok := rl.(*eventRelay)
 	if !ok {
 		return
--- a/io/request/front/ticket.go
+++ b/io/request/front/ticket.go
@@ -45,7 +45,7 @@
 
 // handleTicketIssue chooses a side for a call and returns a ticket that names it. The
 // call itself is sent later, through any entry.
-func (f *Front) handleTicketIssue(w http.ResponseWriter, r *http.Request) {
+func (f *Server) handleTicketIssue(w http.ResponseWriter, r *http.Request) {
 	body, release, ok := f.readBody(w, r)
 	if !ok {
 		return
@@ -69,8 +69,8 @@
 	f.writeTicket(w, m, rq.routing.Service)
 }
 
-func (f *Front) writeTicket(w http.ResponseWriter, m *member, service string) {
-	issued, ok := m.client.Reading()
+func (f *Server) writeTicket(w http.ResponseWriter, m *member, service string) {
+	issued, ok := m.client.ClockReading()
 	if !ok {
 		f.reject(w, http.StatusServiceUnavailable, errNoTarget.Error(), retryAfter)
 		return
@@ -98,7 +98,7 @@
 
 // handleTicketStatus reports the state of a ticket's call. Unlike the query of an
 // attempt whose connection failed, it doesn't mark the call as never to run.
-func (f *Front) handleTicketStatus(w http.ResponseWriter, r *http.Request) {
+func (f *Server) handleTicketStatus(w http.ResponseWriter, r *http.Request) {
 	t, err := calls.DecodeTicket(mux.Vars(r)["id"])
 	if err != nil {
 		f.reject(w, http.StatusBadRequest, err.Error(), 0)
@@ -111,7 +111,7 @@
 	writeJSON(w, http.StatusOK, f.ticketStatus(ctx, rq))
 }
 
-func (f *Front) ticketStatus(ctx context.Context, rq *request) TicketStatus {
+func (f *Server) ticketStatus(ctx context.Context, rq *request) TicketStatus {
 	m := f.pool.acquire(rq.ticket.Side)
 	if m == nil {
 		return statusOf(calls.StateGone)
--- a/io/request/gate/cache.go
+++ b/io/request/gate/cache.go
@@ -38,7 +38,7 @@
 
 // readCacheEvents reads the events that the engine has added since the last call. boot
 // is the engine's current boot; a new one starts numbering its events anew.
-func (g *Gate) readCacheEvents(ctx context.Context, boot string) {
+func (g *Proxy) readCacheEvents(ctx context.Context, boot string) {
 	g.mu.Lock()
 	if g.cache.boot != boot {
 		g.cache.boot, g.cache.lastSeq = boot, 0
@@ -69,9 +69,9 @@
 	}
 }
 
-// Events returns the cache events after a position, and the position of the last one.
+// CacheEvents returns the cache events after a position, and the position of the last one.
 // Older events that are no longer held are left out.
-func (g *Gate) Events(after uint64) ([]sessn.PrefixEvent, uint64) {
+func (g *Proxy) CacheEvents(after uint64) ([]sessn.PrefixEvent, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := &g.cache
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -26,26 +26,26 @@
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/link"
 	"hawthornferry/io/conn/sessn"
-	"hawthornferry/io/process/gauge"
+	"hawthornferry/io/process/trends"
 )
 
-// Gate forwards the calls of entries to one target. Set the exported fields before
+// Proxy forwards the calls of entries to one target. Set the exported fields before
 // calling Run or Handler; limits that are zero get their defaults.
-type Gate struct {
+type Proxy struct {
 	Self    *link.Self
 	Clock   clockwork.Clock
 	Log     trail.Log
 	Metrics tally.Scope
-	// Gauge records counts and table sizes to detect slow degradation. It may be nil.
-	Gauge  *gauge.Gauge
-	Source view.Source
+	// Recorder records counts and table sizes to detect slow degradation. It may be nil.
+	Recorder *trends.Recorder
+	Source   view.Source
 	// Target is the HTTP address of the target, and Service the service that it is a
 	// replica of.
 	Target  netip.AddrPort
 	Service string
 
-	Timing sessn.Timing
-	Limits calls.Limits
+	Timing       sessn.Timing
+	LedgerLimits calls.Limits
 	// MaxInFlight limits the calls at the target, including those in its queue.
 	MaxInFlight int
 	// MaxStoredBytes limits the total size of the once-calls' answers that are stored
@@ -82,11 +82,11 @@
 	DefaultMaxStoredBytes = 16 << 20
 )
 
-func (g *Gate) init() { g.setup.Do(g.initialize) }
+func (g *Proxy) init() { g.setup.Do(g.initialize) }
 
-func (g *Gate) initialize() {
-	if g.Limits == (calls.Limits{}) {
-		g.Limits = calls.DefaultLimits()
+func (g *Proxy) initialize() {
+	if g.LedgerLimits == (calls.Limits{}) {
+		g.LedgerLimits = calls.DefaultLimits()
 	}
 	if g.MaxInFlight == 0 {
 		g.MaxInFlight = DefaultMaxInFlight
@@ -95,7 +95,7 @@
 		g.MaxStoredBytes = DefaultMaxStoredBytes
 	}
 	g.bootTime = g.Clock.Now()
-	g.ledger = calls.NewLedger(g.Self.Boot, g.Limits)
+	g.ledger = calls.NewLedger(g.Self.Boot, g.LedgerLimits)
 	g.executions = map[calls.ID]*execution{}
 	g.changed = make(chan struct{})
 	g.pooledTransport = newPooledTransport()
@@ -105,13 +105,13 @@
 }
 
 // Handler returns the handler for entries' connections.
-func (g *Gate) Handler() link.Handler {
+func (g *Proxy) Handler() link.Handler {
 	g.init()
 	return g.server.Handler()
 }
 
 // Run keeps the state of the target up to date until ctx ends.
-func (g *Gate) Run(ctx context.Context) error {
+func (g *Proxy) Run(ctx context.Context) error {
 	g.init()
 	tick := g.Clock.NewTicker(stateInterval)
 	defer tick.Stop()
@@ -130,7 +130,7 @@
 
 // Drain refuses new calls and waits until the calls in flight have finished and the
 // entries have read their answers, or until ctx ends.
-func (g *Gate) Drain(ctx context.Context) error {
+func (g *Proxy) Drain(ctx context.Context) error {
 	g.init()
 	g.mu.Lock()
 	g.draining = true
@@ -149,7 +149,7 @@
 
 // signalIdleLocked lets Drain continue if no call is in flight and no answer is
 // pending.
-func (g *Gate) signalIdleLocked() {
+func (g *Proxy) signalIdleLocked() {
 	if g.inFlight == 0 && g.pendingAnswers == 0 && g.idle != nil {
 		close(g.idle)
 		g.idle = nil
@@ -157,78 +157,78 @@
 }
 
 // answerPending records that a call or query has arrived that needs an answer.
-func (g *Gate) answerPending() {
+func (g *Proxy) answerPending() {
 	g.mu.Lock()
 	g.pendingAnswers++
 	g.mu.Unlock()
 }
 
 // answerSent records that the answer to a call or query has been sent.
-func (g *Gate) answerSent() {
+func (g *Proxy) answerSent() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.pendingAnswers--
 	g.signalIdleLocked()
 }
 
-// Serving returns the digest of the manifest that the target last reported, or an empty
+// ServedVersion returns the digest of the manifest that the target last reported, or an empty
 // digest if it serves none.
-func (g *Gate) Serving() chunk.Digest {
+func (g *Proxy) ServedVersion() chunk.Digest {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.target.serving
 }
 
 // InFlight returns the number of calls at the target.
-func (g *Gate) InFlight() int {
+func (g *Proxy) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inFlight
 }
 
-// Beat returns the content of the next heartbeat.
-func (g *Gate) Beat() sessn.Heartbeat {
+// Heartbeat returns the content of the next heartbeat.
+func (g *Proxy) Heartbeat() sessn.Heartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return sessn.Heartbeat{
-		Reading: g.clockReadingLocked(),
-		Leaving: g.draining || g.target.leaving,
-		Ready:   g.target.ready,
-		Serving: g.target.serving,
-		Load:    g.target.load,
+		Reading:       g.clockReadingLocked(),
+		Leaving:       g.draining || g.target.leaving,
+		Ready:         g.target.ready,
+		ServedVersion: g.target.serving,
+		Load:          g.target.load,
 	}
 }
 
-// Changed returns a channel that is closed when entries should learn the result of Beat
+// HeartbeatChanged returns a channel that is closed when entries should learn the result of Beat
 // at once.
-func (g *Gate) Changed() <-chan struct{} {
+func (g *Proxy) HeartbeatChanged() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.changed
 }
 
-func (g *Gate) announce() {
+func (g *Proxy) announce() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.announceLocked()
 }
 
-func (g *Gate) announceLocked() {
+func (g *Proxy) announceLocked() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
 
-func (g *Gate) clockReadingLocked() fresh.ClockReading {
+func (g *Proxy) clockReadingLocked() fresh.ClockReading {
 	return fresh.ClockReading{Boot: g.Self.Boot, At: g.now()}
 }
 
 // now returns the time since the gate's boot. It is the clock that readings refer to.
-func (g *Gate) now() time.Duration { return g.Clock.Since(g.bootTime) }
+func (g *Proxy) now() time.Duration { return g.Clock.Since(g.bootTime) }
 
 // acquireSlotLocked counts a call as in flight. releaseSlot ends that.
-func (g *Gate) acquireSlotLocked() { g.inFlight++ }
+func (g *Proxy) acquireSlotLocked() { g.inFlight++ }
 
-func (g *Gate) releaseSlot() {
+func (g *Proxy) releaseSlot() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight--
@@ -237,7 +237,7 @@
 
 // refusalReasonLocked returns why the target may not get a new call now, or an empty
 // reason if it may. version, if set, is the only one that may answer.
-func (g *Gate) refusalReasonLocked(version chunk.Digest) calls.Reason {
+func (g *Proxy) refusalReasonLocked(version chunk.Digest) calls.Reason {
 	switch {
 	case g.draining || g.target.leaving:
 		return calls.ReasonLeaving
@@ -251,7 +251,7 @@
 	return ""
 }
 
-func (g *Gate) serviceKind() envdoc.ServiceKind {
+func (g *Proxy) serviceKind() envdoc.ServiceKind {
 	d := g.Source.Current().Document
 	if d == nil {
 		return ""
@@ -263,7 +263,7 @@
 	return s.Kind
 }
 
-func (g *Gate) vmLeaving() bool {
+func (g *Proxy) vmLeaving() bool {
 	for _, vm := range g.Source.Current().VMs {
 		if vm.Name == g.Self.VM.Name {
 			return vm.State == fleet.StateLeaving
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -37,13 +37,13 @@
 }
 
 // beginOnce decides about a once-call and sends its answer when there is one.
-func (g *Gate) beginOnce(s *sessn.Stream) {
+func (g *Proxy) beginOnce(s *sessn.Stream) {
 	m := s.Start
 	print := fingerprint(m, s.Body)
 	g.mu.Lock()
 	reason := g.refusalReasonLocked("")
 	unsure := m.Members != g.members
-	act := g.ledger.Start(g.now(), calls.StartRequest{Ticket: *m.Ticket, EchoedReading: m.Echo, Fingerprint: print, RefuseReason: reason, MembersDiffer: unsure})
+	act := g.ledger.Start(g.now(), calls.StartRequest{Ticket: *m.Ticket, EchoedReading: m.EchoedReading, Fingerprint: print, RefuseReason: reason, MembersDiffer: unsure})
 	r := g.executions[m.Ticket.CallID]
 	if act.Kind == calls.ActionRun {
 		r = &execution{id: m.Ticket.CallID, done: make(chan struct{})}
@@ -79,7 +79,7 @@
 // execute passes a call to the target. It isn't cancelled when the caller disconnects:
 // a payment that the target has begun can't be undone, and its answer is stored for a
 // repeat of the call.
-func (g *Gate) execute(r *execution, s *sessn.Stream) {
+func (g *Proxy) execute(r *execution, s *sessn.Stream) {
 	defer g.releaseSlot()
 	ctx, cancel := clockwork.WithTimeout(context.Background(), g.Clock, s.Start.Timeout)
 	defer cancel()
@@ -98,7 +98,7 @@
 	close(r.done)
 }
 
-func (g *Gate) sendToTarget(ctx context.Context, s *sessn.Stream) (*answer, error) {
+func (g *Proxy) sendToTarget(ctx context.Context, s *sessn.Stream) (*answer, error) {
 	req, err := g.newTargetRequest(ctx, s)
 	if err != nil {
 		return nil, errors.Mark(err, errNotReached)
@@ -112,7 +112,7 @@
 	if err != nil {
 		return nil, err
 	}
-	StripHops(res.Header)
+	RemoveHopByHopHeaders(res.Header)
 	return &answer{status: res.StatusCode, header: res.Header, body: body}, nil
 }
 
@@ -146,7 +146,7 @@
 // storeLocked stores a finished call for callers that repeat it. Over MaxStoredBytes,
 // the oldest calls are dropped first. Their records stay in the ledger, so that a call
 // whose answer was dropped still never runs again.
-func (g *Gate) storeLocked(r *execution) {
+func (g *Proxy) storeLocked(r *execution) {
 	if r.reason == calls.ReasonTooLarge {
 		r.answer = nil
 	}
@@ -159,7 +159,7 @@
 }
 
 // dropOldestLocked drops the oldest stored call.
-func (g *Gate) dropOldestLocked() {
+func (g *Proxy) dropOldestLocked() {
 	id := g.storedIDs[0]
 	g.storedIDs = g.storedIDs[1:]
 	if r := g.executions[id]; r != nil {
@@ -169,20 +169,20 @@
 }
 
 // expireLocked drops the stored calls and the ledger records that are older than
-// Limits.Keep.
-func (g *Gate) expireLocked() {
+// LedgerLimits.Keep.
+func (g *Proxy) expireLocked() {
 	now := g.now()
 	g.ledger.Expire(now)
 	for len(g.storedIDs) > 0 {
 		r := g.executions[g.storedIDs[0]]
-		if r != nil && now-r.settledAt <= g.Limits.RecordMaxAge {
+		if r != nil && now-r.settledAt <= g.LedgerLimits.RecordMaxAge {
 			return
 		}
 		g.dropOldestLocked()
 	}
 }
 
-func (g *Gate) updateMetricsLocked() {
+func (g *Proxy) updateMetricsLocked() {
 	g.Metrics.Gauge("gate.records").Update(float64(g.ledger.Len()))
 	g.Metrics.Gauge("gate.keptBytes").Update(float64(g.storedBytes))
 	g.Metrics.Gauge("gate.inFlight").Update(float64(g.inFlight))
@@ -201,7 +201,7 @@
 
 // answer waits for the end of r and sends its answer or a refusal. replayed is set if
 // the call had been received before. r is nil if the answer is no longer stored.
-func (g *Gate) answer(s *sessn.Stream, r *execution, replayed bool) {
+func (g *Proxy) answer(s *sessn.Stream, r *execution, replayed bool) {
 	if r == nil {
 		_ = s.Refuse(sessn.Refusal{Outcome: calls.OutcomeDone, Reason: calls.ReasonTooLarge})
 		return
@@ -215,12 +215,12 @@
 		_ = s.Refuse(sessn.Refusal{Outcome: outcomeOf(r.state), Reason: r.reason})
 		return
 	}
-	_ = s.Answer(sessn.Head{Status: r.answer.status, Header: r.answer.header, Again: replayed}, r.answer.body)
+	_ = s.Answer(sessn.Head{Status: r.answer.status, Header: r.answer.header, Stored: replayed}, r.answer.body)
 }
 
-// Ask answers a query. It sends the state, and then the answer if the call is running
+// HandleQuery answers a query. It sends the state, and then the answer if the call is running
 // or done.
-func (g *Gate) Ask(s *sessn.Stream, q *sessn.Query) {
+func (g *Proxy) HandleQuery(s *sessn.Stream, q *sessn.Query) {
 	g.answerPending()
 	defer g.answerSent()
 	g.mu.Lock()
@@ -238,7 +238,7 @@
 	g.answer(s, r, false)
 }
 
-func (g *Gate) logDecision(m *sessn.Start, a calls.Action) {
+func (g *Proxy) logDecision(m *sessn.Start, a calls.Action) {
 	g.countCall(string(a.Kind))
 	g.addMeasures(a)
 	g.Log.Record(trail.Decision{
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -22,8 +22,8 @@
 // maxRetryAfter limits the Retry-After of a target that is passed on to a caller.
 const maxRetryAfter = time.Minute
 
-// Begin handles one call.
-func (g *Gate) Begin(s *sessn.Stream) {
+// HandleCall handles one call.
+func (g *Proxy) HandleCall(s *sessn.Stream) {
 	g.answerPending()
 	defer g.answerSent()
 	if s.Start.Ticket != nil {
@@ -34,7 +34,7 @@
 }
 
 // beginRepeatable forwards a call that may be repeated, and streams its answer.
-func (g *Gate) beginRepeatable(s *sessn.Stream) {
+func (g *Proxy) beginRepeatable(s *sessn.Stream) {
 	if reason := g.admitRepeatable(s.Start); reason != "" {
 		g.countCall("refused")
 		_ = s.Refuse(sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})
@@ -51,10 +51,10 @@
 	g.countCall("passed")
 }
 
-func (g *Gate) admitRepeatable(m *sessn.Start) calls.Reason {
+func (g *Proxy) admitRepeatable(m *sessn.Start) calls.Reason {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	switch fresh.CheckFreshness(g.clockReadingLocked(), m.Echo, g.Limits.MaxReadingAge) {
+	switch fresh.CheckFreshness(g.clockReadingLocked(), m.EchoedReading, g.LedgerLimits.MaxReadingAge) {
 	case fresh.Stale:
 		return calls.ReasonStaleReading
 	case fresh.OtherBoot:
@@ -69,7 +69,7 @@
 
 // forward sends the call to the target and the answer to the entry. If the answer is
 // not complete, it returns the refusal that ends the call.
-func (g *Gate) forward(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
+func (g *Proxy) forward(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
 	req, err := g.newTargetRequest(ctx, s)
 	if err != nil {
 		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: calls.ReasonTargetUnreachable}
@@ -82,9 +82,9 @@
 	if reason := g.answerRefusalReason(s.Start, res); reason != "" {
 		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: reason, RetryAfter: retryAfterOf(res)}
 	}
-	StripHops(res.Header)
+	RemoveHopByHopHeaders(res.Header)
 	h := sessn.Head{Status: res.StatusCode, Header: res.Header}
-	if res.ContentLength >= 0 && res.ContentLength <= sessn.BlockSize {
+	if res.ContentLength >= 0 && res.ContentLength <= sessn.MaxBlockSize {
 		return forwardWhole(ctx, s, h, res)
 	}
 	if err := s.Head(h); err != nil {
@@ -119,7 +119,7 @@
 // empty reason if it may. An engine that is switching versions answers 503, and one
 // with a full queue 429. Neither has begun the call, so another target may run it. An
 // answer of another version than the requested one would mix two texts.
-func (g *Gate) answerRefusalReason(m *sessn.Start, res *http.Response) calls.Reason {
+func (g *Proxy) answerRefusalReason(m *sessn.Start, res *http.Response) calls.Reason {
 	if g.serviceKind() != envdoc.KindEngine {
 		return ""
 	}
@@ -157,4 +157,4 @@
 	return &sessn.Refusal{Outcome: calls.OutcomeUnknown, Reason: calls.ReasonTargetBroke}
 }
 
-func (g *Gate) countCall(name string) { g.Metrics.Counter("gateCalls." + name).Inc(1) }
+func (g *Proxy) countCall(name string) { g.Metrics.Counter("gateCalls." + name).Inc(1) }
--- a/io/request/gate/request.go
+++ b/io/request/gate/request.go
@@ -15,7 +15,7 @@
 const ManifestHeader = "X-Manifest"
 
 // newTargetRequest returns the HTTP request to send to the target.
-func (g *Gate) newTargetRequest(ctx context.Context, s *sessn.Stream) (*http.Request, error) {
+func (g *Proxy) newTargetRequest(ctx context.Context, s *sessn.Stream) (*http.Request, error) {
 	url := "http://" + g.Target.String() + s.Start.Path
 	req, err := http.NewRequestWithContext(ctx, s.Start.Method, url, bytes.NewReader(s.Body))
 	if err != nil {
@@ -25,7 +25,7 @@
 	if req.Header == nil {
 		req.Header = http.Header{}
 	}
-	StripHops(req.Header)
+	RemoveHopByHopHeaders(req.Header)
 	return req, nil
 }
 
@@ -35,9 +35,9 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripHops removes the hop-by-hop headers from h, including those that the Connection
+// RemoveHopByHopHeaders removes the hop-by-hop headers from h, including those that the Connection
 // header lists.
-func StripHops(h http.Header) {
+func RemoveHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
 			h.Del(textproto.TrimString(name))
--- a/io/request/gate/target.go
+++ b/io/request/gate/target.go
@@ -43,7 +43,7 @@
 
 // updateTarget reads the target's state. It informs the entries at once if something
 // has changed that affects their choice of targets.
-func (g *Gate) updateTarget(ctx context.Context) {
+func (g *Proxy) updateTarget(ctx context.Context) {
 	next := g.readTargetState(ctx)
 	members := calls.OwnerMembers(g.Source.Current(), g.Service, g.Self.VM.Zone)
 	g.mu.Lock()
@@ -61,7 +61,7 @@
 	}
 }
 
-func (g *Gate) readTargetState(ctx context.Context) targetState {
+func (g *Proxy) readTargetState(ctx context.Context) targetState {
 	leaving := g.vmLeaving()
 	switch g.serviceKind() {
 	case envdoc.KindPlain:
@@ -74,7 +74,7 @@
 	return targetState{leaving: leaving}
 }
 
-func (g *Gate) readEngineState(ctx context.Context) targetState {
+func (g *Proxy) readEngineState(ctx context.Context) targetState {
 	st, err := getJSON[engineState](ctx, g, "/v1/state")
 	if err != nil {
 		return g.stateAfterFailure()
@@ -91,7 +91,7 @@
 // stateAfterFailure returns the state to assume when the engine's state could not be
 // read. It keeps the last one for maxStateAge, as one late response of a busy engine is
 // no reason to stop sending it calls.
-func (g *Gate) stateAfterFailure() targetState {
+func (g *Proxy) stateAfterFailure() targetState {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.target
@@ -103,7 +103,7 @@
 }
 
 // getJSON sends a GET request to the target and decodes the JSON response.
-func getJSON[T any](ctx context.Context, g *Gate, path string) (T, error) {
+func getJSON[T any](ctx context.Context, g *Proxy, path string) (T, error) {
 	var out T
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
--- a/io/request/gate/transport.go
+++ b/io/request/gate/transport.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Limits for connections to the target.
+// LedgerLimits for connections to the target.
 const (
 	dialTimeout    = 2 * time.Second
 	maxIdleConns   = 64
--- a/io/version/shelf/engine.go
+++ b/io/version/adapt/engine.go
@@ -1,4 +1,4 @@
-package shelf
+package adapt
 
 import (
 	"context"
@@ -10,16 +10,16 @@
 // Report is the state that an engine reports. Serving is the version that it serves, 0
 // if it has no weights. Born is when it started, zero if unknown, and Orders counts the
 // load orders that it has accepted since then. Active and Queued count its requests;
-// Pace is how many times longer than declared its steps take.
+// Slowness is how many times longer than declared its steps take.
 type Report struct {
-	Model   string
-	Serving uint64
-	Loading bool
-	Born    time.Time
-	Orders  uint64
-	Active  int
-	Queued  int
-	Pace    float64
+	Model          string
+	ServedVersion  uint64
+	Loading        bool
+	StartedAt      time.Time
+	AcceptedOrders uint64
+	Active         int
+	Queued         int
+	Slowness       float64
 }
 
 // Engine is the control interface of one engine. The engine stages the chunks of a model
@@ -29,10 +29,10 @@
 // accepted before.
 type Engine interface {
 	Report(ctx context.Context) (Report, error)
-	Held(ctx context.Context, model string) ([]int, error)
+	HeldNumbers(ctx context.Context, model string) ([]int, error)
 	Put(ctx context.Context, model string, num int, b []byte) error
 	Get(ctx context.Context, model string, num int) ([]byte, error)
-	Begin(ctx context.Context, model string, version, orders uint64) error
+	OrderLoad(ctx context.Context, model string, version, orders uint64) error
 }
 
 // Origin serves the weights of every version. Manifest lists the chunks of a version,
@@ -40,5 +40,5 @@
 // of each part received.
 type Origin interface {
 	Manifest(ctx context.Context, model string, version uint64) (chunk.Manifest, error)
-	Piece(ctx context.Context, model string, version uint64, num int, size int64, progress func(n int)) ([]byte, error)
+	ReadChunk(ctx context.Context, model string, version uint64, num int, size int64, progress func(n int)) ([]byte, error)
 }
--- a/io/version/shelf/load.go
+++ b/io/version/adapt/load.go
@@ -1,4 +1,4 @@
-package shelf
+package adapt
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"hawthornferry/core/process/operr"
 	"hawthornferry/core/process/trail"
 	"hawthornferry/core/version/chunk"
-	"hawthornferry/io/process/awake"
+	"hawthornferry/io/process/uptime"
 )
 
 // Limits of a load.
@@ -36,14 +36,14 @@
 // are missing or corrupt, and orders the engine to load them under number. Since it was
 // staged a chunk may have become corrupt or been overwritten by that of another version;
 // an engine that loaded it would serve callers from mixed weights.
-func (s *Shelf) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
+func (s *Adapter) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
 	e := s.versionByDigest(digest)
 	if e == nil {
 		return operr.Errorf("order load", "engine", "manifest %s is not known", digest)
 	}
-	if s.Loading != nil {
-		s.Loading(true)
-		defer s.Loading(false)
+	if s.OnLoading != nil {
+		s.OnLoading(true)
+		defer s.OnLoading(false)
 	}
 	// A chunk of another version that is staged from here on would be loaded together
 	// with those of this one.
@@ -64,11 +64,11 @@
 
 // orderLoad orders the engine to load the staged chunks. If the engine does not answer
 // the order, orderLoad waits until it answers again, as awaitOrderSettled does.
-func (s *Shelf) orderLoad(ctx context.Context, e *Edition, number uint64) error {
+func (s *Adapter) orderLoad(ctx context.Context, e *KnownVersion, number uint64) error {
 	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	s.noOrderPending = false
-	err := s.Engine.Begin(orderCtx, e.Model, e.Version, number-1)
+	err := s.Engine.OrderLoad(orderCtx, e.Model, e.Version, number-1)
 	if err == nil {
 		s.noOrderPending = true
 		return nil
@@ -78,11 +78,11 @@
 
 // now is the time on a clock that also counts the time in which the machine was
 // suspended.
-func (s *Shelf) now() time.Duration {
-	if s.Awake == nil {
-		return awake.Now()
+func (s *Adapter) now() time.Duration {
+	if s.Uptime == nil {
+		return uptime.Now()
 	}
-	return s.Awake()
+	return s.Uptime()
 }
 
 // errReadBackTooSlow is returned when after each round some chunk was verified longer
@@ -93,7 +93,7 @@
 // verified first was verified. The process may be suspended, or the engine be slow,
 // between two chunks; a chunk that became corrupt meanwhile would be loaded. Chunks that
 // were verified too long ago are therefore verified again.
-func (s *Shelf) readBack(ctx context.Context, e *Edition, m chunk.Manifest) (time.Duration, error) {
+func (s *Adapter) readBack(ctx context.Context, e *KnownVersion, m chunk.Manifest) (time.Duration, error) {
 	verifiedAt := make([]time.Duration, len(m.Chunks))
 	for range maxReadBackRounds {
 		oldest, err := s.verifyOutdated(ctx, e, m, verifiedAt)
@@ -110,7 +110,7 @@
 // verifyOutdated verifies the chunks that have not been verified yet, or too long ago,
 // and returns the earliest time of verification of all chunks. verifiedAt holds the time
 // of each chunk, 0 if it has none.
-func (s *Shelf) verifyOutdated(ctx context.Context, e *Edition, m chunk.Manifest, verifiedAt []time.Duration) (time.Duration, error) {
+func (s *Adapter) verifyOutdated(ctx context.Context, e *KnownVersion, m chunk.Manifest, verifiedAt []time.Duration) (time.Duration, error) {
 	oldest := s.now()
 	for num, ref := range m.Chunks {
 		if verifiedAt[num] == 0 || s.now()-verifiedAt[num] > maxReadBackAge {
@@ -129,7 +129,7 @@
 // been verified for longer than corruptionGrace. This happens if the process is
 // suspended after the last check of the chunks' ages, when the order can no longer be
 // stopped, or if the engine does not answer the order.
-func (s *Shelf) logLateOrder(e *Edition, oldest time.Duration) {
+func (s *Adapter) logLateOrder(e *KnownVersion, oldest time.Duration) {
 	age := s.now() - oldest
 	if age <= corruptionGrace {
 		return
@@ -144,7 +144,7 @@
 // settleTimeout at most. If the engine does not answer by then, nothing is staged until
 // it does: the engine could still read the order, and load chunks that were staged since
 // for the next version.
-func (s *Shelf) awaitOrderSettled(ctx context.Context) error {
+func (s *Adapter) awaitOrderSettled(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
@@ -164,7 +164,7 @@
 // any answer of the engine shows: the connection of an unanswered order is closed by
 // then, and the engine handles what it has received on it before it answers a later
 // request.
-func (s *Shelf) confirmNoOrderPending(ctx context.Context) error {
+func (s *Adapter) confirmNoOrderPending(ctx context.Context) error {
 	if s.noOrderPending {
 		return nil
 	}
@@ -177,7 +177,7 @@
 
 // versionByDigest returns the version whose manifest has the digest d, nil if there is
 // none.
-func (s *Shelf) versionByDigest(d chunk.Digest) *Edition {
+func (s *Adapter) versionByDigest(d chunk.Digest) *KnownVersion {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.versions {
@@ -191,7 +191,7 @@
 // ensureStaged verifies one chunk at the engine, and stages it again if it is missing or
 // corrupt. It returns a time at which, or after which, the engine had the chunk
 // uncorrupted.
-func (s *Shelf) ensureStaged(ctx context.Context, e *Edition, num int, ref chunk.Ref) (time.Duration, error) {
+func (s *Adapter) ensureStaged(ctx context.Context, e *KnownVersion, num int, ref chunk.Ref) (time.Duration, error) {
 	verifiedAt := s.now()
 	staged, err := s.Engine.Get(ctx, e.Model, num)
 	if err == nil && chunk.DigestOf(staged) == ref.Digest {
--- a/io/version/shelf/load_test.go
+++ b/io/version/adapt/load_test.go
@@ -1,4 +1,4 @@
-package shelf
+package adapt
 
 import (
 	"bytes"
@@ -59,10 +59,10 @@
 	if e.silent {
 		return Report{}, errSilent
 	}
-	return Report{Model: model, Serving: e.version, Orders: e.orders, Born: time.UnixMilli(1)}, nil
+	return Report{Model: model, ServedVersion: e.version, AcceptedOrders: e.orders, StartedAt: time.UnixMilli(1)}, nil
 }
 
-func (e *fakeEngine) Held(context.Context, string) ([]int, error) {
+func (e *fakeEngine) HeldNumbers(context.Context, string) ([]int, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.heldFailures > 0 {
@@ -101,7 +101,7 @@
 	return bytes.Clone(b), nil
 }
 
-func (e *fakeEngine) Begin(_ context.Context, _ string, version, _ uint64) error {
+func (e *fakeEngine) OrderLoad(_ context.Context, _ string, version, _ uint64) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.silent {
@@ -133,20 +133,20 @@
 	return m
 }
 
-func newShelf(e *fakeEngine) *Shelf {
-	return &Shelf{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Engine: e}
+func newAdapter(e *fakeEngine) *Adapter {
+	return &Adapter{Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Engine: e}
 }
 
-func addVersion(t *testing.T, s *Shelf, version uint64) *Edition {
+func addVersion(t *testing.T, s *Adapter, version uint64) *KnownVersion {
 	t.Helper()
-	e, err := s.Add(manifest(version), model, version)
+	e, err := s.AddManifest(manifest(version), model, version)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return e
 }
 
-func putChunk(t *testing.T, s *Shelf, version uint64, num int) {
+func putChunk(t *testing.T, s *Adapter, version uint64, num int) {
 	t.Helper()
 	b := chunkBytes(version, num)
 	if err := s.Put(t.Context(), chunk.DigestOf(b), b); err != nil {
@@ -169,7 +169,7 @@
 // be staged until it has.
 func TestLoadDoesNotMixVersions(t *testing.T) {
 	e := &fakeEngine{staged: map[int][]byte{}}
-	s := newShelf(e)
+	s := newAdapter(e)
 	two := addVersion(t, s, 2)
 	for num := range numChunks {
 		putChunk(t, s, 2, num)
@@ -190,7 +190,7 @@
 // engine after they were staged. Load reads every chunk back and stages these again.
 func TestLoadRestagesCorruptChunks(t *testing.T) {
 	e := &fakeEngine{staged: map[int][]byte{}}
-	s := newShelf(e)
+	s := newAdapter(e)
 	two := addVersion(t, s, 2)
 	for num := range numChunks {
 		putChunk(t, s, 2, num)
@@ -207,7 +207,7 @@
 // the process has been restarted and does not have it in memory.
 func TestLoadRefusesCorruptChunkNotInMemory(t *testing.T) {
 	e := &fakeEngine{staged: map[int][]byte{}}
-	s := newShelf(e)
+	s := newAdapter(e)
 	two := addVersion(t, s, 2)
 	for num := range numChunks {
 		e.staged[num] = chunkBytes(2, num)
@@ -229,7 +229,7 @@
 	for num := range numChunks {
 		e.staged[num] = chunkBytes(1, num)
 	}
-	s := newShelf(e)
+	s := newAdapter(e)
 	addVersion(t, s, 1)
 	got, err := s.List(t.Context())
 	if err != nil {
@@ -245,7 +245,7 @@
 // the engine accepts it.
 func TestPutKeepsChunkWhileEngineIsDown(t *testing.T) {
 	e := &fakeEngine{staged: map[int][]byte{}, putErr: errors.New("connection refused")}
-	s := newShelf(e)
+	s := newAdapter(e)
 	two := addVersion(t, s, 2)
 	for num := range numChunks {
 		putChunk(t, s, 2, num)
@@ -277,9 +277,9 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			e := &fakeEngine{staged: map[int][]byte{}}
-			s := newShelf(e)
+			s := newAdapter(e)
 			now := time.Hour
-			s.Awake = func() time.Duration { return now }
+			s.Uptime = func() time.Duration { return now }
 			two := addVersion(t, s, 2)
 			for num := range numChunks {
 				putChunk(t, s, 2, num)
@@ -311,7 +311,7 @@
 	for _, restarted := range []bool{false, true} {
 		t.Run(fmt.Sprintf("restarted %t", restarted), func(t *testing.T) {
 			e := &fakeEngine{staged: map[int][]byte{}}
-			s := newShelf(e)
+			s := newAdapter(e)
 			two := addVersion(t, s, 2)
 			for num := range numChunks {
 				putChunk(t, s, 2, num)
@@ -323,7 +323,7 @@
 				t.Fatal("Load succeeded although the engine did not answer the order")
 			}
 			if restarted {
-				s = newShelf(e)
+				s = newAdapter(e)
 				addVersion(t, s, 2)
 			}
 			three := addVersion(t, s, 3)
@@ -353,7 +353,7 @@
 	for num := range numChunks {
 		e.staged[num] = chunkBytes(1, num)
 	}
-	s := newShelf(e)
+	s := newAdapter(e)
 	one := addVersion(t, s, 1)
 	for _, ref := range one.Manifest.Chunks {
 		if _, err := s.Get(t.Context(), ref.Digest); err != nil {
--- a/io/version/shelf/manifest.go
+++ b/io/version/adapt/manifest.go
@@ -1,4 +1,4 @@
-package shelf
+package adapt
 
 import (
 	"context"
@@ -40,19 +40,19 @@
 	maxOriginReads = 4
 )
 
-// Library reads the manifests of the wanted versions, from the origin or from peers as
+// ManifestReader reads the manifests of the wanted versions, from the origin or from peers as
 // the plan of core/version/tree says, and adds them to Shelf. It also serves them to
 // peers. Set the exported fields before Run.
-type Library struct {
-	Self  *link.Self
-	Clock clockwork.Clock
-	Log   trail.Log
-	Shelf *Shelf
+type ManifestReader struct {
+	Self    *link.Self
+	Clock   clockwork.Clock
+	Log     trail.Log
+	Adapter *Adapter
 	// Peers lists the sides of the other targets.
 	Peers func() []fleet.VM
-	// Read is called with each edition whose manifest has been read. It must be safe for
+	// OnManifest is called with each edition whose manifest has been read. It must be safe for
 	// concurrent use.
-	Read func(e *Edition)
+	OnManifest func(e *KnownVersion)
 
 	mu             sync.Mutex
 	wantedModel    string
@@ -64,8 +64,8 @@
 	manifestAdded chan struct{}
 }
 
-// Want sets the wanted versions of a model.
-func (l *Library) Want(model string, versions []uint64) {
+// SetWanted sets the wanted versions of a model.
+func (l *ManifestReader) SetWanted(model string, versions []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.wantedModel == model && slices.Equal(l.wantedVersions, versions) {
@@ -79,7 +79,7 @@
 }
 
 // wanted returns the wanted versions and a channel that is closed when they change.
-func (l *Library) wanted() (string, []uint64, <-chan struct{}) {
+func (l *ManifestReader) wanted() (string, []uint64, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.wantedChanged == nil {
@@ -89,7 +89,7 @@
 }
 
 // Run reads the manifests of the wanted versions until ctx ends.
-func (l *Library) Run(ctx context.Context) error {
+func (l *ManifestReader) Run(ctx context.Context) error {
 	tries := map[uint64]tree.Attempts{}
 	for {
 		model, versions, changed := l.wanted()
@@ -111,7 +111,7 @@
 // readMissing tries once to read the manifest of each wanted version that is not known
 // or is doubtful, all at the same time. It returns the highest number of failed attempts
 // of any version, 0 if none failed.
-func (l *Library) readMissing(ctx context.Context, model string, versions []uint64, tries map[uint64]tree.Attempts) int {
+func (l *ManifestReader) readMissing(ctx context.Context, model string, versions []uint64, tries map[uint64]tree.Attempts) int {
 	after := make([]tree.Attempts, len(versions))
 	var wg sync.WaitGroup
 	for i, v := range versions {
@@ -131,16 +131,16 @@
 }
 
 // isKnown reports whether the manifest of a version is known and not doubtful.
-func (l *Library) isKnown(model string, version uint64) bool {
-	_, ok := l.Shelf.Find(model, version)
-	return ok && !l.Shelf.Doubtful()
+func (l *ManifestReader) isKnown(model string, version uint64) bool {
+	_, ok := l.Adapter.FindVersion(model, version)
+	return ok && !l.Adapter.ManifestsDoubtful()
 }
 
 // tryRead tries once to read a manifest. It returns the failed attempts including this
 // one, or none if it succeeded.
-func (l *Library) tryRead(ctx context.Context, model string, version uint64, tries tree.Attempts) tree.Attempts {
+func (l *ManifestReader) tryRead(ctx context.Context, model string, version uint64, tries tree.Attempts) tree.Attempts {
 	plan := tree.NewPlan(versionKey(model, version), l.Self.VM, l.Peers(), tries)
-	if l.Shelf.Doubtful() {
+	if l.Adapter.ManifestsDoubtful() {
 		plan.OriginFirst, plan.AskOrigin = true, true
 	}
 	m, from, parentSilent, err := l.readAsPlanned(ctx, model, version, plan)
@@ -160,8 +160,8 @@
 
 // addManifest adds a manifest to Shelf, wakes the peers' requests that wait for it and
 // calls Read.
-func (l *Library) addManifest(m chunk.Manifest, model string, version uint64, from string) error {
-	e, err := l.Shelf.Add(m, model, version)
+func (l *ManifestReader) addManifest(m chunk.Manifest, model string, version uint64, from string) error {
+	e, err := l.Adapter.AddManifest(m, model, version)
 	if err != nil {
 		return err
 	}
@@ -172,7 +172,7 @@
 		l.manifestAdded = nil
 	}
 	l.mu.Unlock()
-	l.Read(e)
+	l.OnManifest(e)
 	return nil
 }
 
@@ -182,7 +182,7 @@
 // readAsPlanned asks the origin and the peers that the plan names, in its order, for a
 // manifest. from names the one that answered, and the origin if none did. parentSilent
 // reports that the side above this one in the tree did not answer.
-func (l *Library) readAsPlanned(ctx context.Context, model string, version uint64, plan tree.Plan) (m chunk.Manifest, from string, parentSilent bool, err error) {
+func (l *ManifestReader) readAsPlanned(ctx context.Context, model string, version uint64, plan tree.Plan) (m chunk.Manifest, from string, parentSilent bool, err error) {
 	err = errPeerLacksManifest
 	if plan.OriginFirst {
 		if m, err = l.readOrigin(ctx, model, version); err == nil {
@@ -209,10 +209,10 @@
 // readOrigin reads a manifest from the origin until two answers agree. A corrupt
 // manifest would be passed on to a part of the region, and the sides with it could
 // exchange chunks with no others.
-func (l *Library) readOrigin(ctx context.Context, model string, version uint64) (chunk.Manifest, error) {
+func (l *ManifestReader) readOrigin(ctx context.Context, model string, version uint64) (chunk.Manifest, error) {
 	seen := map[chunk.Digest]bool{}
 	for range maxOriginReads {
-		m, err := l.Shelf.Origin.Manifest(ctx, model, version)
+		m, err := l.Adapter.Origin.Manifest(ctx, model, version)
 		if err != nil {
 			return chunk.Manifest{}, err
 		}
@@ -236,7 +236,7 @@
 
 // logRead writes the outcome of an attempt to the decision log. from is where the
 // manifest was read; after a failure it is always the origin.
-func (l *Library) logRead(action, model string, version uint64, from, reason string) {
+func (l *ManifestReader) logRead(action, model string, version uint64, from, reason string) {
 	l.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: action, Subject: versionKey(model, version),
 		Choice: from, Reason: reason, Revision: l.Self.Revision.Load(),
@@ -292,7 +292,7 @@
 }
 
 // Handler answers the manifest requests of peers.
-func (l *Library) Handler() link.Handler {
+func (l *ManifestReader) Handler() link.Handler {
 	return link.Handler{Kinds: messageKinds(), Serve: func(ctx context.Context, c *link.Conn) {
 		if c.SetReadDeadline(time.Now().Add(answerTimeout)) != nil {
 			return
@@ -317,11 +317,11 @@
 
 // awaitVersion returns the edition that a peer asks for, as soon as its manifest is
 // known. It returns false when the peer's wait is over.
-func (l *Library) awaitVersion(ctx context.Context, request *manifestRequest) (*Edition, bool) {
+func (l *ManifestReader) awaitVersion(ctx context.Context, request *manifestRequest) (*KnownVersion, bool) {
 	timeout := l.Clock.After(request.Wait)
 	for {
 		added := l.nextManifest()
-		if e, found := l.Shelf.Find(request.Model, request.Version); found || request.Wait == 0 {
+		if e, found := l.Adapter.FindVersion(request.Model, request.Version); found || request.Wait == 0 {
 			return e, found
 		}
 		select {
@@ -335,7 +335,7 @@
 }
 
 // nextManifest returns a channel that is closed when the next manifest is added.
-func (l *Library) nextManifest() <-chan struct{} {
+func (l *ManifestReader) nextManifest() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.manifestAdded == nil {
@@ -349,10 +349,10 @@
 var errPeerLacksManifest = errors.New("the peer has not read the manifest")
 
 // readPeer asks a peer for a manifest; the peer may wait for it for as long as wait.
-func (l *Library) readPeer(ctx context.Context, addr netip.AddrPort, model string, version uint64, wait time.Duration) (chunk.Manifest, error) {
+func (l *ManifestReader) readPeer(ctx context.Context, addr netip.AddrPort, model string, version uint64, wait time.Duration) (chunk.Manifest, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	m, err := link.Ask(ctx, l.Self, addr, link.PurposeEditions, messageKinds(), &manifestRequest{Model: model, Version: version, Wait: wait})
+	m, err := link.RoundTrip(ctx, l.Self, addr, link.PurposeManifests, messageKinds(), &manifestRequest{Model: model, Version: version, Wait: wait})
 	if err != nil {
 		return chunk.Manifest{}, err
 	}
--- a/io/version/shelf/staging.go
+++ b/io/version/adapt/staging.go
@@ -1,4 +1,4 @@
-package shelf
+package adapt
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 // List returns the chunks of the latest version for whose numbers the engine has a
 // chunk, except where that chunk is known to be a different one. The others may be
 // different too: Get verifies them.
-func (s *Shelf) List(ctx context.Context) ([]chunk.Digest, error) {
+func (s *Adapter) List(ctx context.Context) ([]chunk.Digest, error) {
 	s.mu.Lock()
 	if len(s.versions) == 0 {
 		s.mu.Unlock()
@@ -36,7 +36,7 @@
 // Put keeps a verified chunk in memory, and stages it at the engine if it belongs to the
 // newest version. If the engine does not accept it now, Load stages it before it gives
 // the order, and the chunk need not be fetched again.
-func (s *Shelf) Put(ctx context.Context, d chunk.Digest, b []byte) error {
+func (s *Adapter) Put(ctx context.Context, d chunk.Digest, b []byte) error {
 	positions := s.positionsOf(d)
 	if len(positions) == 0 {
 		return operr.Wrap("stage chunk", "engine", errUnknownChunk)
@@ -63,7 +63,7 @@
 
 // stageChunk stages a chunk at the engine unless an order may still be on its way there:
 // the engine would load the chunk together with those of another version.
-func (s *Shelf) stageChunk(ctx context.Context, p position, b []byte) error {
+func (s *Adapter) stageChunk(ctx context.Context, p position, b []byte) error {
 	if err := s.confirmNoOrderPending(ctx); err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 }
 
 // recordSeen records that the engine has the chunk d at a number.
-func (s *Shelf) recordSeen(num int, d chunk.Digest) {
+func (s *Adapter) recordSeen(num int, d chunk.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.lastSeen == nil {
@@ -86,7 +86,7 @@
 
 // mayHold reports whether the engine may have the chunk d at a number: it does unless
 // this process last saw a different chunk there.
-func (s *Shelf) mayHold(num int, d chunk.Digest) bool {
+func (s *Adapter) mayHold(num int, d chunk.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen, known := s.lastSeen[num]
@@ -94,7 +94,7 @@
 }
 
 // inNewestVersion reports whether a position belongs to the newest known version.
-func (s *Shelf) inNewestVersion(p position) bool {
+func (s *Adapter) inNewestVersion(p position) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.versions[len(s.versions)-1].Version == p.version
@@ -103,11 +103,11 @@
 // heldNumbers lists the numbers for which the engine has a chunk. It waits for an engine
 // that has not started yet: if that were taken to have no chunks, every side of a fleet
 // that starts would fetch weights that its engine already has.
-func (s *Shelf) heldNumbers(ctx context.Context, model string) ([]int, error) {
+func (s *Adapter) heldNumbers(ctx context.Context, model string) ([]int, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineStartTimeout)
 	defer cancel()
 	for {
-		nums, err := s.Engine.Held(ctx, model)
+		nums, err := s.Engine.HeldNumbers(ctx, model)
 		if err == nil || ctx.Err() != nil {
 			return nums, err
 		}
@@ -120,7 +120,7 @@
 }
 
 // cacheChunk keeps a verified chunk in memory.
-func (s *Shelf) cacheChunk(d chunk.Digest, b []byte) {
+func (s *Adapter) cacheChunk(d chunk.Digest, b []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.chunks == nil {
@@ -130,7 +130,7 @@
 }
 
 // cachedChunk returns a chunk that is kept in memory.
-func (s *Shelf) cachedChunk(d chunk.Digest) ([]byte, bool) {
+func (s *Adapter) cachedChunk(d chunk.Digest) ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.chunks[d]
@@ -139,7 +139,7 @@
 
 // Get returns a chunk from memory or from the engine. A chunk from the engine is
 // verified, and then kept in memory.
-func (s *Shelf) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
+func (s *Adapter) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
 	if b, ok := s.cachedChunk(d); ok {
 		return b, nil
 	}
@@ -160,7 +160,7 @@
 }
 
 // Delete drops a chunk from memory. At the engine the next version overwrites it.
-func (s *Shelf) Delete(_ context.Context, d chunk.Digest) error {
+func (s *Adapter) Delete(_ context.Context, d chunk.Digest) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.chunks, d)
--- a/io/version/shelf/versions.go
+++ b/io/version/adapt/versions.go
@@ -7,7 +7,7 @@
 //
 // The Shelf keeps the verified chunks of the version being distributed in memory, since
 // a staged chunk may become corrupt at the engine.
-package shelf
+package adapt
 
 import (
 	"cmp"
@@ -40,9 +40,9 @@
 	maxCorruptChunks = 12
 )
 
-// Edition is one version of a model whose manifest is known. Digest is that of the
+// KnownVersion is one version of a model whose manifest is known. Digest is that of the
 // encoded manifest.
-type Edition struct {
+type KnownVersion struct {
 	Model    string
 	Version  uint64
 	Digest   chunk.Digest
@@ -50,20 +50,20 @@
 	encoded  []byte
 }
 
-// Shelf adapts one engine and one origin to chunks that are identified by digest, for
+// Adapter adapts one engine and one origin to chunks that are identified by digest, for
 // the versions whose manifests have been added. Set the exported fields before the first
 // call.
-type Shelf struct {
+type Adapter struct {
 	Clock  clockwork.Clock
 	Log    trail.Log
 	Engine Engine
 	Origin Origin
-	// Awake is a clock that also counts the time in which the machine was suspended; a
+	// Uptime is a clock that also counts the time in which the machine was suspended; a
 	// chunk may become corrupt in that time. Nil stands for awake.Now.
-	Awake func() time.Duration
-	// Loading, if set, is called with true before an order is given and with false
+	Uptime func() time.Duration
+	// OnLoading, if set, is called with true before an order is given and with false
 	// afterwards.
-	Loading func(bool)
+	OnLoading func(bool)
 
 	// stagingMu is held while the staged chunks must not change: an engine that is
 	// ordered to load takes the chunks that are staged when it accepts the order.
@@ -75,7 +75,7 @@
 
 	mu sync.Mutex
 	// versions is sorted by version.
-	versions []*Edition
+	versions []*KnownVersion
 	// chunks are the verified chunks kept in memory.
 	chunks map[chunk.Digest][]byte
 	// lastSeen is the chunk that this process last staged or verified at each number of
@@ -90,14 +90,14 @@
 // the one announced meanwhile.
 const maxVersions = 4
 
-// Add adds the manifest of a version, or replaces it, and returns its edition. If there
+// AddManifest adds the manifest of a version, or replaces it, and returns its edition. If there
 // are too many versions the lowest is dropped.
-func (s *Shelf) Add(m chunk.Manifest, model string, version uint64) (*Edition, error) {
+func (s *Adapter) AddManifest(m chunk.Manifest, model string, version uint64) (*KnownVersion, error) {
 	raw, err := m.Encode()
 	if err != nil {
 		return nil, err
 	}
-	e := &Edition{Model: model, Version: version, Digest: chunk.DigestOf(raw), Manifest: m, encoded: raw}
+	e := &KnownVersion{Model: model, Version: version, Digest: chunk.DigestOf(raw), Manifest: m, encoded: raw}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.corruptChunks = 0
@@ -108,15 +108,15 @@
 		}
 	}
 	s.versions = append(kept, e)
-	slices.SortFunc(s.versions, func(a, b *Edition) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(s.versions, func(a, b *KnownVersion) int { return cmp.Compare(a.Version, b.Version) })
 	if len(s.versions) > maxVersions {
 		s.versions = s.versions[1:]
 	}
 	return e, nil
 }
 
-// Find returns the edition of a version, if its manifest has been added.
-func (s *Shelf) Find(model string, version uint64) (*Edition, bool) {
+// FindVersion returns the edition of a version, if its manifest has been added.
+func (s *Adapter) FindVersion(model string, version uint64) (*KnownVersion, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.versions {
@@ -127,9 +127,9 @@
 	return nil, false
 }
 
-// Doubtful reports whether so many chunks from the origin did not match the manifests
+// ManifestsDoubtful reports whether so many chunks from the origin did not match the manifests
 // that these may be corrupt and must be read again.
-func (s *Shelf) Doubtful() bool {
+func (s *Adapter) ManifestsDoubtful() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.corruptChunks >= maxCorruptChunks
@@ -146,7 +146,7 @@
 
 // positionsOf returns the positions of a chunk in the latest version that contains it. A
 // version may have the same bytes at several numbers.
-func (s *Shelf) positionsOf(d chunk.Digest) []position {
+func (s *Adapter) positionsOf(d chunk.Digest) []position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := len(s.versions) - 1; i >= 0; i-- {
@@ -168,7 +168,7 @@
 var errUnknownChunk = errors.New("no known version has the chunk")
 
 // Manifest returns the added manifest with digest d and its encoded form.
-func (s *Shelf) Manifest(_ context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
+func (s *Adapter) Manifest(_ context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.versions {
@@ -180,7 +180,7 @@
 }
 
 // Chunk reads a chunk from the origin and verifies its digest.
-func (s *Shelf) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
+func (s *Adapter) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
 	positions := s.positionsOf(ref.Digest)
 	if len(positions) == 0 {
 		return nil, operr.Wrap("read chunk", "origin", errUnknownChunk)
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
 	p := positions[0]
-	b, err := s.Origin.Piece(ctx, p.model, p.version, p.num, ref.Size, progress)
+	b, err := s.Origin.ReadChunk(ctx, p.model, p.version, p.num, ref.Size, progress)
 	if err != nil {
 		return nil, operr.Wrap("read chunk", "origin", err)
 	}
--- a/io/version/order/controller.go
+++ b/io/version/order/controller.go
@@ -29,7 +29,7 @@
 
 // Target is the control interface of one engine. Engine and shelf.Shelf implement
 // it.
-type Target interface {
+type EngineControl interface {
 	// State returns what the engine serves and loads.
 	State(ctx context.Context) (roll.Target, error)
 	// Load orders the engine to load the version with manifest m, whose digest is
@@ -38,19 +38,19 @@
 	Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error
 }
 
-// Orderer has one target load the version that the configuration document names. Set the
+// Controller has one target load the version that the configuration document names. Set the
 // exported fields before Run.
-type Orderer struct {
+type Controller struct {
 	Self  *link.Self
 	Clock clockwork.Clock
-	// Awake is a clock that also counts the time in which the machine was suspended.
-	Awake  func() time.Duration
+	// Uptime is a clock that also counts the time in which the machine was suspended.
+	Uptime func() time.Duration
 	Log    trail.Log
 	Source view.Source
-	Engine Target
-	// Verified returns the manifest with the given digest if all of its chunks are
+	Engine EngineControl
+	// VerifiedManifest returns the manifest with the given digest if all of its chunks are
 	// staged and verified.
-	Verified func(chunk.Digest) (chunk.Manifest, bool)
+	VerifiedManifest func(chunk.Digest) (chunk.Manifest, bool)
 	// Draining reports whether this process is shutting down.
 	Draining func() bool
 	// Deadline returns the time by which the target must begin to load; nil for no such
@@ -73,12 +73,12 @@
 	loggedServing  chunk.Digest
 }
 
-func (o *Orderer) init() {
+func (o *Controller) init() {
 	o.initOnce.Do(func() { o.targetChanged = make(chan struct{}, 1) })
 }
 
-// Notice has Run take a step at once, since the target may have changed by itself.
-func (o *Orderer) Notice() {
+// Recheck has Run take a step at once, since the target may have changed by itself.
+func (o *Controller) Recheck() {
 	o.init()
 	select {
 	case o.targetChanged <- struct{}{}:
@@ -88,7 +88,7 @@
 
 // Run takes a step at intervals and at each Notice until ctx ends. While the target
 // serves the wanted version it also does so at each change of the view.
-func (o *Orderer) Run(ctx context.Context) error {
+func (o *Controller) Run(ctx context.Context) error {
 	o.init()
 	for {
 		changed := o.Source.Changed()
@@ -107,14 +107,14 @@
 }
 
 // idle reports whether the target served the wanted version at the last step.
-func (o *Orderer) idle() bool {
+func (o *Controller) idle() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.lastReason == roll.ReasonAlreadyServed
 }
 
 // stepDelay is how long Run waits for the next step.
-func (o *Orderer) stepDelay() time.Duration {
+func (o *Controller) stepDelay() time.Duration {
 	if o.idle() {
 		return idleInterval
 	}
@@ -124,14 +124,14 @@
 }
 
 // Target returns what the engine last reported, and whether it answered the last time.
-func (o *Orderer) Target() (roll.Target, bool) {
+func (o *Controller) LastState() (roll.Target, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.facts.Target, o.facts.TargetKnown
 }
 
 // step reads the facts, has the machine decide on them and carries out the decision.
-func (o *Orderer) step(ctx context.Context) {
+func (o *Controller) step(ctx context.Context) {
 	f, ok := o.readFacts(ctx)
 	if !ok {
 		return
@@ -153,7 +153,7 @@
 
 // readFacts reads everything that a decision depends on. It returns false if there is no
 // document yet or it does not contain the service of this VM.
-func (o *Orderer) readFacts(ctx context.Context) (roll.Facts, bool) {
+func (o *Controller) readFacts(ctx context.Context) (roll.Facts, bool) {
 	want, ok := roll.WantOf(o.Source.Current(), o.Self.VM)
 	if !ok {
 		return roll.Facts{}, false
@@ -165,20 +165,20 @@
 	if o.Deadline != nil {
 		f.Deadline = o.Deadline()
 	}
-	_, f.WeightsVerified = o.Verified(want.Manifest)
+	_, f.WeightsVerified = o.VerifiedManifest(want.Manifest)
 	t, err := o.Engine.State(ctx)
 	if err == nil {
 		f.Target = t
 		f.TargetKnown = true
 	}
-	f.ReadAt = o.Awake()
+	f.ReadAt = o.Uptime()
 	return f, true
 }
 
 // askPeers asks the other replicas of the zone for their status and has the machine
 // decide on the replies. The facts are read again after the replies, since the process
 // may have been suspended meanwhile.
-func (o *Orderer) askPeers(ctx context.Context, f roll.Facts) (roll.Action, roll.Facts) {
+func (o *Controller) askPeers(ctx context.Context, f roll.Facts) (roll.Action, roll.Facts) {
 	askCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	answers := o.requestStatuses(askCtx, f.Want.Service.Name, f.Want.Peers)
@@ -194,8 +194,8 @@
 }
 
 // orderLoad orders the engine to load, unless the weights are no longer verified.
-func (o *Orderer) orderLoad(ctx context.Context, f roll.Facts, a roll.Action) {
-	m, ok := o.Verified(a.Manifest)
+func (o *Controller) orderLoad(ctx context.Context, f roll.Facts, a roll.Action) {
+	m, ok := o.VerifiedManifest(a.Manifest)
 	if !ok {
 		o.loadFailed(f, "weights are no longer verified")
 		return
@@ -206,7 +206,7 @@
 }
 
 // loadFailed tells the machine that an order failed, and logs it.
-func (o *Orderer) loadFailed(f roll.Facts, reason string) {
+func (o *Controller) loadFailed(f roll.Facts, reason string) {
 	o.mu.Lock()
 	o.machine.LoadFailed(o.Clock.Now(), f)
 	o.mu.Unlock()
@@ -221,7 +221,7 @@
 }
 
 // replicaStatus returns this replica's status, for the other replicas.
-func (o *Orderer) replicaStatus() roll.Status {
+func (o *Controller) replicaStatus() roll.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := o.machine.Status(o.Clock.Now(), o.facts)
@@ -231,7 +231,7 @@
 
 // logFacts logs when the wanted weights become verified and when the target serves
 // another version. The audit of the decision log checks the orders against both.
-func (o *Orderer) logFacts(f roll.Facts) {
+func (o *Controller) logFacts(f roll.Facts) {
 	if f.WeightsVerified && o.loggedVerified != f.Want.Manifest {
 		o.logFact("verified", f.Want.Manifest, f)
 	}
@@ -246,7 +246,7 @@
 }
 
 // logFact writes one such record to the decision log.
-func (o *Orderer) logFact(action string, d chunk.Digest, f roll.Facts) {
+func (o *Controller) logFact(action string, d chunk.Digest, f roll.Facts) {
 	o.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   action,
@@ -259,7 +259,7 @@
 
 // logAction logs an action, unless it is none for the same reason as the last time: a
 // side that waits decides that five times a second.
-func (o *Orderer) logAction(f roll.Facts, a roll.Action) {
+func (o *Controller) logAction(f roll.Facts, a roll.Action) {
 	o.mu.Lock()
 	same := a.Kind == roll.ActionNone && a.Reason == o.lastReason
 	o.lastReason = a.Reason
--- a/io/version/order/controller_test.go
+++ b/io/version/order/controller_test.go
@@ -20,7 +20,7 @@
 	"hawthornferry/core/process/view"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/link"
-	"hawthornferry/io/process/awake"
+	"hawthornferry/io/process/uptime"
 )
 
 // servingCounter counts the engines of a zone that serve. lowest is the lowest count so
@@ -127,25 +127,25 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	var orderers []*Orderer
+	var controllers []*Controller
 	for i, vm := range v.VMs {
 		e := &fakeEngine{servingCounter: z, engineState: engineState{Boot: "boot", Manifest: chunk.DigestOf([]byte("old")), LastOrder: 7}}
 		srv := httptest.NewServer(e)
 		t.Cleanup(srv.Close)
 		self := &link.Self{VM: vm, Boot: vm.Name}
 		self.Revision.Store(2)
-		o := &Orderer{
-			Self: self, Clock: clockwork.NewRealClock(), Awake: awake.Now, Log: trail.Discard{}, Source: fixedView{v},
-			Engine:   &Engine{Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Client: srv.Client()},
-			Verified: func(chunk.Digest) (chunk.Manifest, bool) { return chunk.Manifest{}, true },
-			Draining: func() bool { return false },
+		o := &Controller{
+			Self: self, Clock: clockwork.NewRealClock(), Uptime: uptime.Now, Log: trail.Discard{}, Source: fixedView{v},
+			Engine:           &EngineClient{Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Client: srv.Client()},
+			VerifiedManifest: func(chunk.Digest) (chunk.Manifest, bool) { return chunk.Manifest{}, true },
+			Draining:         func() bool { return false },
 		}
-		orderers = append(orderers, o)
+		controllers = append(controllers, o)
 		ln := &link.Listener{Self: self, Net: listeners[i], Handlers: map[link.Purpose]link.Handler{link.PurposeOrders: o.Handler()}}
 		wg.Go(func() { _ = ln.Run(ctx) })
 		wg.Go(func() { _ = o.Run(ctx) })
 	}
-	for _, o := range orderers {
+	for _, o := range controllers {
 		waitServing(t, o, wanted)
 	}
 	cancel()
@@ -157,10 +157,10 @@
 
 // waitServing returns once o's target serves d. If that never happens the test's own
 // timeout ends it.
-func waitServing(t *testing.T, o *Orderer, d chunk.Digest) {
+func waitServing(t *testing.T, o *Controller, d chunk.Digest) {
 	t.Helper()
 	for t.Context().Err() == nil {
-		if target, ok := o.Target(); ok && target.Serving == d {
+		if target, ok := o.LastState(); ok && target.Serving == d {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
--- a/io/version/order/engine.go
+++ b/io/version/order/engine.go
@@ -30,8 +30,8 @@
 // errStaleOrder is returned when an engine refuses an order because of its number.
 var errStaleOrder = errors.New("engine has already accepted an order with this number or a higher one")
 
-// Engine is a client of the control interface of one engine.
-type Engine struct {
+// EngineClient is a client of the control interface of one engine.
+type EngineClient struct {
 	Address netip.AddrPort
 	Client  *http.Client
 }
@@ -56,7 +56,7 @@
 const actionLoad = "load"
 
 // State returns what the engine serves and loads.
-func (e *Engine) State(ctx context.Context) (roll.Target, error) {
+func (e *EngineClient) State(ctx context.Context) (roll.Target, error) {
 	body, err := e.call(ctx, http.MethodGet, "/v1/state", nil, http.StatusOK)
 	if err != nil {
 		return roll.Target{}, operr.Wrap("read engine state", e.Address.String(), err)
@@ -71,7 +71,7 @@
 // Load orders the engine to load the version with manifest m, whose digest is digest,
 // under number. It returns once the engine has accepted the order; the load itself goes
 // on.
-func (e *Engine) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
+func (e *EngineClient) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
 	b, err := json.Marshal(loadOrder{Number: number, Action: actionLoad, Manifest: digest, Body: m})
 	if err != nil {
 		return operr.Wrap("encode order", e.Address.String(), err)
@@ -82,7 +82,7 @@
 
 // call sends one request to the engine and returns the body of a response with status
 // want.
-func (e *Engine) call(ctx context.Context, method, path string, body []byte, want int) ([]byte, error) {
+func (e *EngineClient) call(ctx context.Context, method, path string, body []byte, want int) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+e.Address.String()+path, bytes.NewReader(body))
--- a/io/version/order/peers.go
+++ b/io/version/order/peers.go
@@ -62,11 +62,11 @@
 }
 
 // Handler answers the status requests of other replicas.
-func (o *Orderer) Handler() link.Handler {
+func (o *Controller) Handler() link.Handler {
 	return link.Handler{Kinds: messageKinds(), Serve: o.serveStatus}
 }
 
-func (o *Orderer) serveStatus(_ context.Context, c *link.Conn) {
+func (o *Controller) serveStatus(_ context.Context, c *link.Conn) {
 	m, err := c.Receive()
 	if err != nil {
 		return
@@ -81,7 +81,7 @@
 }
 
 // requestStatuses asks all peers and returns the replies that arrived before ctx ended.
-func (o *Orderer) requestStatuses(ctx context.Context, service string, peers []fleet.VM) []roll.Status {
+func (o *Controller) requestStatuses(ctx context.Context, service string, peers []fleet.VM) []roll.Status {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var answers []roll.Status
@@ -104,8 +104,8 @@
 }
 
 // requestStatus asks one peer for its status.
-func (o *Orderer) requestStatus(ctx context.Context, service string, peer fleet.VM) (roll.Status, error) {
-	m, err := link.Ask(ctx, o.Self, peer.Address, link.PurposeOrders, messageKinds(), &statusRequest{Service: service})
+func (o *Controller) requestStatus(ctx context.Context, service string, peer fleet.VM) (roll.Status, error) {
+	m, err := link.RoundTrip(ctx, o.Self, peer.Address, link.PurposeOrders, messageKinds(), &statusRequest{Service: service})
 	if err != nil {
 		return roll.Status{}, err
 	}
--- a/io/version/order/polling_test.go
+++ b/io/version/order/polling_test.go
@@ -16,7 +16,7 @@
 	"hawthornferry/core/process/view"
 	"hawthornferry/core/version/chunk"
 	"hawthornferry/io/conn/link"
-	"hawthornferry/io/process/awake"
+	"hawthornferry/io/process/uptime"
 )
 
 // Guards against sides that poll their engines five times a second although these serve
@@ -34,11 +34,11 @@
 	e := &fakeEngine{servingCounter: &servingCounter{}, engineState: engineState{Boot: "boot", Manifest: wanted}}
 	srv := httptest.NewServer(e)
 	t.Cleanup(srv.Close)
-	o := &Orderer{
-		Self: &link.Self{VM: vm}, Clock: clockwork.NewRealClock(), Awake: awake.Now, Log: trail.Discard{}, Source: fixedView{v},
-		Engine:   &Engine{Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Client: srv.Client()},
-		Verified: func(chunk.Digest) (chunk.Manifest, bool) { return chunk.Manifest{}, true },
-		Draining: func() bool { return false },
+	o := &Controller{
+		Self: &link.Self{VM: vm}, Clock: clockwork.NewRealClock(), Uptime: uptime.Now, Log: trail.Discard{}, Source: fixedView{v},
+		Engine:           &EngineClient{Address: netip.MustParseAddrPort(srv.Listener.Addr().String()), Client: srv.Client()},
+		VerifiedManifest: func(chunk.Digest) (chunk.Manifest, bool) { return chunk.Manifest{}, true },
+		Draining:         func() bool { return false },
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -55,7 +55,7 @@
 	if maxPolls := int(span/idleInterval) + 2; polls > maxPolls {
 		t.Errorf("asked %d times in %s, want %d at most", polls, span, maxPolls)
 	}
-	o.Notice()
+	o.Recheck()
 	for end := time.Now().Add(idleInterval / 2); e.orderCount() == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("an engine without weights was not ordered to load within %s", idleInterval/2)
--- a/io/version/pace/limiter.go
+++ b/io/version/pace/limiter.go
@@ -44,9 +44,9 @@
 	liveMeter  rateMeter
 }
 
-// Live counts n bytes of live traffic and returns how long they take to pass,
+// CountLive counts n bytes of live traffic and returns how long they take to pass,
 // including the rest of a block ahead of them.
-func (l *Limiter) Live(n int) time.Duration {
+func (l *Limiter) CountLive(n int) time.Duration {
 	if l == nil || l.Rate <= 0 {
 		return 0
 	}
@@ -135,7 +135,7 @@
 	now := l.Clock.Now()
 	wait := l.freeAt.Sub(now)
 	if l.MinShare > 0 {
-		// Live traffic that fills the link would otherwise stop transfers and
+		// CountLive traffic that fills the link would otherwise stop transfers and
 		// the rollout would never end. Once minShareAt has passed, a block may
 		// be sent in any case.
 		wait = min(wait, l.minShareAt.Sub(now))
--- a/io/version/pace/limiter_test.go
+++ b/io/version/pace/limiter_test.go
@@ -17,7 +17,7 @@
 	passed := 0
 	for k := 0; clock.Now().Before(end); k++ {
 		if live > 0 && k%10 == 0 {
-			l.Live(live)
+			l.CountLive(live)
 		}
 		for l.tryReserve(piece) <= 0 {
 			passed += piece
@@ -61,7 +61,7 @@
 	for range 1000 {
 		for l.tryReserve(4000) <= 0 {
 		}
-		if got := l.Live(100); got > maxWait {
+		if got := l.CountLive(100); got > maxWait {
 			t.Fatalf("live traffic took %v, want at most %v", got, maxWait)
 		}
 		clock.Advance(10 * time.Millisecond)
@@ -86,7 +86,7 @@
 			p := New(Config{Region: 1_000_000}, clock)
 			for range 1000 {
 				if tc.live > 0 {
-					p.Cross.Live(tc.live)
+					p.RegionMeter.CountLive(tc.live)
 				}
 				clock.Advance(10 * time.Millisecond)
 			}
--- a/io/version/pace/pacer.go
+++ b/io/version/pace/pacer.go
@@ -25,16 +25,16 @@
 
 // Pacer holds the limiters of one side: for the machine's own link, Up and
 // Down, and for reads from the origin. The process that serves calls reports
-// live traffic to it with Limiter.Live.
+// live traffic to it with Limiter.CountLive.
 type Pacer struct {
 	Up     *Limiter
 	Down   *Limiter
 	Origin *Limiter
-	// Cross measures this side's live traffic on the region link. It is not
+	// RegionMeter measures this side's live traffic on the region link. It is not
 	// used to limit; see RegionAvailable.
-	Cross      *Limiter
-	MinShare   float64
-	regionRate atomic.Int64
+	RegionMeter *Limiter
+	MinShare    float64
+	regionRate  atomic.Int64
 }
 
 // New returns a Pacer for cfg.
@@ -45,11 +45,11 @@
 	}
 	limiter := func(rate int64) *Limiter { return &Limiter{Clock: clock, Rate: rate, MinShare: minShare} }
 	p := &Pacer{
-		Up:       limiter(cfg.Up),
-		Down:     limiter(cfg.Down),
-		Origin:   limiter(cfg.Origin),
-		Cross:    limiter(max(cfg.Region, 1)),
-		MinShare: minShare,
+		Up:          limiter(cfg.Up),
+		Down:        limiter(cfg.Down),
+		Origin:      limiter(cfg.Origin),
+		RegionMeter: limiter(max(cfg.Region, 1)),
+		MinShare:    minShare,
 	}
 	p.regionRate.Store(cfg.Region)
 	return p
@@ -75,6 +75,6 @@
 	if rate <= 0 {
 		return 0
 	}
-	available := rate - p.Cross.LiveRate()*float64(max(sides, 1))
+	available := rate - p.RegionMeter.LiveRate()*float64(max(sides, 1))
 	return max(available, p.MinShare*rate)
 }
--- a/io/version/pace/window.go
+++ b/io/version/pace/window.go
@@ -32,8 +32,8 @@
 // Set the exported fields before the first call. A nil Window does not limit.
 type Window struct {
 	Clock clockwork.Clock
-	// Most is the limit in bytes on a link with its normal rate.
-	Most int64
+	// MaxBytes is the limit in bytes on a link with its normal rate.
+	MaxBytes int64
 
 	mu            sync.Mutex
 	outstanding   int64
@@ -132,12 +132,12 @@
 // holds mu.
 func (w *Window) limit() int64 {
 	if !w.measured {
-		return w.Most
+		return w.MaxBytes
 	}
 	peak := int64(0)
 	for _, n := range w.buckets {
 		peak = max(peak, n)
 	}
 	rate := float64(peak) / bucketSpan.Seconds()
-	return min(max(int64(growthFactor*rate*queueDelayGoal.Seconds()), minWindow), w.Most)
+	return min(max(int64(growthFactor*rate*queueDelayGoal.Seconds()), minWindow), w.MaxBytes)
 }
--- a/io/version/pace/window_test.go
+++ b/io/version/pace/window_test.go
@@ -35,7 +35,7 @@
 // with it.
 func TestWindowFollowsReceiveRate(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	w := &Window{Clock: clock, Most: testMaxBytes}
+	w := &Window{Clock: clock, MaxBytes: testMaxBytes}
 	if got := fill(t, w); got != testMaxBytes/testBlockSize*testBlockSize {
 		t.Errorf("at first %d bytes are outstanding, want the whole window", got)
 	}
@@ -64,7 +64,7 @@
 // back, or transfers of the version would wait for each other.
 func TestRefusedRequestsDoNotShrinkWindow(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	w := &Window{Clock: clock, Most: testMaxBytes}
+	w := &Window{Clock: clock, MaxBytes: testMaxBytes}
 	for range 40 {
 		clock.Advance(100 * time.Millisecond)
 		if err := w.Acquire(t.Context(), testBlockSize); err != nil {
--- a/io/version/stage/client.go
+++ b/io/version/stage/client.go
@@ -28,8 +28,8 @@
 // Client accesses the staging area of the engine at address Engine. Set the fields
 // before the first call. It is safe for concurrent use.
 type Client struct {
-	Engine netip.AddrPort
-	HTTP   http.Client
+	Address netip.AddrPort
+	HTTP    http.Client
 }
 
 // stagingList is the engine's list of its staged chunks.
@@ -45,11 +45,11 @@
 	}
 	var l stagingList
 	if err := json.Unmarshal(b, &l); err != nil {
-		return nil, operr.Wrap("list staging", c.Engine.String(), err)
+		return nil, operr.Wrap("list staging", c.Address.String(), err)
 	}
 	for _, d := range l.Chunks {
 		if err := d.Check(); err != nil {
-			return nil, operr.Wrap("list staging", c.Engine.String(), err)
+			return nil, operr.Wrap("list staging", c.Address.String(), err)
 		}
 	}
 	return l.Chunks, nil
@@ -78,25 +78,25 @@
 	op := "staging " + method
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	url := "http://" + c.Engine.String() + path
+	url := "http://" + c.Address.String() + path
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, operr.Wrap(op, c.Engine.String(), err)
+		return nil, operr.Wrap(op, c.Address.String(), err)
 	}
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		return nil, operr.Wrap(op, c.Engine.String(), err)
+		return nil, operr.Wrap(op, c.Address.String(), err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != want {
-		return nil, operr.Errorf(op, c.Engine.String(), "status %d, want %d", resp.StatusCode, want)
+		return nil, operr.Errorf(op, c.Address.String(), "status %d, want %d", resp.StatusCode, want)
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err != nil {
-		return nil, operr.Wrap(op, c.Engine.String(), err)
+		return nil, operr.Wrap(op, c.Address.String(), err)
 	}
 	if int64(len(b)) > maxBytes {
-		return nil, operr.Wrap(op, c.Engine.String(), errors.Newf("answer is longer than %d bytes", maxBytes))
+		return nil, operr.Wrap(op, c.Address.String(), errors.Newf("answer is longer than %d bytes", maxBytes))
 	}
 	return b, nil
 }
--- a/io/version/swarm/download.go
+++ b/io/version/swarm/download.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// DefaultBlockTime is the longest time that one block may occupy a machine's
+	// DefaultMaxBlockTime is the longest time that one block may occupy a machine's
 	// own link.
-	DefaultBlockTime = 4 * time.Millisecond
+	DefaultMaxBlockTime = 4 * time.Millisecond
 
 	// regionBlockTime is the same for the link between regions.
 	regionBlockTime = 2 * time.Millisecond
@@ -97,11 +97,11 @@
 // is set.
 func (n *Node) downloadFromOrigin(ctx context.Context, in *incoming) ([]byte, error) {
 	size := in.fetch.Chunk.Size
-	if err := n.Inflow.Acquire(ctx, size); err != nil {
+	if err := n.InflowWindow.Acquire(ctx, size); err != nil {
 		return nil, err
 	}
 	var got int64
-	defer func() { n.Inflow.Release(size, got) }()
+	defer func() { n.InflowWindow.Release(size, got) }()
 	n.requestSent(in)
 	return n.source.Chunk(ctx, in.fetch.Chunk, func(k int) {
 		got += int64(k)
@@ -118,7 +118,7 @@
 	limiter := n.importLimiter(in.fetch.Share)
 	blockSize := n.requestSize(in.fetch.Via)
 	var paced, requested, received int64
-	out := outstanding{window: n.Inflow}
+	out := outstanding{window: n.InflowWindow}
 	defer out.finish()
 	for received < size {
 		for requested < size && requested-received < maxOutstanding(received, blockSize) {
@@ -169,7 +169,7 @@
 // block of each transfer on that link.
 func (n *Node) requestSize(v spread.Via) int64 {
 	rate := float64(n.pacer.Down.Rate)
-	maxTime := n.BlockTime
+	maxTime := n.MaxBlockTime
 	if v == spread.ViaImport {
 		rate = n.pacer.RegionAvailable(n.sidesInRegion())
 		maxTime = regionBlockTime
--- a/io/version/swarm/node.go
+++ b/io/version/swarm/node.go
@@ -53,8 +53,8 @@
 	Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error)
 }
 
-// Wanted identifies a model version that this side must hold.
-type Wanted struct {
+// WantedVersion identifies a model version that this side must hold.
+type WantedVersion struct {
 	Model    string
 	Version  string
 	Manifest chunk.Digest
@@ -64,8 +64,8 @@
 // bytes. Verified is set once every chunk is verified and staged. Manifest is
 // empty until it has been read.
 type Progress struct {
-	Wanted   Wanted
-	Have     int
+	Wanted   WantedVersion
+	Held     int
 	Total    int
 	Bytes    int64
 	Verified bool
@@ -81,10 +81,10 @@
 // Node transfers model versions on behalf of one side. Set the exported fields
 // before Run.
 //
-// Burst.Self and Burst.OriginRegion are overwritten from Self and
+// Spread.Self and Burst.OriginRegion are overwritten from Self and
 // OriginRegion. Pacer may be shared with the code that serves calls, which
 // reports live traffic to it; if nil, one is created from LinkRates. BlockSize,
-// BlockTime and CacheBytes default to DefaultBlockSize, DefaultBlockTime and
+// MaxBlockTime and CacheBytes default to DefaultBlockSize, DefaultMaxBlockTime and
 // DefaultCacheBytes.
 type Node struct {
 	Self    *link.Self
@@ -93,9 +93,9 @@
 	Logger  logrus.FieldLogger
 	Metrics tally.Scope
 	Staging Staging
-	// Inflow limits the bytes requested by this side and not yet received; nil
+	// InflowWindow limits the bytes requested by this side and not yet received; nil
 	// means no limit.
-	Inflow *pace.Window
+	InflowWindow *pace.Window
 	// Members, when set, lists the sides that must hold a version. When nil,
 	// they are taken from the environment document.
 	Members func(d chunk.Digest) []fleet.VM
@@ -107,13 +107,13 @@
 	OriginRegion string
 	LinkRates    pace.Config
 	Pacer        *pace.Pacer
-	Burst        spread.Config
+	Spread       spread.Config
 	BlockSize    int64
-	// BlockTime is the longest time that one block may occupy the machine's
+	// MaxBlockTime is the longest time that one block may occupy the machine's
 	// link. A live call may have to wait for one block of each transfer.
-	BlockTime  time.Duration
-	CacheBytes int64
-	Shaper     Shaper
+	MaxBlockTime time.Duration
+	CacheBytes   int64
+	Shaper       Shaper
 
 	initOnce sync.Once
 	ctx      context.Context
@@ -136,7 +136,7 @@
 	now               time.Time
 	pendingActions    []spread.Action
 	view              view.View
-	wanted            []Wanted
+	wanted            []WantedVersion
 	manifests         map[chunk.Digest]*manifestEntry
 	conns             map[string]*conn
 	dialing           map[string]chan struct{}
@@ -164,8 +164,8 @@
 		if n.BlockSize <= 0 {
 			n.BlockSize = DefaultBlockSize
 		}
-		if n.BlockTime <= 0 {
-			n.BlockTime = DefaultBlockTime
+		if n.MaxBlockTime <= 0 {
+			n.MaxBlockTime = DefaultMaxBlockTime
 		}
 		if n.CacheBytes <= 0 {
 			n.CacheBytes = DefaultCacheBytes
@@ -178,7 +178,7 @@
 		n.uploads = &uploads{node: n, wake: make(chan struct{}, 1)}
 		n.counters = newCounters(n.Metrics)
 		n.changed = make(chan struct{})
-		cfg := n.Burst
+		cfg := n.Spread
 		cfg.Self = spread.Member{Name: n.Self.VM.Name, Region: n.Self.VM.Region}
 		cfg.OriginRegion = n.OriginRegion
 		n.state = state{
@@ -245,10 +245,10 @@
 	}
 }
 
-// Changed returns a channel that is closed when a manifest has been read or a
+// ProgressChanged returns a channel that is closed when a manifest has been read or a
 // version has become complete. Call it before Progress so that no change is
 // missed.
-func (n *Node) Changed() <-chan struct{} {
+func (n *Node) ProgressChanged() <-chan struct{} {
 	n.init()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -269,7 +269,7 @@
 }
 
 // progressOf returns the progress of one version. The caller holds n.mu.
-func (n *Node) progressOf(w Wanted) Progress {
+func (n *Node) progressOf(w WantedVersion) Progress {
 	p := Progress{Wanted: w}
 	k, ok := n.state.manifests[w.Manifest]
 	if !ok || !k.ready {
@@ -280,7 +280,7 @@
 	if !ok {
 		return p
 	}
-	p.Have, p.Total, p.Bytes = t.Held, t.Total, t.Bytes
+	p.Held, p.Total, p.Bytes = t.Held, t.Total, t.Bytes
 	p.Verified = t.Total > 0 && t.Held == t.Total
 	return p
 }
--- a/io/version/swarm/outstanding_test.go
+++ b/io/version/swarm/outstanding_test.go
@@ -32,7 +32,7 @@
 			p := newFakeOrigin(t)
 			d := p.publish(t, "1", 8*block, seq(0, 12)...)
 			configure := func(n *Node) {
-				n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: tt.maxBytes}
+				n.InflowWindow = &pace.Window{Clock: clockwork.NewRealClock(), MaxBytes: tt.maxBytes}
 			}
 			c := newConfiguredCluster(t, p, testTimeout, configure, "r1", "r2", "r3")
 			c.setWanted(d, c.nodes...)
@@ -51,7 +51,7 @@
 // release its room.
 func TestRequestsStayWithinWindow(t *testing.T) {
 	const block, room = 4 << 10, 4
-	w := &pace.Window{Clock: clockwork.NewRealClock(), Most: room * block}
+	w := &pace.Window{Clock: clockwork.NewRealClock(), MaxBytes: room * block}
 	reserve := func(f *outstanding) bool {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
--- a/io/version/swarm/report.go
+++ b/io/version/swarm/report.go
@@ -116,7 +116,7 @@
 	defer n.mu.Unlock()
 	for _, w := range n.state.wanted {
 		p := n.progressOf(w)
-		if p.Total > 0 && (p.Verified || p.Have == 0) {
+		if p.Total > 0 && (p.Verified || p.Held == 0) {
 			close(n.changed)
 			n.changed = make(chan struct{})
 			return
--- a/io/version/swarm/swarm_test.go
+++ b/io/version/swarm/swarm_test.go
@@ -194,7 +194,7 @@
 		Store:        c.p.addr(),
 		OriginRegion: "r1",
 		BlockSize:    4 << 10,
-		Burst:        spread.Config{MinTimeout: c.minTimeout},
+		Spread:       spread.Config{MinTimeout: c.minTimeout},
 	}
 	if c.configure != nil {
 		c.configure(n)
@@ -227,7 +227,7 @@
 // setWanted makes a manifest the only wanted version of the nodes.
 func (c *cluster) setWanted(d chunk.Digest, nodes ...*Node) {
 	for _, n := range nodes {
-		n.Update(c.view(d), []Wanted{{Model: "m", Version: "1", Manifest: d}})
+		n.Update(c.view(d), []WantedVersion{{Model: "m", Version: "1", Manifest: d}})
 	}
 }
 
@@ -236,7 +236,7 @@
 	c.t.Helper()
 	for _, n := range nodes {
 		for {
-			changed := n.Changed()
+			changed := n.ProgressChanged()
 			if p := n.Progress(); len(p) == 1 && p[0].Verified {
 				break
 			}
--- a/io/version/swarm/two_versions_test.go
+++ b/io/version/swarm/two_versions_test.go
@@ -35,10 +35,10 @@
 		}
 		return missing[d]
 	}
-	configure := func(n *Node) { n.Inflow = &pace.Window{Clock: clockwork.NewRealClock(), Most: 16 << 10} }
+	configure := func(n *Node) { n.InflowWindow = &pace.Window{Clock: clockwork.NewRealClock(), MaxBytes: 16 << 10} }
 	c := newConfiguredCluster(t, p, testTimeout, configure, "r1", "r2", "r2", "r3")
 	for _, n := range c.nodes {
-		n.Update(c.view(second), []Wanted{
+		n.Update(c.view(second), []WantedVersion{
 			{Model: "m", Version: "2", Manifest: second},
 			{Model: "m", Version: "1", Manifest: first},
 		})
@@ -55,7 +55,7 @@
 	c.t.Helper()
 	expired := time.After(timeout)
 	for {
-		changed := n.Changed()
+		changed := n.ProgressChanged()
 		for _, p := range n.Progress() {
 			if p.Wanted.Manifest == d && p.Verified {
 				return
--- a/io/version/swarm/update.go
+++ b/io/version/swarm/update.go
@@ -34,7 +34,7 @@
 
 // Update sets the view of the fleet, with the environment document, and the
 // list of wanted versions. It may be called at any time and does not block.
-func (n *Node) Update(v view.View, wanted []Wanted) {
+func (n *Node) Update(v view.View, wanted []WantedVersion) {
 	n.init()
 	n.withState(func(s *state) {
 		s.view = v
@@ -48,7 +48,7 @@
 
 // startManifestRead starts to read the manifest of a wanted version unless it
 // has been started before. The caller holds n.mu.
-func (n *Node) startManifestRead(s *state, w Wanted) {
+func (n *Node) startManifestRead(s *state, w WantedVersion) {
 	if _, ok := s.manifests[w.Manifest]; ok {
 		return
 	}
@@ -176,10 +176,10 @@
 			n.pacer.SetRegionRate(r.LinkRate)
 		}
 	}
-	if n.Burst.ImportSlots == 0 {
+	if n.Spread.ImportSlots == 0 {
 		s.distribution.SetImportSlots(n.importSlots())
 	}
-	if n.Burst.Fanout == 0 {
+	if n.Spread.Fanout == 0 {
 		s.distribution.SetFanout(n.regionFanout())
 	}
 	s.addActions(s.distribution.Update(s.now, sets))
@@ -213,7 +213,7 @@
 
 // isWanted reports whether a wanted version has the manifest.
 func (s *state) isWanted(d chunk.Digest) bool {
-	return slices.ContainsFunc(s.wanted, func(w Wanted) bool { return w.Manifest == d })
+	return slices.ContainsFunc(s.wanted, func(w WantedVersion) bool { return w.Manifest == d })
 }
 
 // manifestsByPriority lists the manifests, the wanted ones first in the order
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -135,7 +135,7 @@
 		}
 		after = n
 	}
-	serve.JSON(w, http.StatusOK, Events{Events: e.cache.eventsAfter(after, e.Clock.Now())})
+	serve.WriteJSON(w, http.StatusOK, Events{Events: e.cache.eventsAfter(after, e.Clock.Now())})
 }
 
 // isNth reports whether n is a multiple of each. It is false when each is 0.
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -141,7 +141,7 @@
 
 // prefill waits PrefillDelay for each block of the prompt that is not cached.
 func (e *Engine) prefill(r *http.Request, q Request) error {
-	missed := e.cache.touch(expect.Prefixes(expect.Prompt(q.Messages)), e.Clock.Now())
+	missed := e.cache.touch(expect.PrefixHashes(expect.Prompt(q.Messages)), e.Clock.Now())
 	return serve.Sleep(r.Context(), e.Clock, time.Duration(missed)*e.PrefillDelay)
 }
 
@@ -149,7 +149,7 @@
 // connection if CutAfter tokens were sent.
 func (e *Engine) waitForToken(w http.ResponseWriter, r *http.Request, g *generation, position int) error {
 	if g.faults.CutAfter != nil && position-g.from >= *g.faults.CutAfter {
-		serve.Cut(w)
+		serve.AbortConnection(w)
 	}
 	delay := e.TokenDelay
 	if s, _ := e.faults.settings.Get(); s.TokenDelay > 0 {
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -75,7 +75,7 @@
 		}
 		b.WriteString(g.answer.Token(k))
 	}
-	serve.JSON(w, http.StatusOK, Completion{
+	serve.WriteJSON(w, http.StatusOK, Completion{
 		ID:      newID(),
 		Object:  objectCompletion,
 		Created: e.Clock.Now().Unix(),
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -116,7 +116,7 @@
 	running, queued := e.report.read(e.Clock.Now(), e.ReportLag, e.slots.load)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	serve.JSON(w, http.StatusOK, State{
+	serve.WriteJSON(w, http.StatusOK, State{
 		Boot:      e.Boot,
 		Model:     e.serving.Model,
 		Version:   e.serving.Version,
--- a/standin/engine/fault.go
+++ b/standin/engine/fault.go
@@ -18,12 +18,12 @@
 // connection after that many tokens. Times is how many chats get Status or
 // CutAfter; 0 is every chat.
 type FaultSettings struct {
-	Pause      serve.Span `json:"pause"`
-	TokenDelay serve.Span `json:"tokenDelay"`
-	Status     int        `json:"status"`
-	CutAfter   *int       `json:"cutAfter"`
-	Silent     bool       `json:"silent"`
-	Times      int        `json:"times"`
+	Pause      serve.Duration `json:"pause"`
+	TokenDelay serve.Duration `json:"tokenDelay"`
+	Status     int            `json:"status"`
+	CutAfter   *int           `json:"cutAfter"`
+	Silent     bool           `json:"silent"`
+	Times      int            `json:"times"`
 }
 
 // faultState holds the current faults, the time at which a pause ends and the
--- a/standin/engine/order.go
+++ b/standin/engine/order.go
@@ -99,7 +99,7 @@
 	}
 	last, n, ok := e.recordOrder(o)
 	if !ok {
-		serve.JSON(w, http.StatusConflict, OrderConflict{LastOrder: last})
+		serve.WriteJSON(w, http.StatusConflict, OrderConflict{LastOrder: last})
 		return
 	}
 	go e.load(n, o, chunks)
@@ -210,5 +210,5 @@
 func (e *Engine) listLoads(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	serve.JSON(w, http.StatusOK, Loads{Loads: slices.Clone(e.loads), Refused: e.refused})
+	serve.WriteJSON(w, http.StatusOK, Loads{Loads: slices.Clone(e.loads), Refused: e.refused})
 }
--- a/standin/engine/staging.go
+++ b/standin/engine/staging.go
@@ -72,7 +72,7 @@
 }
 
 func (e *Engine) listStaged(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, StagedChunks{Chunks: e.staging.list()})
+	serve.WriteJSON(w, http.StatusOK, StagedChunks{Chunks: e.staging.list()})
 }
 
 func (e *Engine) putStaged(w http.ResponseWriter, r *http.Request) {
--- a/standin/expect/expect_test.go
+++ b/standin/expect/expect_test.go
@@ -36,14 +36,14 @@
 
 func TestPrefixes(t *testing.T) {
 	block := strings.Repeat("a", BlockSize)
-	long := Prefixes(block + block + "rest")
+	long := PrefixHashes(block + block + "rest")
 	if diff := cmp.Diff(2, len(long)); diff != "" {
 		t.Errorf("prefixes (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(Prefixes(block), long[:1]); diff != "" {
+	if diff := cmp.Diff(PrefixHashes(block), long[:1]); diff != "" {
 		t.Errorf("first prefix (-want +got):\n%s", diff)
 	}
-	if diff := cmp.Diff(MaxBlocks, len(Prefixes(strings.Repeat(block, MaxBlocks+1)))); diff != "" {
+	if diff := cmp.Diff(MaxBlocks, len(PrefixHashes(strings.Repeat(block, MaxBlocks+1)))); diff != "" {
 		t.Errorf("most prefixes (-want +got):\n%s", diff)
 	}
 }
--- a/standin/expect/prefix.go
+++ b/standin/expect/prefix.go
@@ -13,11 +13,11 @@
 	MaxBlocks = 256
 )
 
-// Prefixes returns the hashes of the prompt's prefixes that are whole blocks of
+// PrefixHashes returns the hashes of the prompt's prefixes that are whole blocks of
 // BlockSize bytes, the shortest prefix first: the 64-bit FNV-1a hash of the
 // first block, of the first two, and so on, in hexadecimal without leading
 // zeros. An incomplete block at the end has no hash.
-func Prefixes(prompt string) []string {
+func PrefixHashes(prompt string) []string {
 	n := min(len(prompt)/BlockSize, MaxBlocks)
 	out := make([]string, 0, n)
 	h := fnv.New64a()
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -27,11 +27,11 @@
 // call. Times is how many calls get CutBeforeRun, CutAfterRun or Status; 0 is
 // every call.
 type Faults struct {
-	Delay        serve.Span `json:"delay"`
-	CutBeforeRun bool       `json:"cutBeforeRun"`
-	CutAfterRun  bool       `json:"cutAfterRun"`
-	Status       int        `json:"status"`
-	Times        int        `json:"times"`
+	Delay        serve.Duration `json:"delay"`
+	CutBeforeRun bool           `json:"cutBeforeRun"`
+	CutAfterRun  bool           `json:"cutAfterRun"`
+	Status       int            `json:"status"`
+	Times        int            `json:"times"`
 }
 
 // Answer describes the call that was executed. Executions is how often this
@@ -86,7 +86,7 @@
 		return
 	}
 	if f.CutBeforeRun {
-		serve.Cut(w)
+		serve.AbortConnection(w)
 	}
 	if f.Status != 0 {
 		serve.WriteProblem(w, f.Status, "fault")
@@ -98,9 +98,9 @@
 		return
 	}
 	if f.CutAfterRun {
-		serve.Cut(w)
+		serve.AbortConnection(w)
 	}
-	serve.JSON(w, http.StatusOK, a)
+	serve.WriteJSON(w, http.StatusOK, a)
 }
 
 // execute counts the call's key and returns the answer, and false when there
@@ -160,7 +160,7 @@
 func (s *Service) handleExecutions(w http.ResponseWriter, _ *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	serve.JSON(w, http.StatusOK, Executions{Executions: s.executions})
+	serve.WriteJSON(w, http.StatusOK, Executions{Executions: s.executions})
 }
 
 func (s *Service) setFaults(w http.ResponseWriter, r *http.Request) {
--- a/standin/platf/config.go
+++ b/standin/platf/config.go
@@ -34,14 +34,14 @@
 // serve the newest revision that is at most Serve, as a stale replica would; 0
 // serves the newest one. Delay is added to every read.
 type ConfigFaults struct {
-	Down  bool       `json:"down"`
-	Serve uint64     `json:"serve"`
-	Delay serve.Span `json:"delay"`
+	Down  bool           `json:"down"`
+	Serve uint64         `json:"serve"`
+	Delay serve.Duration `json:"delay"`
 }
 
-// Config is the configuration service. Rate is the number of reads a second that
+// ConfigService is the configuration service. Rate is the number of reads a second that
 // it answers over all readers. Set the exported fields before calling Handler.
-type Config struct {
+type ConfigService struct {
 	Rate  float64
 	Clock clockwork.Clock
 
@@ -73,7 +73,7 @@
 
 // Handler returns the handler of the reads and of the control calls that promote
 // a document, read the number of calls and set the faults.
-func (c *Config) Handler() http.Handler {
+func (c *ConfigService) Handler() http.Handler {
 	c.initOnce.Do(c.init)
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/documents/{environment}", c.handleRead).Methods(http.MethodGet)
@@ -83,13 +83,13 @@
 	return r
 }
 
-func (c *Config) init() {
+func (c *ConfigService) init() {
 	c.limiter = rate.NewLimiter(rate.Limit(c.Rate), max(1, int(c.Rate)))
 	c.changed = make(chan struct{})
 	c.history = map[string][]document{}
 }
 
-func (c *Config) handleRead(w http.ResponseWriter, r *http.Request) {
+func (c *ConfigService) handleRead(w http.ResponseWriter, r *http.Request) {
 	c.calls.Add(1)
 	after, wait, err := parseWatchQuery(r)
 	if err != nil {
@@ -113,7 +113,7 @@
 
 // respond waits until there is a document with a revision above after and
 // writes it, or writes status 304 when wait has passed.
-func (c *Config) respond(w http.ResponseWriter, r *http.Request, after uint64, wait time.Duration) {
+func (c *ConfigService) respond(w http.ResponseWriter, r *http.Request, after uint64, wait time.Duration) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	timer := c.Clock.NewTimer(wait)
@@ -148,7 +148,7 @@
 // newest returns the newest document of an environment with a revision of at
 // most pin, or of any revision when pin is 0, whether there is one, and a
 // channel that is closed at the next promotion.
-func (c *Config) newest(environment string, pin uint64) (document, bool, <-chan struct{}) {
+func (c *ConfigService) newest(environment string, pin uint64) (document, bool, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out document
@@ -160,7 +160,7 @@
 	return out, out.revision > 0, c.changed
 }
 
-func (c *Config) handlePromote(w http.ResponseWriter, r *http.Request) {
+func (c *ConfigService) handlePromote(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxDocument))
 	if err != nil {
 		serve.WriteProblem(w, http.StatusRequestEntityTooLarge, err.Error())
@@ -171,12 +171,12 @@
 		serve.WriteProblem(w, http.StatusInsufficientStorage, "too many environments")
 		return
 	}
-	serve.JSON(w, http.StatusOK, Promotion{Revision: revision})
+	serve.WriteJSON(w, http.StatusOK, Promotion{Revision: revision})
 }
 
 // store adds a document to the environment's history and returns its revision,
 // and false when there are too many environments.
-func (c *Config) store(environment string, text []byte) (uint64, bool) {
+func (c *ConfigService) store(environment string, text []byte) (uint64, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	history, known := c.history[environment]
@@ -191,11 +191,11 @@
 	return c.revision, true
 }
 
-func (c *Config) handleCalls(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, CallCount{Calls: c.calls.Load()})
+func (c *ConfigService) handleCalls(w http.ResponseWriter, _ *http.Request) {
+	serve.WriteJSON(w, http.StatusOK, CallCount{Calls: c.calls.Load()})
 }
 
-func (c *Config) setFaults(w http.ResponseWriter, r *http.Request) {
+func (c *ConfigService) setFaults(w http.ResponseWriter, r *http.Request) {
 	f, err := serve.DecodeJSON[ConfigFaults](w, r)
 	if err != nil {
 		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
--- a/standin/platf/platf_test.go
+++ b/standin/platf/platf_test.go
@@ -36,7 +36,7 @@
 
 func newConfig(t *testing.T, texts ...string) http.Handler {
 	t.Helper()
-	h := (&Config{Rate: 100, Clock: clockwork.NewRealClock()}).Handler()
+	h := (&ConfigService{Rate: 100, Clock: clockwork.NewRealClock()}).Handler()
 	for _, text := range texts {
 		request(h, http.MethodPut, "/control/documents/trial", text)
 	}
@@ -87,7 +87,7 @@
 }
 
 func TestRateIsShared(t *testing.T) {
-	h := (&Config{Rate: 2, Clock: clockwork.NewFakeClock()}).Handler()
+	h := (&ConfigService{Rate: 2, Clock: clockwork.NewFakeClock()}).Handler()
 	request(h, http.MethodPut, "/control/documents/trial", "one")
 	var got []int
 	for range 3 {
@@ -102,7 +102,7 @@
 // the lag.
 func TestListShowsChangesAfterLag(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(0, 0))
-	h := (&List{Lag: 2 * time.Second, Clock: clock}).Handler()
+	h := (&VMList{Lag: 2 * time.Second, Clock: clock}).Handler()
 	const vm = `{"role":"side","zone":"z","region":"r","service":"s","address":"127.0.0.1:1","state":"live"}`
 	shown := `[{"name":"a",` + vm[1:] + `]`
 	check(t, "put", response{Status: 204}, request(h, http.MethodPut, "/control/vms/a", vm))
--- a/standin/platf/vms.go
+++ b/standin/platf/vms.go
@@ -25,13 +25,13 @@
 // ListFaults are the faults that the VM list injects. Down makes every read fail
 // with status 503. Lag, when above zero, replaces the Lag of the List.
 type ListFaults struct {
-	Down bool       `json:"down"`
-	Lag  serve.Span `json:"lag"`
+	Down bool           `json:"down"`
+	Lag  serve.Duration `json:"lag"`
 }
 
-// List is the VM list. It shows a change only after Lag. Set the exported fields
+// VMList is the VM list. It shows a change only after Lag. Set the exported fields
 // before calling Handler.
-type List struct {
+type VMList struct {
 	Lag   time.Duration
 	Clock clockwork.Clock
 
@@ -52,7 +52,7 @@
 
 // Handler returns the handler of the list and of the control calls that add and
 // remove VMs and set the faults.
-func (l *List) Handler() http.Handler {
+func (l *VMList) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/v1/vms", l.handleList).Methods(http.MethodGet)
 	r.HandleFunc("/control/vms/{name}", l.handlePut).Methods(http.MethodPut)
@@ -61,17 +61,17 @@
 	return r
 }
 
-func (l *List) handleList(w http.ResponseWriter, _ *http.Request) {
+func (l *VMList) handleList(w http.ResponseWriter, _ *http.Request) {
 	if f, _ := l.faults.Get(); f.Down {
 		serve.WriteProblem(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	serve.JSON(w, http.StatusOK, l.applyDue())
+	serve.WriteJSON(w, http.StatusOK, l.applyDue())
 }
 
 // applyDue applies the changes that are due and returns the VMs that are shown,
 // sorted by name.
-func (l *List) applyDue() []fleet.VM {
+func (l *VMList) applyDue() []fleet.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.Clock.Now()
@@ -83,7 +83,7 @@
 
 // apply carries out the change and returns true if it is due. A new VM beyond
 // maxVMs is dropped.
-func (l *List) apply(c change, now time.Time) bool {
+func (l *VMList) apply(c change, now time.Time) bool {
 	if c.due.After(now) {
 		return false
 	}
@@ -97,7 +97,7 @@
 	return true
 }
 
-func (l *List) handlePut(w http.ResponseWriter, r *http.Request) {
+func (l *VMList) handlePut(w http.ResponseWriter, r *http.Request) {
 	vm, err := serve.DecodeJSON[fleet.VM](w, r)
 	if err == nil {
 		vm.Name = mux.Vars(r)["name"]
@@ -110,12 +110,12 @@
 	l.schedule(w, change{name: vm.Name, vm: &vm})
 }
 
-func (l *List) handleRemove(w http.ResponseWriter, r *http.Request) {
+func (l *VMList) handleRemove(w http.ResponseWriter, r *http.Request) {
 	l.schedule(w, change{name: mux.Vars(r)["name"]})
 }
 
 // schedule queues the change until the lag has passed and writes the response.
-func (l *List) schedule(w http.ResponseWriter, c change) {
+func (l *VMList) schedule(w http.ResponseWriter, c change) {
 	faults, _ := l.faults.Get()
 	lag := cmp.Or(time.Duration(faults.Lag), l.Lag)
 	l.applyDue()
@@ -130,7 +130,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (l *List) setFaults(w http.ResponseWriter, r *http.Request) {
+func (l *VMList) setFaults(w http.ResponseWriter, r *http.Request) {
 	f, err := serve.DecodeJSON[ListFaults](w, r)
 	if err != nil {
 		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -27,8 +27,8 @@
 	f.Duration(&lag, "", "lag", "delay until the VM list shows a change")
 	return command{flags: f, run: func(ctx context.Context) error {
 		clock := clockwork.NewRealClock()
-		c := &platf.Config{Rate: readRate, Clock: clock}
-		l := &platf.List{Lag: lag, Clock: clock}
+		c := &platf.ConfigService{Rate: readRate, Clock: clock}
+		l := &platf.VMList{Lag: lag, Clock: clock}
 		return serve.Run(ctx, []serve.Endpoint{
 			{Address: config, Handler: c.Handler()},
 			{Address: vms, Handler: l.Handler()},
--- a/standin/relay/control.go
+++ b/standin/relay/control.go
@@ -32,10 +32,10 @@
 		}).Methods(http.MethodPost)
 	}
 	handle("silence", func(t *Route, w http.ResponseWriter, _ *http.Request) {
-		serve.JSON(w, http.StatusOK, ConnectionCount{Connections: t.Silence()})
+		serve.WriteJSON(w, http.StatusOK, ConnectionCount{Connections: t.Silence()})
 	})
 	handle("cut", func(t *Route, w http.ResponseWriter, _ *http.Request) {
-		serve.JSON(w, http.StatusOK, ConnectionCount{Connections: t.Cut()})
+		serve.WriteJSON(w, http.StatusOK, ConnectionCount{Connections: t.Cut()})
 	})
 	handle("faults", setFaults)
 	return r
--- a/standin/relay/relay.go
+++ b/standin/relay/relay.go
@@ -29,19 +29,19 @@
 
 // Faults are the faults of a route; each control call replaces them all. Delay
 // is added to every byte in both directions. Hold buffers what is sent on any
-// connection until the faults are replaced, and then delivers it. HoldThere and
-// HoldBack do the same in one direction: towards To, and from To to the client.
+// connection until the faults are replaced, and then delivers it. HoldRequests and
+// HoldResponses do the same in one direction: towards To, and from To to the client.
 type Faults struct {
-	Delay     serve.Span `json:"delay"`
-	Hold      bool       `json:"hold"`
-	HoldThere bool       `json:"holdThere,omitempty"`
-	HoldBack  bool       `json:"holdBack,omitempty"`
+	Delay         serve.Duration `json:"delay"`
+	Hold          bool           `json:"hold"`
+	HoldRequests  bool           `json:"holdThere,omitempty"`
+	HoldResponses bool           `json:"holdBack,omitempty"`
 }
 
 // holds reports whether the bytes of a direction are held. reverse is the
 // direction from To to the client.
 func (f Faults) holds(reverse bool) bool {
-	return f.Hold || (f.HoldBack && reverse) || (f.HoldThere && !reverse)
+	return f.Hold || (f.HoldResponses && reverse) || (f.HoldRequests && !reverse)
 }
 
 // Route forwards the connections that are accepted on Listen to To. Set the
--- a/standin/relay/relay_test.go
+++ b/standin/relay/relay_test.go
@@ -164,12 +164,12 @@
 	}
 }
 
-// With HoldBack the request arrives at To, and the response reaches the client
+// With HoldResponses the request arrives at To, and the response reaches the client
 // only once the fault is removed.
 func TestHoldBack(t *testing.T) {
 	r, _ := startRoute(t)
 	nc := dial(t, r)
-	r.SetFaults(Faults{HoldBack: true})
+	r.SetFaults(Faults{HoldResponses: true})
 	if _, err := io.WriteString(nc, "held"); err != nil {
 		t.Fatal(err)
 	}
--- a/standin/serve/json.go
+++ b/standin/serve/json.go
@@ -18,8 +18,8 @@
 	Detail string `json:"detail"`
 }
 
-// JSON writes a response with v as its JSON body.
-func JSON(w http.ResponseWriter, status int, v any) {
+// WriteJSON writes a response with v as its JSON body.
+func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
@@ -27,7 +27,7 @@
 
 // WriteProblem writes an error response with a Problem as its body.
 func WriteProblem(w http.ResponseWriter, status int, detail string) {
-	JSON(w, status, Problem{Status: status, Detail: detail})
+	WriteJSON(w, status, Problem{Status: status, Detail: detail})
 }
 
 // WriteTooManyRequests writes a 429 response whose Retry-After header is wait,
@@ -55,8 +55,8 @@
 	return v, errors.Wrap(err, "decode body")
 }
 
-// Cut aborts the handler, so that the server closes the client's connection
+// AbortConnection aborts the handler, so that the server closes the client's connection
 // without completing the response. It doesn't return.
-func Cut(http.ResponseWriter) {
+func AbortConnection(http.ResponseWriter) {
 	panic(http.ErrAbortHandler)
 }
--- a/standin/serve/span.go
+++ b/standin/serve/span.go
@@ -7,17 +7,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Span is a duration that is encoded in JSON as a string such as "1.5s".
-type Span time.Duration
+// Duration is a duration that is encoded in JSON as a string such as "1.5s".
+type Duration time.Duration
 
 // MarshalJSON encodes the duration as a string.
-func (s Span) MarshalJSON() ([]byte, error) {
+func (s Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(time.Duration(s).String())
 }
 
 // UnmarshalJSON decodes a string such as "200ms". A negative duration is an
 // error.
-func (s *Span) UnmarshalJSON(b []byte) error {
+func (s *Duration) UnmarshalJSON(b []byte) error {
 	var text string
 	if err := json.Unmarshal(b, &text); err != nil {
 		return errors.Wrap(err, "duration")
@@ -29,6 +29,6 @@
 	if d < 0 {
 		return errors.Newf("duration %s is negative", text)
 	}
-	*s = Span(d)
+	*s = Duration(d)
 	return nil
 }
--- a/standin/weight/origin.go
+++ b/standin/weight/origin.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if isNth(n, f.ShortEvery) {
-		serve.Cut(w)
+		serve.AbortConnection(w)
 	}
 	if isNth(n, f.StallEvery) {
 		_ = http.NewResponseController(w).Flush()
@@ -136,7 +136,7 @@
 }
 
 func (o *Origin) handleBytes(w http.ResponseWriter, _ *http.Request) {
-	serve.JSON(w, http.StatusOK, TransferCount{Bytes: o.sentBytes.Load(), Requests: int64(o.requests.Load())})
+	serve.WriteJSON(w, http.StatusOK, TransferCount{Bytes: o.sentBytes.Load(), Requests: int64(o.requests.Load())})
 }
 
 func (o *Origin) setFaults(w http.ResponseWriter, r *http.Request) {
--- a/standin/weight/store.go
+++ b/standin/weight/store.go
@@ -68,6 +68,6 @@
 			serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 			return
 		}
-		serve.JSON(w, http.StatusOK, AddedVersion{Manifest: d, Chunks: n})
+		serve.WriteJSON(w, http.StatusOK, AddedVersion{Manifest: d, Chunks: n})
 	}
 }
