--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -5,7 +5,7 @@
 // The samples of each measure are aggregated over windows of time. The last finished
 // window is compared with the ones before it, for more than one window length, so
 // that a degradation is detected whether it takes an hour or a week. Package
-// io/process/gauge feeds a Tracker and exports its results.
+// io/process/trends feeds a Tracker and exports its results.
 package drift
 
 import (
--- a/core/request/picker/choose.go
+++ b/core/request/picker/choose.go
@@ -17,8 +17,8 @@
 	ReasonOnlyCandidate Reason = "onlyCandidate"
 )
 
-// The reasons for excluding a candidate. A candidate whose standing isn't ready is
-// excluded with its standing as the reason.
+// The reasons for excluding a candidate. A candidate whose availability isn't ready
+// is excluded with its availability as the reason.
 const (
 	excludedVersion    = "otherVersion"
 	excludedAvoided    = "failedThisCall"
--- a/core/request/picker/speed.go
+++ b/core/request/picker/speed.go
@@ -30,9 +30,9 @@
 	table ttlmap.Map[string, intervalStats]
 }
 
-// intervalStats holds a target's speed. pace is the moving average of its time between tokens
-// in seconds, over the given number of samples. lastProbe is when it was last
-// let in although it is slow.
+// intervalStats holds a target's speed. interval is the moving average of its time
+// between tokens in seconds, over the given number of samples. lastProbe is when it was
+// last let in although it is slow.
 type intervalStats struct {
 	interval  float64
 	samples   int
--- a/core/version/tree/tree.go
+++ b/core/version/tree/tree.go
@@ -1,5 +1,5 @@
 // Package tree decides from whom each side, the process beside one target, reads
-// the manifest of a version; io/version/shelf calls it for each attempt. A few sides
+// the manifest of a version; io/version/adapt calls it for each attempt. A few sides
 // of each region read the manifest from the origin, and the others along a tree of
 // their region. If all sides of a large fleet read manifests from the origin, these
 // would take as much of its link as the weights do, and more connections than it accepts.
--- a/io/process/conf/conf.go
+++ b/io/process/conf/conf.go
@@ -1,6 +1,6 @@
 // Package conf reads and checks the settings of an entry or a side from an INI file and from
 // flags of the form --section-key, which override the file. The commands in package cmds call
-// it; package host builds a process from the result. doc/settings.md lists every key.
+// it; package proc builds a process from the result. doc/settings.md lists every key.
 package conf
 
 import (
--- a/io/process/entry/entry.go
+++ b/io/process/entry/entry.go
@@ -1,6 +1,6 @@
 // Package entry runs an entry: the process that accepts callers' requests, chooses a target for
 // each, forwards it to the side next to that target and returns the outcome. The entry
-// command in package cmds calls it. It combines package host, which every process needs, with
+// command in package cmds calls it. It combines package proc, which every process needs, with
 // package front, which serves callers.
 package entry
 
@@ -14,7 +14,7 @@
 	"hawthornferry/io/request/front"
 )
 
-// Entry is one entry process. Before Run, Host must be opened and Callers must be listening.
+// Entry is one entry process. Before Run, Process must be opened and Callers must be listening.
 type Entry struct {
 	Process *proc.Process
 	Callers net.Listener
--- a/io/process/feed/announcement_test.go
+++ b/io/process/feed/announcement_test.go
@@ -61,7 +61,7 @@
 }
 
 // suspendableFeed returns a feed on a simulated machine that can be suspended:
-// the monotonic clock stands still then, the Awake clock doesn't.
+// the monotonic clock stands still then, the Uptime clock doesn't.
 func suspendableFeed(t *testing.T, s *fakeStore) (f *Feed, suspend func(d time.Duration)) {
 	t.Helper()
 	var suspended atomic.Int64
@@ -263,7 +263,7 @@
 	return named
 }
 
-// entryWait is the Wait of an entry. It is long enough for a watch to be under
+// entryWait is the WatchWait of an entry. It is long enough for a watch to be under
 // way whenever a test announces something.
 const entryWait = 800 * time.Millisecond
 
--- a/io/process/feed/apply.go
+++ b/io/process/feed/apply.go
@@ -69,8 +69,8 @@
 // graceEnd returns until when a target that is found missing now may be used.
 // The grace counts from the store's return: a target removed after targets have
 // had time to register again has really left. Counted from the removal, a
-// process that had been disconnected alone used a target for longer than Drain
-// allows.
+// process that had been disconnected alone used a target for longer than
+// DrainTime allows.
 func (f *Feed) graceEnd(now time.Time) time.Time {
 	if f.storeBackAt.IsZero() {
 		return now
--- a/io/process/feed/feed.go
+++ b/io/process/feed/feed.go
@@ -80,7 +80,7 @@
 	// are measured on it.
 	Uptime func() time.Duration
 	// RanSince, when set, reports whether this process has run without being
-	// suspended or stopped from a time on the Awake clock until now.
+	// suspended or stopped from a time on the Uptime clock until now.
 	RanSince func(at time.Duration) bool
 	// WatchWait is how long one watch of the store waits for a change. The state is
 	// confirmed that often.
@@ -116,24 +116,24 @@
 	graceEnds     map[string]time.Time
 	announcements verlog.Log
 	// queries is how often peers were asked when the newest version was
-	// announced, and nextQuery the time on the Awake clock of the next query.
+	// announced, and nextQuery the time on the Uptime clock of the next query.
 	queries   int
 	nextQuery time.Duration
 	revision  uint64
-	// confirmed is when, on the Awake clock, the state was last known to be
+	// confirmed is when, on the Uptime clock, the state was last known to be
 	// current.
 	confirmed time.Duration
 	known     bool
-	// answeredUntil is the time on the Awake clock up to which the store's last
+	// answeredUntil is the time on the Uptime clock up to which the store's last
 	// answer to this process accounts for all changes.
 	answeredUntil time.Duration
-	// lastFailure is when, on the Awake clock, a call of this process to the
+	// lastFailure is when, on the Uptime clock, a call of this process to the
 	// store last failed.
 	lastFailure time.Duration
 	// storeLost is set from the second call in a row of this process to the
 	// store that fails until the store answers again.
 	storeLost bool
-	// storeUpUntil is the latest time on the Awake clock at which the store is
+	// storeUpUntil is the latest time on the Uptime clock at which the store is
 	// known to have answered this process or a peer. upstreamRepliedAt is when
 	// an upstream last replied. Time in which upstreams were silent is added to
 	// both, see discountSilence.
--- a/io/process/feed/store.go
+++ b/io/process/feed/store.go
@@ -23,14 +23,16 @@
 	Deleted  bool   `msgpack:"deleted,omitempty"`
 }
 
-// Page is one page of a list. At is the store's revision when it was read.
+// Page is one page of a list. AtRevision is the store's revision when it was
+// read.
 type Page struct {
 	Items      []Item
 	More       bool
 	AtRevision uint64
 }
 
-// Changes is the result of a watch; the next watch continues after revision At.
+// Changes is the result of a watch; the next watch continues after
+// AtRevision.
 type Changes struct {
 	Items      []Item
 	AtRevision uint64
--- a/io/process/feed/versions.go
+++ b/io/process/feed/versions.go
@@ -43,7 +43,7 @@
 }
 
 // addAnnouncement records a version that was just read from an item. live is
-// when the item was written, on the Awake clock, known only if it was received
+// when the item was written, on the Uptime clock, known only if it was received
 // as it was written. f.mu must be held.
 func (f *Feed) addAnnouncement(v *facts.ModelVersion, live verlog.OptionalTime) {
 	c := f.contact()
--- a/io/process/hosted/rollout.go
+++ b/io/process/hosted/rollout.go
@@ -109,7 +109,7 @@
 }
 
 // newView describes the platform's state as an environment document in which the
-// service's model has the given edition.
+// service's model has the given version.
 func newView(s Settings, f *facts.Facts, service table.Service, e *adapt.KnownVersion, vms []fleet.VM) view.View {
 	d := &envdoc.Document{
 		Revision: f.Revision,
--- a/io/process/hosted/settings.go
+++ b/io/process/hosted/settings.go
@@ -18,7 +18,7 @@
 // Seeds takes effect while the process runs.
 type Settings struct {
 	// VM describes this process to its peers. They identify each other by address, so
-	// its name is the address; Node is the operators' name of the machine.
+	// its name is the address; NodeName is the operators' name of the machine.
 	VM       fleet.VM
 	NodeName string
 	// Regions maps each zone to its region.
@@ -26,7 +26,7 @@
 	// Seeds are entries that read the store and are asked for its state by the other
 	// processes. Some of them may be down.
 	Seeds []netip.AddrPort
-	// CallersAddr, Ready and Control are the addresses on which an entry listens for
+	// CallersAddr, ReadyAddr and ControlAddr are the addresses on which an entry listens for
 	// callers, for the load balancer's readiness checks, and for peers.
 	CallersAddr netip.AddrPort
 	ReadyAddr   netip.AddrPort
@@ -37,8 +37,8 @@
 	EngineAddr netip.AddrPort
 	// SidePort is the port on which every side listens for peers.
 	SidePort uint16
-	// MemoryLimit is the memory limit of the process in bytes, and Link the bandwidth of the
-	// VM's link in bytes per second.
+	// MemoryLimit is the memory limit of the process in bytes, and LinkRate the
+	// bandwidth of the VM's link in bytes per second.
 	MemoryLimit int64
 	LinkRate    int64
 	Bounds      Bounds
--- a/io/process/loads/pulse.go
+++ b/io/process/loads/pulse.go
@@ -1,4 +1,4 @@
-// Package pulse reports the load of engines to entries. The side next to an engine polls it
+// Package loads reports the load of engines to entries. The side next to an engine polls it
 // and publishes its load to the entries that are connected (Publisher); an entry listens to
 // the sides of the engines that it uses (Listener). An entry sees only its own requests;
 // without these reports it would send more to engines that other entries have filled.
@@ -43,9 +43,9 @@
 )
 
 // Load is the report of an engine's load. Active and Queued count the requests of all
-// entries, Pace is how many times longer than declared the engine's steps take, Serving is
-// the version that it serves, 0 for none, and Loading is set while it loads a version or is
-// about to.
+// entries, Slowness is how many times longer than declared the engine's steps take,
+// ServedVersion is the version that it serves, 0 for none, and Loading is set while it loads a
+// version or is about to.
 type Load struct {
 	Alive         bool    `msgpack:"alive"`
 	Active        int     `msgpack:"active"`
--- a/io/process/side/side.go
+++ b/io/process/side/side.go
@@ -24,7 +24,7 @@
 	"hawthornferry/io/version/swarm"
 )
 
-// Side is one side process. Host must be opened before Run; nothing else is set.
+// Side is one side process. Process must be opened before Run; nothing else is set.
 type Side struct {
 	Process *proc.Process
 
--- a/io/process/trends/gauge.go
+++ b/io/process/trends/gauge.go
@@ -1,5 +1,5 @@
-// Package gauge records measures that show a slow decline of a process (latencies, counts and
-// table sizes), and publishes them as metrics and in the status. Package host creates one
+// Package trends records measures that show a slow decline of a process (latencies, counts and
+// table sizes), and publishes them as metrics and in the status. Package proc creates one
 // Recorder for each process; packages front and gate record their measures in it.
 package trends
 
@@ -34,7 +34,7 @@
 }
 
 // Recorder holds the measures of a process. Set the exported fields before the first use. It is
-// safe for concurrent use. A nil Gauge ignores samples.
+// safe for concurrent use. A nil Recorder ignores samples.
 type Recorder struct {
 	Clock   clockwork.Clock
 	Metrics tally.Scope
@@ -65,7 +65,8 @@
 	g.tracker.AddCount(g.Clock.Now(), name, n)
 }
 
-// WatchTable adds a table whose size is read every publishInterval. Its Len must not use the gauge.
+// WatchTable adds a table whose size is read every publishInterval. Its Len must not use the
+// recorder.
 func (g *Recorder) WatchTable(t Table) {
 	if g == nil {
 		return
--- a/io/process/uptime/awake.go
+++ b/io/process/uptime/awake.go
@@ -1,7 +1,7 @@
-// Package awake provides a clock that also counts the time in which the machine is
+// Package uptime provides a clock that also counts the time in which the machine is
 // suspended (Now), and detects when this process stalled (StallDetector). Ages of information
 // are measured with them: package hosted passes both to package feed, and packages order and
-// shelf use Now.
+// adapt use Now.
 package uptime
 
 import (
--- a/io/process/watch/stats.go
+++ b/io/process/watch/stats.go
@@ -5,11 +5,12 @@
 )
 
 // Stats describes the distribution of the configuration, for the administration
-// API. Service is the revision that this process has last read from the service
-// itself. Refused is the revision that was last refused, and Fault the reason.
+// API. ReadRevision is the revision that this process has last read from the
+// service itself. RefusedRevision is the revision that was last refused, and
+// RefusalReason the reason.
 // ConflictRevision is the revision in force when another document with the same
-// revision was received. Received and Sent are the total bytes of all
-// configuration connections, Platform those of the documents and VM lists that
+// revision was received. ReceivedBytes and SentBytes are those of all
+// configuration connections, PlatformBytes those of the documents and VM lists that
 // this process has read itself.
 type Stats struct {
 	Revision         uint64
--- a/io/process/watch/watch.go
+++ b/io/process/watch/watch.go
@@ -1,7 +1,7 @@
 // Package watch keeps the configuration document and the VM list of a process
 // up to date. It reads both from the platform and exchanges them with peers;
 // package gossip decides which state to adopt, what to send and which processes
-// read. Package host runs a Watcher in each process. doc/config-propagation.md
+// read. Package proc runs a Watcher in each process. doc/config-propagation.md
 // describes it for operators.
 package watch
 
@@ -35,8 +35,8 @@
 const maxEvents = 256
 
 // Watcher keeps the document in force and the VM list up to date, and is the
-// view.Source of its process. Set the exported fields before Run. If Config and
-// VMListService are invalid addresses, the process depends on its peers alone.
+// view.Source of its process. Set the exported fields before Run. If ConfigService
+// and VMListService are invalid addresses, the process depends on its peers alone.
 type Watcher struct {
 	Self          *link.Self
 	Clock         clockwork.Clock
--- a/io/request/await/await.go
+++ b/io/request/await/await.go
@@ -10,7 +10,7 @@
 )
 
 // Dispatcher serializes calls to a policy and delivers each verdict to the request that waits
-// for it. Set ID before the first call.
+// for it. Set RequestID before the first call.
 type Dispatcher[V any] struct {
 	// RequestID returns the ID of the request that a verdict is for.
 	RequestID func(v V) string
--- a/io/request/direct/dialect.go
+++ b/io/request/direct/dialect.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Call holds what the headers of a caller's request say.
+// CallerHeaders holds what the headers of a caller's request say.
 type CallerHeaders struct {
 	// ID identifies the request.
 	ID string
@@ -32,7 +32,7 @@
 	LastEventID string
 }
 
-// Forward holds what the entry adds to a request that it sends to a target.
+// ForwardHeaders holds what the entry adds to a request that it sends to a target.
 type ForwardHeaders struct {
 	// Target is the ID of the target.
 	Target string
@@ -41,27 +41,28 @@
 	Customer  string
 	// LastEventID is the ID of the last event that the caller has.
 	LastEventID string
-	// Version is the model version that the target must serve, zero for any.
+	// RequiredVersion is the model version that the target must serve, zero for any.
 	RequiredVersion uint64
 }
 
-// Reply holds what the headers of a target's response say.
+// ReplyHeaders holds what the headers of a target's response say.
 type ReplyHeaders struct {
 	// Signed is set if the response was produced by a target and not by something in
 	// between.
 	Signed bool
 	// NotRun is set if the target says that the request did not run.
 	NotRun bool
-	// Call is the ID of the request that was answered, empty if the headers do not say.
+	// RequestID is the ID of the request that was answered, empty if the headers do not
+	// say.
 	RequestID string
 }
 
 // HeaderCodec reads and writes the headers that callers and targets use.
 type HeaderCodec interface {
-	// Call reads the headers of a caller's request. An error rejects the request.
+	// ReadCaller reads the headers of a caller's request. An error rejects the request.
 	ReadCaller(r *http.Request) (CallerHeaders, error)
-	// Forward writes the headers of a request to a target.
+	// WriteForward writes the headers of a request to a target.
 	WriteForward(h http.Header, f ForwardHeaders)
-	// Reply reads the headers of a target's response.
+	// ReadReply reads the headers of a target's response.
 	ReadReply(status int, h http.Header) ReplyHeaders
 }
--- a/io/request/direct/server.go
+++ b/io/request/direct/server.go
@@ -38,8 +38,8 @@
 	// GracePeriod is the grace period of a stop: the time from the request to stop until the
 	// process is killed.
 	GracePeriod time.Duration
-	// Version is how long after the announcement of a model version requests may still
-	// begin on older ones.
+	// OldVersionPeriod is how long after the announcement of a model version requests
+	// may still begin on older ones.
 	OldVersionPeriod time.Duration
 	// RetryBudget limits the retries that are sent to each service.
 	RetryBudget budget.Budget
--- a/io/request/direct/watchdog.go
+++ b/io/request/direct/watchdog.go
@@ -22,8 +22,8 @@
 	gapSilenceFactor   = 2.5
 	// minSilence is the lower limit of the resulting timeouts.
 	minSilence = 150 * time.Millisecond
-	// beginMargin is how long before the limit on old model versions (Rules.Version) a
-	// request must have begun on one.
+	// beginMargin is how long before the limit on old model versions
+	// (Rules.OldVersionPeriod) a request must have begun on one.
 	beginMargin = 300 * time.Millisecond
 )
 
--- a/io/request/front/drain_test.go
+++ b/io/request/front/drain_test.go
@@ -16,7 +16,7 @@
 	"hawthornferry/io/conn/sessn"
 )
 
-// waitAvailability waits until the entry reports the wanted standing for the target.
+// waitAvailability waits until the entry reports the wanted availability for the target.
 func (fl *testFleet) waitAvailability(e *entry, name string, want picker.Availability) {
 	for {
 		for _, t := range e.front.Targets() {
--- a/io/request/front/front.go
+++ b/io/request/front/front.go
@@ -5,7 +5,7 @@
 //
 // Calls that may be repeated are retried on other targets (repeat.go, relay.go,
 // stream.go). Once-calls run at most once (once.go, onceattempt.go, ticket.go). Package
-// entry (io/process/entry) builds and runs a Front.
+// entry (io/process/entry) builds and runs a Server.
 package front
 
 import (
@@ -47,8 +47,8 @@
 	// may be nil.
 	Recorder *trends.Recorder
 	Source   view.Source
-	// ListenAddr is the address on which to accept callers. If Net is set, it is used
-	// instead.
+	// ListenAddr is the address on which to accept callers. If Listener is set, it
+	// is used instead.
 	ListenAddr netip.AddrPort
 	Listener   net.Listener
 	// Chooser picks targets. If it is nil, a picker.Chooser is used.
--- a/io/request/front/measure.go
+++ b/io/request/front/measure.go
@@ -7,7 +7,7 @@
 	"hawthornferry/io/process/trends"
 )
 
-// addMeasures adds a finished request to the latencies and counts that Gauge watches
+// addMeasures adds a finished request to the latencies and counts that Recorder watches
 // for slow degradation.
 func (f *Server) addMeasures(rq *request, res result) {
 	if rq.timeToFirstByte > 0 {
@@ -21,7 +21,7 @@
 	}
 }
 
-// watchTables registers the tables of the entry whose sizes Gauge watches.
+// watchTables registers the tables of the entry whose sizes Recorder watches.
 func (f *Server) watchTables() {
 	f.Recorder.WatchTable(trends.Table{Name: "prefixes", Bound: picker.DefaultMaxPrefixes, Len: f.policy.prefixCount})
 	f.Recorder.WatchTable(trends.Table{Name: "admission", Bound: admit.MaxRemembered + f.Limits.MaxInFlight, Len: f.policy.admissionCount})
--- a/io/request/front/pool.go
+++ b/io/request/front/pool.go
@@ -267,8 +267,8 @@
 	return c
 }
 
-// standing combines what the VM list, the side's heartbeat and the state of the session
-// say. The first that excludes the target determines the result.
+// availability combines what the VM list, the side's heartbeat and the state of the
+// session say. The first that excludes the target determines the result.
 func (m *member) availability(s sessn.Status) picker.Availability {
 	switch {
 	case m.vm.State == fleet.StateLeaving || s.Heartbeat.Leaving:
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -1,9 +1,9 @@
 // Package gate forwards the calls of entries to one target. It runs in the side process
 // next to the target, and every call to the target passes through it. Package side
-// (io/process/side) builds and runs the Gate; package front is its counterpart in the
+// (io/process/side) builds and runs the Proxy; package front is its counterpart in the
 // entry.
 //
-// The gate runs once-calls at most once, refuses calls that the target may not get, and
+// The proxy runs once-calls at most once, refuses calls that the target may not get, and
 // reports the target's state to the entries in heartbeats.
 package gate
 
@@ -199,8 +199,8 @@
 	}
 }
 
-// HeartbeatChanged returns a channel that is closed when entries should learn the result of Beat
-// at once.
+// HeartbeatChanged returns a channel that is closed when entries should learn the result of
+// Heartbeat at once.
 func (g *Proxy) HeartbeatChanged() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/io/request/gate/measure.go
+++ b/io/request/gate/measure.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// watchTables registers the gate's tables whose sizes Gauge watches.
+// watchTables registers the proxy's tables whose sizes Recorder watches.
 func (g *Proxy) watchTables() {
 	g.Recorder.WatchTable(trends.Table{Name: "ledger", Bound: g.LedgerLimits.MaxRecords, Len: g.ledgerSize})
 	g.Recorder.WatchTable(trends.Table{Name: "runs", Bound: g.LedgerLimits.MaxRecords, Len: g.executionsSize})
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -169,7 +169,7 @@
 }
 
 // expireLocked drops the stored calls and the ledger records that are older than
-// LedgerLimits.Keep.
+// LedgerLimits.RecordMaxAge.
 func (g *Proxy) expireLocked() {
 	now := g.now()
 	g.ledger.Expire(now)
--- a/io/request/gate/transport.go
+++ b/io/request/gate/transport.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LedgerLimits for connections to the target.
+// Limits for connections to the target.
 const (
 	dialTimeout    = 2 * time.Second
 	maxIdleConns   = 64
--- a/io/version/adapt/engine.go
+++ b/io/version/adapt/engine.go
@@ -7,10 +7,10 @@
 	"hawthornferry/core/version/chunk"
 )
 
-// Report is the state that an engine reports. Serving is the version that it serves, 0
-// if it has no weights. Born is when it started, zero if unknown, and Orders counts the
-// load orders that it has accepted since then. Active and Queued count its requests;
-// Slowness is how many times longer than declared its steps take.
+// Report is the state that an engine reports. ServedVersion is 0 if the engine has no
+// weights. StartedAt is zero if unknown, and AcceptedOrders counts the load orders that
+// it has accepted since then. Active and Queued count its requests; Slowness is how many
+// times longer than declared its steps take.
 type Report struct {
 	Model          string
 	ServedVersion  uint64
@@ -23,8 +23,8 @@
 }
 
 // Engine is the control interface of one engine. The engine stages the chunks of a model
-// under their numbers, one chunk for each number; Held lists the numbers for which it
-// has a chunk, and Put overwrites the chunk of a number. Begin orders the engine to load
+// under their numbers, one chunk for each number; HeldNumbers lists the numbers for which it
+// has a chunk, and Put overwrites the chunk of a number. OrderLoad orders the engine to load
 // the staged chunks as the given version; orders is how many orders the engine must have
 // accepted before.
 type Engine interface {
@@ -36,7 +36,7 @@
 }
 
 // Origin serves the weights of every version. Manifest lists the chunks of a version,
-// and Piece reads the chunk with number num; progress is called with the number of bytes
+// and ReadChunk reads the chunk with number num; progress is called with the number of bytes
 // of each part received.
 type Origin interface {
 	Manifest(ctx context.Context, model string, version uint64) (chunk.Manifest, error)
--- a/io/version/adapt/load_test.go
+++ b/io/version/adapt/load_test.go
@@ -31,7 +31,7 @@
 	version uint64
 	orders  uint64
 	onGet   func(num int)
-	// heldFailures is how many calls of Held still fail; putErr is the error of Put.
+	// heldFailures is how many calls of HeldNumbers still fail; putErr is the error of Put.
 	heldFailures int
 	putErr       error
 	// While silent is set the engine answers no Report and no order and does not read
--- a/io/version/adapt/manifest.go
+++ b/io/version/adapt/manifest.go
@@ -41,7 +41,7 @@
 )
 
 // ManifestReader reads the manifests of the wanted versions, from the origin or from peers as
-// the plan of core/version/tree says, and adds them to Shelf. It also serves them to
+// the plan of core/version/tree says, and adds them to Adapter. It also serves them to
 // peers. Set the exported fields before Run.
 type ManifestReader struct {
 	Self    *link.Self
@@ -50,7 +50,7 @@
 	Adapter *Adapter
 	// Peers lists the sides of the other targets.
 	Peers func() []fleet.VM
-	// OnManifest is called with each edition whose manifest has been read. It must be safe for
+	// OnManifest is called with each version whose manifest has been read. It must be safe for
 	// concurrent use.
 	OnManifest func(e *KnownVersion)
 
@@ -59,7 +59,7 @@
 	wantedVersions []uint64
 	// wantedChanged is closed at the next change of the wanted versions.
 	wantedChanged chan struct{}
-	// manifestAdded is closed when the next manifest is added to Shelf; nil if nobody
+	// manifestAdded is closed when the next manifest is added to Adapter; nil if nobody
 	// waits for it.
 	manifestAdded chan struct{}
 }
@@ -158,8 +158,8 @@
 	return tries
 }
 
-// addManifest adds a manifest to Shelf, wakes the peers' requests that wait for it and
-// calls Read.
+// addManifest adds a manifest to Adapter, wakes the peers' requests that wait for it
+// and calls OnManifest.
 func (l *ManifestReader) addManifest(m chunk.Manifest, model string, version uint64, from string) error {
 	e, err := l.Adapter.AddManifest(m, model, version)
 	if err != nil {
@@ -315,7 +315,7 @@
 	}}
 }
 
-// awaitVersion returns the edition that a peer asks for, as soon as its manifest is
+// awaitVersion returns the version that a peer asks for, as soon as its manifest is
 // known. It returns false when the peer's wait is over.
 func (l *ManifestReader) awaitVersion(ctx context.Context, request *manifestRequest) (*KnownVersion, bool) {
 	timeout := l.Clock.After(request.Wait)
--- a/io/version/adapt/versions.go
+++ b/io/version/adapt/versions.go
@@ -1,11 +1,11 @@
-// Package shelf connects engines and origins that identify chunks by model, version and
+// Package adapt connects engines and origins that identify chunks by model, version and
 // number with the distribution of weights, which identifies them by digest.
-// io/process/hosted builds a Shelf and a Library for the side, the process beside one
-// engine. io/version/swarm stages chunks through the Shelf and reads them from the
-// origin with it; io/version/order has it load a version. The Library reads the
-// manifests. Package platform implements Engine and Origin.
+// io/process/hosted builds an Adapter and a ManifestReader for the side, the process
+// beside one engine. io/version/swarm stages chunks through the Adapter and reads them
+// from the origin with it; io/version/order has it load a version. The ManifestReader
+// reads the manifests. Package platform implements Engine and Origin.
 //
-// The Shelf keeps the verified chunks of the version being distributed in memory, since
+// The Adapter keeps the verified chunks of the version being distributed in memory, since
 // a staged chunk may become corrupt at the engine.
 package adapt
 
@@ -59,7 +59,7 @@
 	Engine Engine
 	Origin Origin
 	// Uptime is a clock that also counts the time in which the machine was suspended; a
-	// chunk may become corrupt in that time. Nil stands for awake.Now.
+	// chunk may become corrupt in that time. Nil stands for uptime.Now.
 	Uptime func() time.Duration
 	// OnLoading, if set, is called with true before an order is given and with false
 	// afterwards.
@@ -90,8 +90,8 @@
 // the one announced meanwhile.
 const maxVersions = 4
 
-// AddManifest adds the manifest of a version, or replaces it, and returns its edition. If there
-// are too many versions the lowest is dropped.
+// AddManifest adds the manifest of a version, or replaces it, and returns the version.
+// If there are too many versions the lowest is dropped.
 func (s *Adapter) AddManifest(m chunk.Manifest, model string, version uint64) (*KnownVersion, error) {
 	raw, err := m.Encode()
 	if err != nil {
@@ -115,7 +115,7 @@
 	return e, nil
 }
 
-// FindVersion returns the edition of a version, if its manifest has been added.
+// FindVersion returns a version, if its manifest has been added.
 func (s *Adapter) FindVersion(model string, version uint64) (*KnownVersion, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/version/order/controller.go
+++ b/io/version/order/controller.go
@@ -14,21 +14,21 @@
 	"hawthornferry/io/conn/link"
 )
 
-// Intervals and limits of the Orderer.
+// Intervals and limits of the Controller.
 const (
 	// stepInterval is the longest delay between two steps while the target does not
 	// serve the wanted version.
 	stepInterval = 200 * time.Millisecond
 	// idleInterval is the delay between two steps while the target serves the wanted
-	// version, unless a new view arrives or Notice is called earlier.
+	// version, unless a new view arrives or Recheck is called earlier.
 	idleInterval = time.Second
 	// statusTimeout bounds the status requests to all peers. It must be well below
 	// roll.PermitLifetime, for which the replies permit a load.
 	statusTimeout = time.Second
 )
 
-// Target is the control interface of one engine. Engine and shelf.Shelf implement
-// it.
+// EngineControl is the control interface of one engine. EngineClient and adapt.Adapter
+// implement it.
 type EngineControl interface {
 	// State returns what the engine serves and loads.
 	State(ctx context.Context) (roll.Target, error)
@@ -58,7 +58,7 @@
 	Deadline func() roll.Deadline
 
 	initOnce sync.Once
-	// targetChanged holds a value after Notice until Run receives it.
+	// targetChanged holds a value after Recheck until Run receives it.
 	targetChanged chan struct{}
 
 	mu      sync.Mutex
@@ -86,7 +86,7 @@
 	}
 }
 
-// Run takes a step at intervals and at each Notice until ctx ends. While the target
+// Run takes a step at intervals and at each Recheck until ctx ends. While the target
 // serves the wanted version it also does so at each change of the view.
 func (o *Controller) Run(ctx context.Context) error {
 	o.init()
@@ -123,7 +123,7 @@
 	return o.machine.StepDelay(o.Clock.Now(), stepInterval)
 }
 
-// Target returns what the engine last reported, and whether it answered the last time.
+// LastState returns what the engine last reported, and whether it answered the last time.
 func (o *Controller) LastState() (roll.Target, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/io/version/order/engine.go
+++ b/io/version/order/engine.go
@@ -1,6 +1,6 @@
 // Package order makes a target load the version that the configuration document names,
 // when the other replicas of its zone permit it. The side, the process beside one
-// target, runs an Orderer; io/process/side and io/process/hosted build it.
+// target, runs a Controller; io/process/side and io/process/hosted build it.
 // core/version/roll makes the decisions, and this package reads the facts, asks the
 // other replicas and gives the orders.
 package order
--- a/io/version/pace/limiter.go
+++ b/io/version/pace/limiter.go
@@ -135,7 +135,7 @@
 	now := l.Clock.Now()
 	wait := l.freeAt.Sub(now)
 	if l.MinShare > 0 {
-		// CountLive traffic that fills the link would otherwise stop transfers and
+		// Live traffic that fills the link would otherwise stop transfers and
 		// the rollout would never end. Once minShareAt has passed, a block may
 		// be sent in any case.
 		wait = min(wait, l.minShareAt.Sub(now))
--- a/io/version/pace/window.go
+++ b/io/version/pace/window.go
@@ -128,7 +128,7 @@
 }
 
 // limit returns the current limit in bytes. It follows from the highest rate of
-// the recent buckets and is Most until a rate has been measured. The caller
+// the recent buckets and is MaxBytes until a rate has been measured. The caller
 // holds mu.
 func (w *Window) limit() int64 {
 	if !w.measured {
--- a/io/version/stage/client.go
+++ b/io/version/stage/client.go
@@ -25,7 +25,7 @@
 // maxListBytes bounds the engine's answer that lists its chunks.
 const maxListBytes = 16 << 20
 
-// Client accesses the staging area of the engine at address Engine. Set the fields
+// Client accesses the staging area of the engine at Address. Set the fields
 // before the first call. It is safe for concurrent use.
 type Client struct {
 	Address netip.AddrPort
--- a/io/version/swarm/node.go
+++ b/io/version/swarm/node.go
@@ -1,5 +1,5 @@
 // Package swarm transfers the chunks of model versions between sides, the
-// processes that run beside one target each. core/version/burst decides what
+// processes that run beside one target each. core/version/spread decides what
 // to transfer; this package carries that out: it connects to peers, reads
 // manifests from the store and chunks from the origin, exchanges blocks with
 // peers at the rates that package pace allows, verifies each chunk and stores
@@ -81,7 +81,7 @@
 // Node transfers model versions on behalf of one side. Set the exported fields
 // before Run.
 //
-// Spread.Self and Burst.OriginRegion are overwritten from Self and
+// Spread.Self and Spread.OriginRegion are overwritten from Self and
 // OriginRegion. Pacer may be shared with the code that serves calls, which
 // reports live traffic to it; if nil, one is created from LinkRates. BlockSize,
 // MaxBlockTime and CacheBytes default to DefaultBlockSize, DefaultMaxBlockTime and
--- a/io/version/swarm/report.go
+++ b/io/version/swarm/report.go
@@ -109,7 +109,7 @@
 	return logrus.StandardLogger()
 }
 
-// notifyProgress closes the channel returned by Changed if some wanted version
+// notifyProgress closes the channel returned by ProgressChanged if some wanted version
 // is complete, or its manifest is read and no chunk is held yet.
 func (n *Node) notifyProgress() {
 	n.mu.Lock()
