--- a/io/conn/sessn/beat.go
+++ b/io/conn/sessn/beat.go
@@ -45,7 +45,7 @@
 // MaxEvents is the maximum number of events in one message.
 const MaxEvents = 1024
 
-// Events carries the target's cache events to an entry, in order. They arrive with
+// CacheEvents carries the target's cache events to an entry, in order. They arrive with
 // a delay, and some are lost.
 type CacheEvents struct {
 	Events []PrefixEvent `msgpack:"e"`
--- a/io/conn/sessn/call.go
+++ b/io/conn/sessn/call.go
@@ -42,7 +42,7 @@
 	return &Call{channel: id, conn: c, wake: make(chan struct{}, 1)}
 }
 
-// StatusChanged returns the next message of the call: Verdict, Head, Data, End or Refusal.
+// Next returns the next message of the call: Verdict, Head, Data, End or Refusal.
 // When the connection has ended it returns the messages received before, then
 // ErrConnectionLost.
 func (c *Call) Next(ctx context.Context) (frame.Message, error) {
--- a/io/conn/sessn/client.go
+++ b/io/conn/sessn/client.go
@@ -22,7 +22,7 @@
 	Clock  clockwork.Clock
 	VM     fleet.VM
 	Timing Timing
-	// Changed, when set, is called after each heartbeat, when the connection ends,
+	// OnChange, when set, is called after each heartbeat, when the connection ends,
 	// and when an attempt to connect fails. It must not block.
 	OnChange func()
 	// Events, when set, is called with the target's cache events. It must not block.
--- a/io/conn/sessn/message.go
+++ b/io/conn/sessn/message.go
@@ -158,7 +158,7 @@
 	return checkChannel("verdict", m.Channel)
 }
 
-// Head is the HTTP status and header of an answer. Again is set when the side has
+// Head is the HTTP status and header of an answer. Stored is set when the side has
 // received the call before and returns the stored answer instead of running it
 // again.
 type Head struct {
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -27,7 +27,7 @@
 	Heartbeat() Heartbeat
 	// Changed returns a channel that is closed when the result of Beat changes.
 	HeartbeatChanged() <-chan struct{}
-	// Events returns the target's cache events after a position, at most MaxEvents
+	// CacheEvents returns the target's cache events after a position, at most MaxEvents
 	// of them, and the position of the last one returned.
 	CacheEvents(after uint64) ([]PrefixEvent, uint64)
 }
--- a/io/process/jsonl/sink.go
+++ b/io/process/jsonl/sink.go
@@ -1,4 +1,4 @@
-// Package trace writes the log of a process as lines of JSON: its decisions (package
+// Package jsonl writes the log of a process as lines of JSON: its decisions (package
 // trail), which the commands replay and explain read, and its other messages. It
 // never makes a request wait for the log output, and can limit the lines per second.
 // Packages host and hosted set it up at the start of a process.
