--- a/core/request/admit/admit.go
+++ b/core/request/admit/admit.go
@@ -120,14 +120,18 @@
 type Admitter struct {
 	// MaxQueue is the maximum number of calls that wait for one service.
 	MaxQueue int
-	// MaxServices, MaxCustomers and MaxTargets bound the tables. The latter two apply
-	// to each service.
+	// MaxServices is the most services, beyond which calls of new services are
+	// refused with ReasonTooMany. MaxCustomers and MaxTargets are the most customers
+	// and targets with a load report kept for each service; beyond them the ones used
+	// longest ago are forgotten.
 	MaxServices  int
 	MaxCustomers int
 	MaxTargets   int
 	// IdleAge is how long a service or customer without calls is kept.
 	IdleAge time.Duration
-	// MaxReportAge is how old a load report may be and still count.
+	// MaxReportAge is how old a load report may be and still count. If it is shorter
+	// than the interval of the reports, the limit follows the time to the first byte
+	// instead.
 	MaxReportAge time.Duration
 	// MaxCallAge is the time without a Done after which an admitted call is taken to
 	// have ended.
--- a/core/request/admit/limit.go
+++ b/core/request/admit/limit.go
@@ -40,9 +40,9 @@
 	return l
 }
 
-// usualDrift is the factor by which the usual time to the first byte rises in an
-// adjustment, so that a target that has become slower for good is not compared with a
-// value that it will not reach again.
+// usualDrift is the factor by which the usual time to the first byte rises in each
+// adjustment whose median is not below it. At 1, targets that have become slower for
+// good by more than SlowFactor would be taken for overloaded for ever.
 const usualDrift = 1.002
 
 // minUseToGrow is the share of the limit that must be in use for the limit to grow.
@@ -55,7 +55,9 @@
 	minShareCalls       = 4
 )
 
-// maxStep bounds the change of one adjustment, as a share of the limit.
+// maxStep bounds the proportional part of an adjustment by reports, as a share of the
+// limit. The constant step and the raise to the entry's share of the capacity are not
+// bounded by it.
 const maxStep = 0.3
 
 // limit is the adaptive limit of the calls that an entry has in flight at a service.
@@ -101,23 +103,23 @@
 // due reports whether the next adjustment is due.
 func (l *limit) due(now time.Time) bool { return now.Sub(l.adjusted) >= l.settings.Interval }
 
-func (l *limit) adjust(now time.Time, p targetLoad) {
+func (l *limit) adjust(now time.Time, load targetLoad) {
 	l.adjusted = now
 	used := float64(l.peakInFlight) >= minUseToGrow*l.value
 	l.peakInFlight = 0
-	if p.capacity > 0 {
-		l.adjustByReports(p, used)
+	if load.capacity > 0 {
+		l.adjustByReports(load, used)
 	} else {
 		l.adjustByLatency(used)
 	}
 	l.value = math.Max(l.value, float64(l.settings.Min))
 }
 
-func (l *limit) adjustByReports(p targetLoad, used bool) {
-	full := float64(p.capacity) * (1 + l.settings.QueuedShare)
-	room := (full - float64(p.calls)) / float64(p.capacity)
+func (l *limit) adjustByReports(load targetLoad, used bool) {
+	full := float64(load.capacity) * (1 + l.settings.QueuedShare)
+	room := (full - float64(load.calls)) / float64(load.capacity)
 	if room > 0 {
-		l.learnEntryShare(p)
+		l.learnEntryShare(load)
 		l.value = math.Max(l.value, l.entryShare*full)
 	}
 	if room > 0 && !used {
@@ -143,11 +145,11 @@
 // learnEntryShare estimates which share of the targets' calls is this entry's. The
 // entry may use that share of their capacity at once. A limit that had to grow step by
 // step after a quiet period would delay the first seconds of each burst.
-func (l *limit) learnEntryShare(p targetLoad) {
-	if p.calls < minShareCalls {
+func (l *limit) learnEntryShare(load targetLoad) {
+	if load.calls < minShareCalls {
 		return
 	}
-	entryShare := math.Min(1, float64(l.inFlight)/float64(p.calls))
+	entryShare := math.Min(1, float64(l.inFlight)/float64(load.calls))
 	l.entryShare += entryShareSmoothing * (entryShare - l.entryShare)
 }
 
--- a/core/request/admit/queue.go
+++ b/core/request/admit/queue.go
@@ -28,17 +28,17 @@
 
 func (c *customer) waiting() int { return len(c.interactive) + len(c.batch) }
 
-func (c *customer) push(q *call) {
-	if q.Priority == picker.PriorityBatch {
-		c.batch = append(c.batch, q)
+func (c *customer) push(x *call) {
+	if x.Priority == picker.PriorityBatch {
+		c.batch = append(c.batch, x)
 		return
 	}
-	c.interactive = append(c.interactive, q)
+	c.interactive = append(c.interactive, x)
 }
 
-func (c *customer) remove(q *call) bool {
+func (c *customer) remove(x *call) bool {
 	n := c.waiting()
-	same := func(x *call) bool { return x == q }
+	same := func(y *call) bool { return y == x }
 	c.interactive = slices.DeleteFunc(c.interactive, same)
 	c.batch = slices.DeleteFunc(c.batch, same)
 	return c.waiting() < n
--- a/core/request/admit/service.go
+++ b/core/request/admit/service.go
@@ -179,12 +179,12 @@
 }
 
 func (s *service) targetLoad(now time.Time) targetLoad {
-	var p targetLoad
+	var load targetLoad
 	for _, r := range s.reports.All(now) {
-		p.capacity += r.Capacity
-		p.calls += r.Running + r.Queued
+		load.capacity += r.Capacity
+		load.calls += r.Running + r.Queued
 	}
-	return p
+	return load
 }
 
 // idle reports whether the service has no calls.
--- a/core/request/calls/ledger.go
+++ b/core/request/calls/ledger.go
@@ -50,7 +50,8 @@
 	Limits Limits
 
 	records map[ID]Record
-	// settled lists the calls that no longer run, the oldest first.
+	// settled lists the calls that have ended or were marked never to run, the oldest
+	// first.
 	settled []settledCall
 	// keyWindowEnd is the side's clock from which calls bound to a key may run: no
 	// attempt that began earlier is run.
--- a/core/request/calls/outcome.go
+++ b/core/request/calls/outcome.go
@@ -3,8 +3,9 @@
 // that a side (the process next to a target) keeps, and Attempt is an entry's view of
 // one attempt to run a call at a side.
 //
-// The gate of a side and the front of an entry drive them. The package has no I/O,
-// goroutines or clock of its own; package proof explores the same code exhaustively.
+// Package gate drives the Ledger of a side, package front the Attempts of an entry.
+// The package has no I/O, goroutines or clock of its own; package proof explores the
+// same code exhaustively.
 package calls
 
 import "github.com/cockroachdb/errors"
@@ -14,7 +15,8 @@
 // idempotency key have the same ID.
 type ID string
 
-// Outcome is what a caller is told about its call. No other values exist.
+// Outcome is what a caller is told about its call. No other values exist. It is not
+// resend.Outcome, which is how one attempt of package direct ended.
 type Outcome string
 
 // The outcomes. Done: the call ran and was answered. NotRun: the call has not run and
@@ -65,7 +67,11 @@
 // Reason names the rule by which a side refused a call.
 type Reason string
 
-// The reasons for which a side refuses a call.
+// The reasons for which a side refuses a call. Unserved: the target is not ready or
+// answered 503. Busy: the side has as many calls as it may, or the target answered
+// 429. OtherVersion: the target serves another version than the call requires.
+// TargetBroke: the call reached the target and its answer did not come back whole.
+// OtherRequest: the ticket or key was used for another request before.
 const (
 	ReasonStaleReading      Reason = "staleReading"
 	ReasonOtherBoot         Reason = "otherBoot"
--- a/core/request/calls/owner.go
+++ b/core/request/calls/owner.go
@@ -23,7 +23,7 @@
 }
 
 // ErrNoOwner is returned when the owner of a key can't be determined at present.
-var ErrNoOwner = errors.New("the owner of the key can not be told now")
+var ErrNoOwner = errors.New("the owner of the key is unknown at present")
 
 // Owner returns the only side that may run the call with the given ID, and the
 // members from which it was computed.
@@ -41,16 +41,16 @@
 	if !ok {
 		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "no service %s", service)
 	}
-	places := replicaSlots(s)
-	if len(places) == 0 {
+	slots := replicaSlots(s)
+	if len(slots) == 0 {
 		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "service %s has no replicas", service)
 	}
-	p := rank.Order(string(id), places, replicaSlot.String)[0]
-	vms := zoneVMs(v, service, p.zone)
-	if len(vms) != p.total {
-		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "zone %s lists %d VMs, want %d", p.zone, len(vms), p.total)
+	slot := rank.Order(string(id), slots, replicaSlot.String)[0]
+	vms := zoneVMs(v, service, slot.zone)
+	if len(vms) != slot.total {
+		return fleet.VM{}, "", errors.Wrapf(ErrNoOwner, "zone %s lists %d VMs, want %d", slot.zone, len(vms), slot.total)
 	}
-	return vms[p.index], OwnerMembers(v, service, p.zone), nil
+	return vms[slot.index], OwnerMembers(v, service, slot.zone), nil
 }
 
 // OwnerMembers encodes the document's placement and the VMs that are the owners of a
@@ -82,7 +82,7 @@
 	total int
 }
 
-func (p replicaSlot) String() string { return fmt.Sprintf("%s/%d", p.zone, p.index) }
+func (s replicaSlot) String() string { return fmt.Sprintf("%s/%d", s.zone, s.index) }
 
 func replicaSlots(s envdoc.Service) []replicaSlot {
 	var out []replicaSlot
--- a/core/request/picker/choose.go
+++ b/core/request/picker/choose.go
@@ -21,7 +21,7 @@
 // is excluded with its availability as the reason.
 const (
 	excludedVersion    = "otherVersion"
-	excludedAvoided    = "failedThisCall"
+	excludedFailed     = "failedThisCall"
 	excludedZone       = "otherZone"
 	excludedLoad       = "moreLoaded"
 	excludedSlow       = "slow"
@@ -73,19 +73,19 @@
 	// PrefixMaxAge is how long a target is assumed to hold a prefix after it was last
 	// stored there.
 	PrefixMaxAge time.Duration
-	// MaxPrefixes and MaxTargets bound the number of entries in the tables.
+	// MaxPrefixes and MaxTargets bound the number of rows in the tables.
 	MaxPrefixes int
 	MaxTargets  int
 	// AssumedCapacity is the capacity assumed for a target that has not reported one.
 	AssumedCapacity int
 
-	prefixes      prefixTable
-	loadEstimates loadEstimator
-	intervals     intervalTracker
-	initialized   bool
+	prefixes       prefixTable
+	loadEstimates  loadEstimator
+	tokenIntervals intervalTracker
+	initialized    bool
 }
 
-// TableSizes holds the number of entries in each of a Chooser's tables.
+// TableSizes holds the number of rows in each of a Chooser's tables.
 type TableSizes struct {
 	Prefixes       int
 	Targets        int
@@ -101,7 +101,7 @@
 
 // Error names the service and the number of excluded candidates.
 func (e *NoTargetError) Error() string {
-	return fmt.Sprintf("no target of service %s: %d candidates left out", e.Service, len(e.Excluded))
+	return fmt.Sprintf("no target of service %s: all %d candidates are excluded", e.Service, len(e.Excluded))
 }
 
 // Choose returns the target for r among the candidates, which are the targets of the
@@ -139,20 +139,20 @@
 // over one answer.
 func (c *Chooser) ObserveTokenInterval(now time.Time, target string, interval time.Duration) {
 	c.init()
-	c.intervals.observe(now, target, interval)
+	c.tokenIntervals.observe(now, target, interval)
 }
 
-// Sizes returns the number of entries in each table.
+// Sizes returns the number of rows in each table.
 func (c *Chooser) Sizes() TableSizes {
-	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), TokenIntervals: c.intervals.table.Len()}
+	return TableSizes{Prefixes: c.prefixes.table.Len(), Targets: c.loadEstimates.table.Len(), TokenIntervals: c.tokenIntervals.table.Len()}
 }
 
-// Expire drops expired entries from the tables. Call it about once a minute.
+// Expire drops expired rows from the tables. Call it about once a minute.
 func (c *Chooser) Expire(now time.Time) {
 	c.init()
 	c.prefixes.table.Expire(now)
 	c.loadEstimates.table.Expire(now)
-	c.intervals.table.Expire(now)
+	c.tokenIntervals.table.Expire(now)
 }
 
 func (c *Chooser) init() {
@@ -169,8 +169,8 @@
 	c.loadEstimates.reportMaxAge = orDefault(c.ReportMaxAge, DefaultReportMaxAge)
 	c.loadEstimates.table.TTL = c.loadEstimates.reportMaxAge
 	c.loadEstimates.capacity = orDefault(c.AssumedCapacity, DefaultAssumedCapacity)
-	c.intervals.table.MaxEntries = c.loadEstimates.table.MaxEntries
-	c.intervals.table.TTL = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
+	c.tokenIntervals.table.MaxEntries = c.loadEstimates.table.MaxEntries
+	c.tokenIntervals.table.TTL = orDefault(c.TokenIntervalMaxAge, DefaultTokenIntervalMaxAge)
 }
 
 func orDefault[T comparable](v, def T) T {
@@ -224,7 +224,7 @@
 		return excludedVersion
 	}
 	if slices.Contains(r.FailedTargets, c.VM.Name) {
-		return excludedAvoided
+		return excludedFailed
 	}
 	return ""
 }
@@ -232,7 +232,7 @@
 // excludeSlow excludes slow targets, unless the load of the others is above
 // SpillThreshold.
 func (c *Chooser) excludeSlow(now time.Time, all []eligibleTarget, ex *exclusions) []eligibleTarget {
-	usual, slow := c.intervals.splitSlow(now, all)
+	usual, slow := c.tokenIntervals.splitSlow(now, all)
 	if len(slow) == 0 || meanUtilization(usual) > c.SpillThreshold {
 		return all
 	}
--- a/core/request/picker/prefix.go
+++ b/core/request/picker/prefix.go
@@ -7,7 +7,9 @@
 	"hawthornferry/core/process/ttlmap"
 )
 
-// holdersPerPrefix is the most targets remembered for one prefix.
+// holdersPerPrefix is the most targets remembered for one prefix. With fewer, a
+// popular prefix that spread over several targets is prefilled again; with more, each
+// look-up takes longer.
 const holdersPerPrefix = 4
 
 // prefixTable remembers which targets are likely to hold which prompt prefixes in
--- a/core/request/picker/speed.go
+++ b/core/request/picker/speed.go
@@ -9,10 +9,10 @@
 
 // Parameters for detecting slow targets.
 const (
-	// paceSmoothing is the least weight of a new sample in the moving average.
-	paceSmoothing = 0.1
-	// minPaceSamples is the fewest samples for which a target's average is used.
-	minPaceSamples = 8
+	// minSampleWeight is the least weight of a new sample in the moving average.
+	minSampleWeight = 0.1
+	// minIntervalSamples is the fewest samples for which a target's average is used.
+	minIntervalSamples = 8
 	// slowFactor is the multiple of the median time between tokens above which a
 	// target is slow.
 	slowFactor = 2
@@ -25,16 +25,16 @@
 // get nearly as many calls as the others, and a share of the calls would be slow.
 //
 // The time to the first byte isn't suitable as a measure: it depends more on prompts,
-// caches and queues than on the target, and busy targets were taken for slow ones.
+// caches and queues than on the target, and would make busy targets look slow.
 type intervalTracker struct {
 	table ttlmap.Map[string, intervalStats]
 }
 
-// intervalStats holds a target's speed. interval is the moving average of its time
-// between tokens in seconds, over the given number of samples. lastProbe is when it was
-// last let in although it is slow.
+// intervalStats holds a target's mean time between tokens: mean is the moving
+// average in seconds, over the given number of samples. lastProbe is when the target
+// was last let in although it is slow.
 type intervalStats struct {
-	interval  float64
+	mean      float64
 	samples   int
 	lastProbe time.Time
 }
@@ -44,14 +44,14 @@
 func (s *intervalTracker) observe(now time.Time, target string, interval time.Duration) {
 	v, _ := s.table.Get(now, target)
 	v.samples++
-	weight := max(paceSmoothing, 1/float64(v.samples))
+	weight := max(minSampleWeight, 1/float64(v.samples))
 	// A slow target gets only a few probes. A sample that is much faster than the
 	// average gets a large weight, so that a recovered target is not excluded for
 	// long.
-	if interval.Seconds()*slowFactor < v.interval {
+	if interval.Seconds()*slowFactor < v.mean {
 		weight = 1.0 / 2
 	}
-	v.interval += weight * (interval.Seconds() - v.interval)
+	v.mean += weight * (interval.Seconds() - v.mean)
 	s.table.Put(now, target, v)
 }
 
@@ -61,8 +61,8 @@
 func (s *intervalTracker) splitSlow(now time.Time, targets []eligibleTarget) (usual, slow []eligibleTarget) {
 	known := make([]float64, 0, len(targets))
 	for _, t := range targets {
-		if v, ok := s.table.Get(now, t.vm.Name); ok && v.samples >= minPaceSamples {
-			known = append(known, v.interval)
+		if v, ok := s.table.Get(now, t.vm.Name); ok && v.samples >= minIntervalSamples {
+			known = append(known, v.mean)
 		}
 	}
 	if len(known) < 2 {
@@ -72,7 +72,7 @@
 	bound := slowFactor * known[(len(known)-1)/2]
 	for _, t := range targets {
 		v, ok := s.table.Get(now, t.vm.Name)
-		if !ok || v.samples < minPaceSamples || v.interval <= bound {
+		if !ok || v.samples < minIntervalSamples || v.mean <= bound {
 			usual = append(usual, t)
 			continue
 		}
--- a/core/request/picker/subset.go
+++ b/core/request/picker/subset.go
@@ -19,8 +19,8 @@
 // The home entries of a target are the entries of its zone; if there are none, those
 // of its region; if there are none either, all entries. Each target ranks its home
 // entries, and an entry takes first the targets that rank it highest. If each entry
-// ranked the targets instead, some targets would be in no subset and stay idle: 24 of
-// 256 targets with 22 entries and subsets of 24. With subsets that add up to twice
+// ranked the targets instead, some targets could be in no subset and stay idle, such
+// as 24 of 256 with 22 entries and subsets of 24. With subsets that add up to twice
 // the number of targets, the ranking by targets leaves none out.
 //
 // A quarter of the subset is reserved for targets that have other home entries, if
--- a/core/request/picker/types.go
+++ b/core/request/picker/types.go
@@ -1,9 +1,10 @@
-// Package picker is the load balancer of an entry: it chooses the target of each
-// call, by prompt prefix affinity, load, speed and zone, and the subset of targets to
-// which an entry keeps sessions.
+// Package picker is the load balancer of an entry that sends calls to the sides of
+// targets: it chooses the target of each call, by prompt prefix affinity, load, speed
+// and zone, and the subset of targets to which an entry keeps sessions.
 //
-// The entry's front calls it with what it knows of its targets. The package does no
-// I/O and reads no clock; callers pass the time in.
+// Package front calls it with what it knows of its targets. Package place is the
+// counterpart for the entries of package hosted. The package does no I/O and reads no
+// clock; callers pass the time in.
 package picker
 
 import (
@@ -28,6 +29,9 @@
 // PrefixHashes holds hashes of the prompt's leading blocks, the shortest prefix
 // first. Version, if set, is the only version that may run the call, such as for a
 // resumed stream. FailedTargets lists targets that have already failed this call.
+// Choose reads Service, PrefixHashes, Version and FailedTargets only; package front
+// passes ID, Customer, Service, Priority and Deadline to package admit. Nothing
+// reads AtMostOnce.
 type Request struct {
 	ID            string
 	Customer      string
@@ -53,7 +57,8 @@
 type Availability string
 
 // The values of Availability. Any other than ready excludes the target, and its value
-// is logged as the reason.
+// is logged as the reason. Leaving: the target gets no new work. Silent: there is no
+// session to its side. Unserved: its side reports that the target is not ready.
 const (
 	AvailabilityReady    Availability = "ready"
 	AvailabilityLeaving  Availability = "leaving"
--- a/core/request/resend/resend.go
+++ b/core/request/resend/resend.go
@@ -3,7 +3,8 @@
 // request has not run. Package direct calls it.
 package resend
 
-// Outcome is how one attempt ended.
+// Outcome is how one attempt ended. It is not calls.Outcome, which is what a caller is
+// told.
 type Outcome string
 
 // The outcomes of an attempt. Relayed means that the caller has the whole answer,
@@ -12,7 +13,8 @@
 // the request may have run. TargetFailure is an error that the target itself answered,
 // CallerGone means that the caller went away, and MismatchedReply is an answer to
 // another request. Moved is an attempt whose answer goes on at another target, Dropped
-// one that the entry no longer needs.
+// one that the entry no longer needs. After Moved and Dropped another attempt may follow
+// as long as MaxAttempts allows.
 const (
 	Relayed         Outcome = "relayed"
 	TargetFailure   Outcome = "failureOfTarget"
