--- a/core/request/poison/fingerprint.go
+++ b/core/request/poison/fingerprint.go
@@ -46,7 +46,8 @@
 }
 
 // writeLengthPrefix writes the length of the field that follows. Without it,
-// different requests whose fields are divided differently would have the same key.
+// different requests whose fields are divided differently would have the same
+// fingerprint.
 func writeLengthPrefix(h hash.Hash, n int) {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
--- a/core/request/poison/fingerprint_test.go
+++ b/core/request/poison/fingerprint_test.go
@@ -6,8 +6,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Repeats of a request must have the same key, and all other requests a different
-// one: otherwise a caller would be refused for another caller's request.
+// Repeats of a request must have the same fingerprint, and all other requests a
+// different one: otherwise a caller would be refused for another caller's request.
 func TestKeyDistinguishesRequests(t *testing.T) {
 	base := Request{Method: "POST", Host: "desk.example", URI: "/draft/?a=1", Caller: "customer-a", Body: []byte("text")}
 	tests := []struct {
--- a/core/request/poison/ledger.go
+++ b/core/request/poison/ledger.go
@@ -54,34 +54,39 @@
 	sameFailureWindow = time.Second
 )
 
-// Bounds of a ledger. A request's record expires recordMaxAge after its last failure,
-// success or repeat. The requests that broke off at a target start are only of
-// interest for maxAnswerTime, as long as an answer may last.
+// Bounds of a ledger. maxRequests and maxStarts are the most requests and target
+// starts in it; beyond them the ones renewed longest ago are forgotten. maxFailures
+// is the most failures kept of one request; beyond it the oldest is dropped, and a
+// Note with more is invalid. A request's record expires recordMaxAge after its last
+// failure, success or repeat. The requests that broke off at a target start are only
+// of interest for maxAnswerTime, as long as an answer may last.
 const (
 	maxRequests = 4096
 	maxStarts   = 512
 	maxFailures = 8
-	// maxKeysPerStart is the most requests recorded as broken off at one target
+	// maxFingerprintsPerStart is the most requests recorded as broken off at one target
 	// start.
-	maxKeysPerStart = 256
-	recordMaxAge    = time.Hour
-	maxAnswerTime   = time.Minute
+	maxFingerprintsPerStart = 256
+	recordMaxAge            = time.Hour
+	maxAnswerTime           = time.Minute
 )
 
 // Incarnation identifies one start of a target, so that a target that restarts under
 // the same name counts as a different one. StartedAtMillis is the start time in Unix
-// milliseconds, or zero if the target does not report it.
+// milliseconds, or zero if the target does not report it. Comments and names call it
+// a target start.
 type Incarnation struct {
 	Target          string `msgpack:"target"`
 	StartedAtMillis int64  `msgpack:"born"`
 }
 
-// NewIncarnation returns the start of a target at the time born.
-func NewIncarnation(target string, born time.Time) Incarnation {
-	if born.IsZero() {
+// NewIncarnation returns the incarnation of a target that started at startedAt, the
+// zero time if the target does not report it.
+func NewIncarnation(target string, startedAt time.Time) Incarnation {
+	if startedAt.IsZero() {
 		return Incarnation{Target: target}
 	}
-	return Incarnation{Target: target, StartedAtMillis: born.UnixMilli()}
+	return Incarnation{Target: target, StartedAtMillis: startedAt.UnixMilli()}
 }
 
 // State is the classification of a request.
@@ -169,13 +174,13 @@
 // zero value is ready to use. It isn't safe for concurrent use.
 type Ledger struct {
 	requests ttlmap.Map[Fingerprint, *record]
-	// keysByStart holds the requests that recently broke off at each target start.
-	keysByStart ttlmap.Map[Incarnation, []Fingerprint]
+	// fingerprintsByStart holds the requests that recently broke off at each target start.
+	fingerprintsByStart ttlmap.Map[Incarnation, []Fingerprint]
 }
 
 func (l *Ledger) init() {
 	l.requests.MaxEntries, l.requests.TTL = maxRequests, recordMaxAge
-	l.keysByStart.MaxEntries, l.keysByStart.TTL = maxStarts, maxAnswerTime
+	l.fingerprintsByStart.MaxEntries, l.fingerprintsByStart.TTL = maxStarts, maxAnswerTime
 }
 
 // Len returns the number of known requests.
@@ -207,9 +212,9 @@
 func (l *Ledger) addFailure(now time.Time, k Fingerprint, r *record, at Incarnation, f failure) {
 	r.setFailure(at, f)
 	l.requests.Put(now, k, r)
-	keys, _ := l.keysByStart.Get(now, at)
-	if !slices.Contains(keys, k) && len(keys) < maxKeysPerStart {
-		l.keysByStart.Put(now, at, append(keys, k))
+	fingerprints, _ := l.fingerprintsByStart.Get(now, at)
+	if !slices.Contains(fingerprints, k) && len(fingerprints) < maxFingerprintsPerStart {
+		l.fingerprintsByStart.Put(now, at, append(fingerprints, k))
 	}
 }
 
@@ -231,8 +236,8 @@
 // FailedRequests returns the requests that recently broke off at a target start.
 func (l *Ledger) FailedRequests(now time.Time, at Incarnation) []Fingerprint {
 	l.init()
-	keys, _ := l.keysByStart.Get(now, at)
-	return keys
+	fingerprints, _ := l.fingerprintsByStart.Get(now, at)
+	return fingerprints
 }
 
 // RecordAnswer records that a target start has answered a request that was sent to it
@@ -245,8 +250,8 @@
 		if r == nil {
 			continue
 		}
-		f, struck := r.failures[at]
-		if !struck || f.survived || now.Sub(f.at) < f.survivalDelayFor(sentAt) {
+		f, known := r.failures[at]
+		if !known || f.survived || now.Sub(f.at) < f.survivalDelayFor(sentAt) {
 			continue
 		}
 		if f.firstAnswer.IsZero() {
@@ -261,9 +266,10 @@
 	return out
 }
 
-// RecordListing applies a current listing of target starts, and reports whether it
-// shows that any of them has survived a failure of the request. A start without a
-// start time proves nothing, as the target may have restarted.
+// RecordListing applies a current listing, the target starts in the platform's list,
+// and reports whether it shows that any of them has survived a failure of the
+// request. A start without a start time proves nothing, as the target may have
+// restarted.
 func (l *Ledger) RecordListing(now time.Time, k Fingerprint, starts map[Incarnation]bool) bool {
 	r := l.record(now, k)
 	if r == nil {
--- a/core/request/poison/ledger_test.go
+++ b/core/request/poison/ledger_test.go
@@ -247,7 +247,7 @@
 			}
 		}
 	}
-	if diff := cmp.Diff([]int{maxRequests, maxStarts}, []int{l.Len(), l.keysByStart.Len()}); diff != "" {
+	if diff := cmp.Diff([]int{maxRequests, maxStarts}, []int{l.Len(), l.fingerprintsByStart.Len()}); diff != "" {
 		t.Errorf("requests and starts (-want +got):\n%s", diff)
 	}
 	for i := range 3 * maxFailures {
