--- a/core/version/spread/acquire.go
+++ b/core/version/spread/acquire.go
@@ -106,6 +106,8 @@
 		if c.held {
 			continue
 		}
+		// The region relies on this side for the chunk: restart a failed import at once,
+		// at any rank.
 		if c.announcedEarly {
 			s.startFetch(now, v, i, maxTimeout*maxRank)
 			continue
@@ -137,7 +139,7 @@
 // retrying reports whether the region is known to have tried to fetch the chunk and
 // failed recently.
 func (c *chunkState) retrying(now time.Time) bool {
-	return c.failures > 0 || c.deferrals > 0 || !c.tried.IsZero() && now.Sub(c.tried) < minRankDelay
+	return c.failures > 0 || c.deferrals > 0 || !c.retryNoticeAt.IsZero() && now.Sub(c.retryNoticeAt) < minRankDelay
 }
 
 // fetchSlots is how many chunks of one version may be in transfer from upstream up at a time.
@@ -156,14 +158,14 @@
 		return
 	}
 	up := v.upstream[i]
-	pos := s.rankFor(v, i)
-	if pos < 0 || late < s.rankDelay(up, pos) {
+	selfRank := s.rankFor(v, i)
+	if selfRank < 0 || late < s.rankDelay(up, selfRank) {
 		return
 	}
 	if up == "" && s.countVia(ViaOrigin) >= s.cfg.OriginSlots {
 		return
 	}
-	s.fetch(now, v, i, up, pos)
+	s.fetch(now, v, i, up, selfRank)
 }
 
 // maxRank is above every rank. A chunk that this side announced early is treated as overdue
@@ -183,11 +185,11 @@
 }
 
 // fetch begins the transfer of chunk i from region up, or from the origin if pickExporter
-// says so. pos is this side's rank.
-func (s *State) fetch(now time.Time, v *version, i int, up string, pos int) {
+// says so. selfRank is this side's rank.
+func (s *State) fetch(now time.Time, v *version, i int, up string, selfRank int) {
 	c := v.chunks[i]
 	reason := "ranks first"
-	if pos > 0 {
+	if selfRank > 0 {
 		reason = "steps in"
 	}
 	from := s.pickExporter(now, v, c, up)
--- a/core/version/spread/action.go
+++ b/core/version/spread/action.go
@@ -44,9 +44,9 @@
 // AcceptOffers tells a peer whose offer was refused that it may offer again.
 type AcceptOffers struct{ Peer string }
 
-// Announce tells a peer about chunks of one manifest: Have are held by this side,
-// HeldInRegion by some side of the region, and Retrying are those that some side keeps
-// trying to fetch for the region.
+// Announce tells a peer about chunks of one version: Have are held by this side,
+// HeldInRegion by some side of the region, and Retrying are those that some side
+// keeps trying to fetch for the region. Manifest is the ID of the version.
 type Announce struct {
 	Peer         string
 	Manifest     chunk.Digest
@@ -55,7 +55,8 @@
 	Retrying     []int
 }
 
-// SendChunkSets sends a peer the complete chunk sets of one manifest.
+// SendChunkSets sends a peer the complete chunk sets of one version; Manifest is the
+// version's ID.
 type SendChunkSets struct {
 	Peer         string
 	Manifest     chunk.Digest
--- a/core/version/spread/events.go
+++ b/core/version/spread/events.go
@@ -29,7 +29,7 @@
 	s.announceRetries(now)
 	s.expireSuspicions(now)
 	s.connect(now)
-	s.sendReadyToAll()
+	s.sendAcceptOffersToAll()
 	s.fetchesDue = true
 	return s.decide(now)
 }
@@ -43,7 +43,7 @@
 	p.connected = true
 	p.dialFails = 0
 	s.clearSuspicion(m.Name)
-	s.sendMaps(p)
+	s.sendChunkSets(p)
 	return s.decide(now)
 }
 
@@ -55,10 +55,10 @@
 		return nil
 	}
 	p.connected = false
-	p.refusing, p.owedReady = false, false
+	p.refusing, p.owedAcceptOffers = false, false
 	s.releaseSlots(p)
 	for id := range p.heldChunks {
-		s.forgetMap(p, id)
+		s.forgetChunkSets(p, id)
 	}
 	for _, c := range s.pendingChunks() {
 		if c.source == name {
@@ -71,22 +71,22 @@
 }
 
 // ChunkSetsReceived handles the complete chunk sets of a peer for one version.
-func (s *State) ChunkSetsReceived(now time.Time, name string, id chunk.Digest, have, seen Bits) []Action {
+func (s *State) ChunkSetsReceived(now time.Time, name string, id chunk.Digest, have, heldInRegion Bits) []Action {
 	p, ok := s.peers[name]
 	if !ok || (p.heldChunks[id] == nil && len(p.heldChunks) >= maxVersionsPerPeer) {
 		return nil
 	}
 	v := s.version(id)
 	if v == nil {
-		p.storeEarly(id, have.indexes(), seen.indexes())
+		p.storeEarly(id, have.indexes(), heldInRegion.indexes())
 		return s.decide(now)
 	}
-	return s.AnnounceReceived(now, name, id, have.indexes(), seen.indexes())
+	return s.AnnounceReceived(now, name, id, have.indexes(), heldInRegion.indexes())
 }
 
 // AnnounceReceived handles a peer's announcement of chunks that it holds (have) and of
-// chunks that it knows to be held in the region (seen).
-func (s *State) AnnounceReceived(now time.Time, name string, id chunk.Digest, have, seen []int) []Action {
+// chunks that it knows to be held in the region (heldInRegion).
+func (s *State) AnnounceReceived(now time.Time, name string, id chunk.Digest, have, heldInRegion []int) []Action {
 	p, ok := s.peers[name]
 	if !ok {
 		return nil
@@ -94,7 +94,7 @@
 	v := s.version(id)
 	if v == nil {
 		if p.heldChunks[id] != nil || len(p.heldChunks) < maxVersionsPerPeer {
-			p.storeEarly(id, have, seen)
+			p.storeEarly(id, have, heldInRegion)
 		}
 		return nil
 	}
@@ -115,7 +115,7 @@
 		}
 		s.clearSuspicion(name)
 	}
-	s.relayHeldInRegion(now, v, append(have, seen...), name)
+	s.relayHeldInRegion(now, v, append(have, heldInRegion...), name)
 	return s.decide(now)
 }
 
@@ -123,9 +123,9 @@
 // know yet. Peers announce each chunk once per connection. If the announcement were
 // dropped, the peer's offers would be refused as long as the connection lasts, and
 // the chunk would in the end be fetched from the origin again.
-func (p *peer) storeEarly(id chunk.Digest, have, seen []int) {
+func (p *peer) storeEarly(id chunk.Digest, have, heldInRegion []int) {
 	p.heldChunks[id] = p.heldChunks[id].withIndexes(have)
-	p.earlyInRegion[id] = p.earlyInRegion[id].withIndexes(seen)
+	p.earlyInRegion[id] = p.earlyInRegion[id].withIndexes(heldInRegion)
 }
 
 // applyEarly applies what peers of the region announced about a version before
@@ -200,7 +200,7 @@
 	}
 	s.fetchesDue = true
 	s.clearRefusals()
-	s.sendReady()
+	s.sendAcceptOffers()
 	return s.decide(now)
 }
 
@@ -238,8 +238,8 @@
 	return p.connected && p.Region == s.cfg.Self.Region
 }
 
-// forgetMap drops what peer p announced of version id.
-func (s *State) forgetMap(p *peer, id chunk.Digest) {
+// forgetChunkSets drops what peer p announced of version id.
+func (s *State) forgetChunkSets(p *peer, id chunk.Digest) {
 	delete(p.earlyInRegion, id)
 	m, ok := p.heldChunks[id]
 	if !ok {
--- a/core/version/spread/extra.go
+++ b/core/version/spread/extra.go
@@ -7,8 +7,9 @@
 	"hawthornferry/core/process/rank"
 )
 
-// maxExtraCopies is how many copies of a version the origin's link may carry beyond
-// the first when the document prefers short time to few origin bytes.
+// maxExtraCopies is how many copies of a version the origin's link may carry beyond the
+// first when the document prefers short time to few origin bytes. It is fixed:
+// Origin.MaxCopies of the document does not change it.
 const maxExtraCopies = 3
 
 // fetchExtraCopy lets a few sides of the origin's region fetch chunks from the origin
--- a/core/version/spread/origin.go
+++ b/core/version/spread/origin.go
@@ -38,8 +38,8 @@
 	if s.countVia(ViaOrigin) > 0 || now.Sub(s.originFailedAt) < pause {
 		return false
 	}
-	place := rank.Position(string(v.id), s.cfg.Self.Name, v.members[s.cfg.Self.Region])
-	return place >= 0 && place < first
+	selfRank := rank.Position(string(v.id), s.cfg.Self.Name, v.members[s.cfg.Self.Region])
+	return selfRank >= 0 && selfRank < first
 }
 
 // noteOriginResult records whether the origin sent a chunk or failed to.
--- a/core/version/spread/retry.go
+++ b/core/version/spread/retry.go
@@ -22,13 +22,13 @@
 // times when it returns.
 func (s *State) announceRetries(now time.Time) {
 	for _, v := range s.versions {
-		var tried []int
+		var retrying []int
 		for i, c := range v.chunks {
-			if s.shouldAnnounceRetry(v, i, c) && now.Sub(c.tried) >= retryNoticeInterval {
-				tried = append(tried, i)
+			if s.shouldAnnounceRetry(v, i, c) && now.Sub(c.retryNoticeAt) >= retryNoticeInterval {
+				retrying = append(retrying, i)
 			}
 		}
-		s.relayRetries(now, v, tried, "")
+		s.relayRetries(now, v, retrying, "")
 	}
 }
 
@@ -50,10 +50,10 @@
 			continue
 		}
 		c := v.chunks[i]
-		if from != "" && now.Sub(c.tried) < retryNoticeInterval/2 {
+		if from != "" && now.Sub(c.retryNoticeAt) < retryNoticeInterval/2 {
 			continue
 		}
-		c.tried = now
+		c.retryNoticeAt = now
 		// If others get chunks from the same upstream, the fault lies with the side that
 		// fails; the due time is then not restarted, and the next in rank takes over.
 		if nothingReceived := now.Sub(s.lastReceived[v.upstream[i]]) >= retryNoticeInterval; nothingReceived && !c.dueAt.IsZero() {
@@ -73,12 +73,12 @@
 
 // RetriesReported handles a peer's notice that some side of the region keeps trying to
 // fetch chunks.
-func (s *State) RetriesReported(now time.Time, name string, id chunk.Digest, tried []int) []Action {
+func (s *State) RetriesReported(now time.Time, name string, id chunk.Digest, retrying []int) []Action {
 	v := s.version(id)
 	p, ok := s.peers[name]
-	if v == nil || !ok || !s.near(p) || len(tried) == 0 {
+	if v == nil || !ok || !s.near(p) || len(retrying) == 0 {
 		return nil
 	}
-	s.relayRetries(now, v, tried, name)
+	s.relayRetries(now, v, retrying, name)
 	return s.decide(now)
 }
--- a/core/version/spread/state.go
+++ b/core/version/spread/state.go
@@ -108,7 +108,7 @@
 	// sortedPeers holds the peers sorted by name, so that decisions do not
 	// depend on map order.
 	sortedPeers []*peer
-	// dialNames are the neighbours that this side connects to.
+	// dialNames are the neighbours that this side connects to (sidesToDial).
 	dialNames []string
 	// uploads counts the upload slots in use.
 	uploads int
@@ -202,9 +202,9 @@
 	deferredSince time.Time
 	probing       bool
 	failures      int
-	// tried is when a side of the region, this one or another, last reported
-	// that it keeps trying to fetch the chunk.
-	tried time.Time
+	// retryNoticeAt is when a side of the region, this one or another, last reported that
+	// it keeps trying to fetch the chunk.
+	retryNoticeAt time.Time
 }
 
 func (c *chunkState) pending() bool { return c.via != "" }
@@ -217,12 +217,12 @@
 	// earlyInRegion holds the chunks that the peer said are held in the region,
 	// for versions that this side does not know yet.
 	earlyInRegion map[chunk.Digest]Bits
-	// refusing is set from when the peer refused an offer until it is ready again.
+	// refusing is set from when the peer refused an offer until it accepts offers again.
 	refusing      bool
 	refusingUntil time.Time
-	// owedReady is set while this side has refused the peer's offer and not yet
+	// owedAcceptOffers is set while this side has refused the peer's offer and not yet
 	// sent it an AcceptOffers.
-	owedReady bool
+	owedAcceptOffers bool
 	// uploads counts the upload slots in use for the peer.
 	uploads        int
 	uploadDeadline time.Time
@@ -270,7 +270,7 @@
 }
 
 // SetGoal sets whether the document prefers few origin bytes or short time.
-func (s *State) SetGoal(w envdoc.Goal) { s.cfg.Goal = w }
+func (s *State) SetGoal(goal envdoc.Goal) { s.cfg.Goal = goal }
 
 // SetImportSlots changes how many chunks are transferred at a time between two regions.
 func (s *State) SetImportSlots(n int) { s.cfg.ImportSlots = n }
@@ -298,7 +298,8 @@
 	return c.ref, true
 }
 
-// Progress is how much of one wanted version a side holds.
+// Progress is how many chunks of a wanted version this side holds, of how many, and the
+// size of the held ones in bytes.
 type Progress struct {
 	Held  int
 	Total int
--- a/core/version/spread/state_test.go
+++ b/core/version/spread/state_test.go
@@ -39,7 +39,7 @@
 }
 
 // If the document prefers short time to few origin bytes, more is fetched from the
-// origin, but never more than the four copies that its link carries.
+// origin, but never more than the first copy and maxExtraCopies further ones.
 func TestWeighTimeFetchesAtMostFourCopies(t *testing.T) {
 	for _, regions := range [][]string{regionNames(1), regionNames(2, 1, 1), regionNames(6), regionNames(9, 8, 7)} {
 		n := newNetwork(t, regions...)
@@ -247,9 +247,10 @@
 
 // The origin is unavailable for six seconds just after a version was published. Every
 // side finds the chunks of those before it overdue and its own attempts fail; sides of
-// other regions wait for chunks that nobody has. When the origin returns each chunk must
-// be fetched once, as without an outage: if all sides fetched all chunks it would take as
-// many times longer, and the version would miss the time by which it must be served.
+// other regions wait for chunks that nobody has. When the origin returns each chunk
+// must be fetched once, as without an outage: if all sides fetched all chunks, the
+// origin's link would be shared by all copies, and the version would miss the time by
+// which it must be served.
 func TestOriginReturnsAfterOutage(t *testing.T) {
 	const (
 		outage = 6 * time.Second
--- a/core/version/spread/suspect.go
+++ b/core/version/spread/suspect.go
@@ -93,10 +93,9 @@
 }
 
 // markUnavailable records that this side's own attempts at an upstream failed, so the
-// sides that rank before it are not at fault. Otherwise an outage of the origin would make
-// every chunk overdue for every side, and all sides would fetch all chunks at once when it
-// ends: from an origin whose link carries four copies the version then takes as many times
-// longer.
+// sides that rank before it are not at fault. Otherwise an outage of the origin would
+// make every chunk overdue for every side, and when it ends all sides would fetch all
+// chunks at once over the origin's link, which is meant to carry four copies at most.
 func (s *State) markUnavailable(now time.Time, up string) {
 	s.unavailable[up] = true
 	s.resetDueTimes(now, up)
--- a/core/version/spread/timeout.go
+++ b/core/version/spread/timeout.go
@@ -7,7 +7,9 @@
 	// initialTimeoutFactor times MinTimeout is the timeout of a transfer before
 	// any duration has been measured.
 	initialTimeoutFactor = 10
-	maxTimeout           = 60 * time.Second
+	// maxTimeout bounds the timeouts that are derived from measured durations. A larger
+	// one keeps a stalled transfer for longer on slow links.
+	maxTimeout = 60 * time.Second
 	// timeoutFactor is how many times the mean duration a transfer may take.
 	timeoutFactor = 4
 	// maxDurationFactor is how many times its timeout a transfer from a peer may
@@ -40,10 +42,13 @@
 	// maxFailedTrades is how many times neighbours may fail to send a chunk before it
 	// is fetched again for the region.
 	maxFailedTrades = 2
-	minRetryDelay   = 100 * time.Millisecond
-	maxRetryDelay   = 5 * time.Second
-	minDialDelay    = 200 * time.Millisecond
-	maxDialDelay    = 5 * time.Second
+	// minRetryDelay is the delay before the first retry of a chunk, minDialDelay the one
+	// before the second attempt to connect to a peer. Each further failure doubles it, up
+	// to Config.MaxBackoff; maxRetryDelay and maxDialDelay are not used.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 5 * time.Second
+	minDialDelay  = 200 * time.Millisecond
+	maxDialDelay  = 5 * time.Second
 )
 
 // movingMean is an exponentially weighted mean of durations.
@@ -103,7 +108,7 @@
 // rankDelay is how long the side at a rank waits for those before it, counted from when
 // the chunk became due. While the upstream is unavailable each of those may be in the
 // longest retry delay.
-func (s *State) rankDelay(up string, pos int) time.Duration {
+func (s *State) rankDelay(up string, selfRank int) time.Duration {
 	via := ViaImport
 	if up == "" {
 		via = ViaOrigin
@@ -112,7 +117,7 @@
 	if s.unavailable[up] {
 		each += s.cfg.MaxBackoff
 	}
-	return time.Duration(pos) * each
+	return time.Duration(selfRank) * each
 }
 
 // expireTransfers ends transfers past their deadline and frees the upload slots of
@@ -190,7 +195,7 @@
 	s.clearPending(c)
 	c.probing = why == FailDeferred
 	s.fetchesDue = true
-	s.sendReady()
+	s.sendAcceptOffers()
 }
 
 // retryDelay is how long a chunk is not requested after its source failed: zero while
--- a/core/version/spread/trade.go
+++ b/core/version/spread/trade.go
@@ -7,8 +7,8 @@
 	// refusalLifetime bounds how long a refused offer is respected: if the AcceptOffers
 	// was lost, the two sides would otherwise never trade again.
 	refusalLifetime = time.Second
-	// readyPerFreeSlot is how many peers are told of one free download slot.
-	readyPerFreeSlot = 2
+	// acceptsPerFreeSlot is how many peers are told of one free download slot.
+	acceptsPerFreeSlot = 2
 )
 
 // sendOffers fills the free upload slots. Each goes to a neighbour that lacks
@@ -108,11 +108,11 @@
 	}
 	c := s.pickChunk(now, p)
 	if c == nil || s.inboundTrades >= s.cfg.DownloadSlots {
-		p.owedReady = true
+		p.owedAcceptOffers = true
 		s.emit(RefuseOffer{Peer: name})
 		return s.decide(now)
 	}
-	p.owedReady = false
+	p.owedAcceptOffers = false
 	s.beginTransfer(now, c, Fetch{Chunk: c.ref, Via: ViaTrade, Peer: name, Reason: "rarest"})
 	return s.decide(now)
 }
@@ -210,26 +210,27 @@
 	}
 }
 
-// sendReady tells some of the peers whose offers were refused that they may offer
+// sendAcceptOffers tells some of the peers whose offers were refused that they may offer
 // again.
-func (s *State) sendReady() { s.sendReadyUpTo(readyPerFreeSlot) }
+func (s *State) sendAcceptOffers() { s.sendAcceptOffersUpTo(acceptsPerFreeSlot) }
 
-// sendReadyToAll tells all of them, in case those told before had nothing to offer.
-func (s *State) sendReadyToAll() { s.sendReadyUpTo(len(s.peers)) }
+// sendAcceptOffersToAll tells every peer whose refused offer could now be accepted, in case
+// the ones that sendAcceptOffers chose have nothing to offer any more.
+func (s *State) sendAcceptOffersToAll() { s.sendAcceptOffersUpTo(len(s.peers)) }
 
-func (s *State) sendReadyUpTo(n int) {
+func (s *State) sendAcceptOffersUpTo(n int) {
 	if s.inboundTrades >= s.cfg.DownloadSlots {
 		return
 	}
-	var owedReady []*peer
+	var owedAcceptOffers []*peer
 	for _, p := range s.sortedPeers {
-		if p.owedReady && s.near(p) && s.hasMissingChunk(p) {
-			owedReady = append(owedReady, p)
+		if p.owedAcceptOffers && s.near(p) && s.hasMissingChunk(p) {
+			owedAcceptOffers = append(owedAcceptOffers, p)
 		}
 	}
-	s.rng.Shuffle(len(owedReady), func(i, j int) { owedReady[i], owedReady[j] = owedReady[j], owedReady[i] })
-	for _, p := range owedReady[:min(n, len(owedReady))] {
-		p.owedReady = false
+	s.rng.Shuffle(len(owedAcceptOffers), func(i, j int) { owedAcceptOffers[i], owedAcceptOffers[j] = owedAcceptOffers[j], owedAcceptOffers[i] })
+	for _, p := range owedAcceptOffers[:min(n, len(owedAcceptOffers))] {
+		p.owedAcceptOffers = false
 		s.emit(AcceptOffers{Peer: p.Name})
 	}
 }
--- a/core/version/spread/update.go
+++ b/core/version/spread/update.go
@@ -13,14 +13,14 @@
 // Update replaces the wanted versions and their members. Chunks that an old version
 // shares with a wanted one are kept. Transfers of chunks that no version wants any more
 // are stopped, and those that are held are discarded.
-func (s *State) Update(now time.Time, sets []WantedVersion) []Action {
+func (s *State) Update(now time.Time, wanted []WantedVersion) []Action {
 	old := s.versions
 	s.versions = nil
 	for _, c := range s.chunks {
 		c.positions = nil
 	}
-	for _, w := range sets {
-		s.versions = append(s.versions, s.newSet(w))
+	for _, w := range wanted {
+		s.versions = append(s.versions, s.newVersion(w))
 	}
 	s.dropUnwanted()
 	s.carryOver(old)
@@ -29,8 +29,8 @@
 	return s.decide(now)
 }
 
-// newSet returns the state of a wanted version, and adds its chunks to s.chunks.
-func (s *State) newSet(w WantedVersion) *version {
+// newVersion returns the state of a wanted version, and adds its chunks to s.chunks.
+func (s *State) newVersion(w WantedVersion) *version {
 	n := len(w.Manifest.Chunks)
 	v := &version{
 		id:              w.ID,
@@ -167,22 +167,22 @@
 		}
 	}
 	s.sortPeers()
-	s.dialNames = s.neighbours()
+	s.dialNames = s.sidesToDial()
 	for _, n := range s.dialNames {
 		s.peer(n, s.cfg.Self.Region)
 	}
 	for _, p := range s.sortedPeers {
 		if p.connected {
-			s.sendMaps(p)
+			s.sendChunkSets(p)
 		}
 	}
 	s.connect(now)
 }
 
-// neighbours are the sides of the region that this side connects to: those that rank
-// first for its own name. The mesh is then a random graph that changes little as sides
-// come and go.
-func (s *State) neighbours() []string {
+// sidesToDial are the sides of the region that this side connects to: those that rank
+// first for its own name. Its neighbours are these and the ones that connect to it. The
+// mesh is then a random graph that changes little as sides come and go.
+func (s *State) sidesToDial() []string {
 	var names []string
 	for _, v := range s.versions {
 		for _, n := range v.members[s.cfg.Self.Region] {
@@ -228,8 +228,8 @@
 	slices.SortFunc(s.sortedPeers, func(a, b *peer) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// sendMaps sends peer p the chunk sets of all versions, if it is in this side's region.
-func (s *State) sendMaps(p *peer) {
+// sendChunkSets sends peer p the chunk sets of all versions, if it is in this side's region.
+func (s *State) sendChunkSets(p *peer) {
 	if p.Region != s.cfg.Self.Region {
 		return
 	}
