--- a/core/version/chunk/manifest.go
+++ b/core/version/chunk/manifest.go
@@ -12,7 +12,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Limits of a manifest.
+// Limits of a manifest. MaxChunkSize is the most bytes of one chunk, MaxChunks
+// the most chunks of a manifest; package spread ignores larger indexes that a
+// peer announces.
 const (
 	MaxChunkSize = 16 << 20
 	MaxChunks    = 1 << 16
@@ -93,7 +95,7 @@
 		return errors.Newf("manifest: %d chunks, want 1 to %d", len(m.Chunks), MaxChunks)
 	}
 	if err := m.ContentDigest.Check(); err != nil {
-		return errors.Wrap(err, "manifest: whole")
+		return errors.Wrap(err, "manifest: content digest (whole)")
 	}
 	var sum int64
 	for i, c := range m.Chunks {
--- a/core/version/roll/machine.go
+++ b/core/version/roll/machine.go
@@ -293,6 +293,8 @@
 	}
 }
 
+// resetPhase ends a question when no load may start, and a load whose version is
+// served already. A load under way otherwise goes on whatever the reason.
 func (m *Machine) resetPhase(r Reason) {
 	if m.phase == PhaseAsking || r == ReasonAlreadyServed {
 		m.phase = PhaseIdle
--- a/core/version/roll/spacing.go
+++ b/core/version/roll/spacing.go
@@ -6,9 +6,8 @@
 // delayed: the other replicas may have begun theirs, or left, meanwhile.
 const maxSpacing = 500 * time.Millisecond
 
-// Deadline is the time by which the replicas of a zone must begin a load. Remaining is
-// how long the version that the target serves may still be used; it is valid while
-// Bounded is set.
+// Deadline says how much time is left to begin a load. Remaining is how long the
+// version that the target serves may still be used; it is valid while Bounded is set.
 type Deadline struct {
 	Bounded   bool
 	Remaining time.Duration
--- a/core/version/tree/tree.go
+++ b/core/version/tree/tree.go
@@ -39,43 +39,44 @@
 	// AskOrigin for one that asks it at all.
 	OriginFirst bool
 	AskOrigin   bool
-	// Parent is a side of the region: the one above this one in the tree or, after a
-	// failure, one of the roots. Fallback is a side of any region, since all sides near
-	// the top of a region's tree may be dead or cut off.
+	// Parent holds at most one side of the region: the one above this one in the tree
+	// or, after a failure, one of the roots. Fallback holds at most one side of any
+	// region, since all sides near the top of a region's tree may be dead or cut off.
 	Parent   []fleet.VM
 	Fallback []fleet.VM
 }
 
 // NewPlan returns the plan of self for the manifest named key. others are the sides
 // that may hold it.
-func NewPlan(key string, self fleet.VM, others []fleet.VM, tries Attempts) Plan {
+func NewPlan(key string, self fleet.VM, others []fleet.VM, attempts Attempts) Plan {
 	region := []fleet.VM{self}
 	for _, vm := range others {
 		if vm.Region == self.Region && vm.State == fleet.StateLive {
 			region = append(region, vm)
 		}
 	}
-	region = rank.Order(key, region, name)
-	place := slices.IndexFunc(region, func(vm fleet.VM) bool { return vm.Name == self.Name })
-	p := Plan{OriginFirst: place < RootsPerRegion, AskOrigin: place < RootsPerRegion<<min(tries.Silent, maxDoublings)}
+	region = rank.Order(key, region, vmName)
+	selfRank := slices.IndexFunc(region, func(vm fleet.VM) bool { return vm.Name == self.Name })
+	p := Plan{OriginFirst: selfRank < RootsPerRegion, AskOrigin: selfRank < RootsPerRegion<<min(attempts.Silent, maxDoublings)}
 	switch {
 	case p.OriginFirst:
-	case tries.Failed == 0:
-		p.Parent = region[(place-RootsPerRegion)/Fanout:][:1]
+	case attempts.Failed == 0:
+		p.Parent = region[(selfRank-RootsPerRegion)/Fanout:][:1]
 	default:
-		p.Parent = region[tries.Failed%RootsPerRegion:][:1]
+		p.Parent = region[attempts.Failed%RootsPerRegion:][:1]
 	}
-	if p.OriginFirst || tries.Failed > 0 {
-		p.Fallback = other(key, self, others, tries.Failed)
+	if p.OriginFirst || attempts.Failed > 0 {
+		p.Fallback = fallbackFor(key, self, others, attempts.Failed)
 	}
 	return p
 }
 
-func name(vm fleet.VM) string { return vm.Name }
+func vmName(vm fleet.VM) string { return vm.Name }
 
-// other returns a different side for each asker and attempt.
-func other(key string, self fleet.VM, others []fleet.VM, failed int) []fleet.VM {
+// fallbackFor returns the side that self asks after so many failed attempts: another
+// one for each asker and attempt.
+func fallbackFor(key string, self fleet.VM, others []fleet.VM, failed int) []fleet.VM {
 	own := key + "/" + self.Name + "/" + strconv.Itoa(failed)
-	ordered := rank.Order(own, others, name)
+	ordered := rank.Order(own, others, vmName)
 	return ordered[:min(1, len(ordered))]
 }
