--- a/core/conn/fresh/fresh.go
+++ b/core/conn/fresh/fresh.go
@@ -70,14 +70,14 @@
 type SilenceDetector struct {
 	// Timeout is the time without a message after which the connection counts as
 	// timed out.
-	Timeout   time.Duration
-	lastHeard time.Time
+	Timeout      time.Duration
+	lastReceived time.Time
 }
 
 // MessageReceived records that a message was received at now.
-func (s *SilenceDetector) MessageReceived(now time.Time) { s.lastHeard = now }
+func (s *SilenceDetector) MessageReceived(now time.Time) { s.lastReceived = now }
 
 // TimedOut reports whether nothing was received for longer than Timeout. Call
 // MessageReceived when the connection is opened; without it, every connection counts
 // as timed out.
-func (s *SilenceDetector) TimedOut(now time.Time) bool { return now.Sub(s.lastHeard) > s.Timeout }
+func (s *SilenceDetector) TimedOut(now time.Time) bool { return now.Sub(s.lastReceived) > s.Timeout }
--- a/core/process/audit/audit.go
+++ b/core/process/audit/audit.go
@@ -48,8 +48,8 @@
 }
 
 // String returns the time and process of the record and what is wrong with it.
-func (m Violation) String() string {
-	return fmt.Sprintf("%s %s: %s", m.Record.Time.Format(time.RFC3339Nano), m.Record.Process, m.Detail)
+func (v Violation) String() string {
+	return fmt.Sprintf("%s %s: %s", v.Record.Time.Format(time.RFC3339Nano), v.Record.Process, v.Detail)
 }
 
 // Result is the result of checking one guarantee. Cases is the number of cases
@@ -74,7 +74,7 @@
 	return []Result{
 		checkAtMostOnce(sorted),
 		checkNotRun(sorted),
-		checkHistory(sorted),
+		checkConsistentOutcomes(sorted),
 		checkRevisions(sorted),
 		checkLeaving(set, sorted),
 		checkVerifiedLoads(sorted),
--- a/core/process/audit/linear.go
+++ b/core/process/audit/linear.go
@@ -72,10 +72,11 @@
 	return out
 }
 
-// checkHistory checks that the outcomes of all attempts at one call, through any
+// checkConsistentOutcomes checks that the outcomes of all attempts at one call, through any
 // entries, are linearizable: there is an order of the attempts that explains the
-// outcomes and in which each attempt takes effect between its start and its answer.
-func checkHistory(records []trail.Decision) Result {
+// outcomes and in which each attempt takes effect between its start and its answer. A
+// search that runs longer than historyTimeout counts as a violation too.
+func checkConsistentOutcomes(records []trail.Decision) Result {
 	r := Result{Guarantee: GuaranteeConsistentOutcomes}
 	ops, answers := callOperations(records)
 	for _, part := range partitionByCall(ops) {
--- a/core/process/drift/drift.go
+++ b/core/process/drift/drift.go
@@ -113,8 +113,8 @@
 	for name, s := range t.series.All(now) {
 		for _, w := range s.histories {
 			w.closeEnded(now)
-			if l, ok := w.line(name, t.MaxFactor, t.MaxTrend); ok {
-				out = append(out, l)
+			if r, ok := w.result(name, t.MaxFactor, t.MaxTrend); ok {
+				out = append(out, r)
 			}
 		}
 	}
--- a/core/process/drift/window.go
+++ b/core/process/drift/window.go
@@ -69,17 +69,19 @@
 	}
 }
 
-func (w *windowHistory) line(n Name, factor, trend float64) (Result, bool) {
+// result returns the result for the scale, or false with fewer than two finished
+// windows.
+func (w *windowHistory) result(n Name, factor, trend float64) (Result, bool) {
 	last := len(w.finished) - 1
 	if last < 1 {
 		return Result{}, false
 	}
-	l := Result{Name: n, Window: w.scale.Window, Windows: len(w.finished), Value: w.finished[last]}
-	l.Median = median(w.finished[:last])
+	r := Result{Name: n, Window: w.scale.Window, Windows: len(w.finished), Value: w.finished[last]}
+	r.Median = median(w.finished[:last])
 	oldest, newest := w.trendEnds()
-	l.Trend = ratio(newest, oldest)
-	l.Declined = hasRisen(l.Value, l.Median, factor) || hasRisen(newest, oldest, trend)
-	return l, true
+	r.Trend = ratio(newest, oldest)
+	r.Declined = hasRisen(r.Value, r.Median, factor) || hasRisen(newest, oldest, trend)
+	return r, true
 }
 
 // minRise is the smallest rise, in the unit of the measure, that counts as a decline.
--- a/core/process/envdoc/doc.go
+++ b/core/process/envdoc/doc.go
@@ -40,9 +40,9 @@
 // Goal is what a rollout optimizes for.
 type Goal string
 
-// The goals. GoalOriginBytes downloads as few bytes from the origin as
-// possible. GoalTime minimizes the time until all replicas serve the new version,
-// and may download up to Origin.MaxCopies copies from the origin to that end.
+// The goals. GoalOriginBytes downloads as few bytes from the origin as possible.
+// GoalTime minimizes the time until all replicas serve the new version, and may
+// download further copies from the origin to that end.
 const (
 	GoalOriginBytes Goal = "originBytes"
 	GoalTime        Goal = "time"
@@ -50,7 +50,9 @@
 
 // Origin is the server from which model weights are downloaded. Region is empty if
 // the origin is outside all of the document's regions. MaxCopies is how many
-// complete copies of a new version may be downloaded from it during one rollout.
+// complete copies of a new version Compare assumes to be downloaded at most if the
+// goal is GoalTime. Package spread does not read it: its own limit is
+// maxExtraCopies copies besides the first.
 type Origin struct {
 	Region    string
 	MaxCopies int
--- a/core/process/envdoc/parse.go
+++ b/core/process/envdoc/parse.go
@@ -83,6 +83,7 @@
 	}
 	p.doc.Name = inidoc.Required(s, "name", inidoc.Identifier)
 	p.doc.Stage = inidoc.Required(s, "stage", inidoc.OneOf(StageTrial, StageProduction))
+	// The key of Document.Goal is "weigh".
 	p.doc.Goal = inidoc.Optional(s, "weigh", GoalOriginBytes, inidoc.OneOf(GoalOriginBytes, GoalTime))
 	p.doc.Origin.MaxCopies = defaultCopies
 }
--- a/core/process/explor/explor.go
+++ b/core/process/explor/explor.go
@@ -53,22 +53,22 @@
 // the trace.
 func (r Result) String() string {
 	if r.Err != nil {
-		return fmt.Sprintf("%v after %d moves (%d states found):\n  %s",
+		return fmt.Sprintf("%v after %d transitions (%d states found):\n  %s",
 			r.Err, len(r.Trace), r.States, strings.Join(r.Trace, "\n  "))
 	}
 	if !r.Complete {
 		return fmt.Sprintf("incomplete: stopped at %d states", r.States)
 	}
-	return fmt.Sprintf("%d states, %d moves, depth %d, no violation", r.States, r.Transitions, r.Depth)
+	return fmt.Sprintf("%d states, %d transitions, depth %d, no violation", r.States, r.Transitions, r.Depth)
 }
 
 // node is the position of a state in the search tree: the index of the state before
 // it, the transition between them, and the number of transitions from the initial
 // state.
 type node struct {
-	parent int
-	move   string
-	depth  int
+	parent     int
+	transition string
+	depth      int
 }
 
 // Explore checks every reachable state of m. It stops at the first error of m.Check,
@@ -86,9 +86,9 @@
 		var zero S
 		states[i] = zero
 		r.Depth = nodes[i].depth
-		for _, move := range m.Transitions(s) {
+		for _, transition := range m.Transitions(s) {
 			r.Transitions++
-			key := m.Key(move.Next)
+			key := m.Key(transition.Next)
 			if seen[key] {
 				continue
 			}
@@ -97,9 +97,9 @@
 				return r
 			}
 			seen[key] = true
-			nodes = append(nodes, node{parent: i, move: move.Name, depth: nodes[i].depth + 1})
-			states = append(states, move.Next)
-			if err := m.Check(move.Next); err != nil {
+			nodes = append(nodes, node{parent: i, transition: transition.Name, depth: nodes[i].depth + 1})
+			states = append(states, transition.Next)
+			if err := m.Check(transition.Next); err != nil {
 				r.States = len(nodes)
 				r.Err = err
 				r.Trace = trace(nodes)
@@ -116,7 +116,7 @@
 func trace(nodes []node) []string {
 	var names []string
 	for i := len(nodes) - 1; nodes[i].parent >= 0; i = nodes[i].parent {
-		names = append([]string{nodes[i].move}, names...)
+		names = append([]string{nodes[i].transition}, names...)
 	}
 	return names
 }
--- a/core/process/facts/facts.go
+++ b/core/process/facts/facts.go
@@ -1,7 +1,8 @@
-// Package facts holds a process's copy of the platform's state (configuration,
-// targets and model versions) and how old that copy may be. Package feed in
-// io/process builds it from the store and from peers; the rest of the process
-// reads it through Source.
+// Package facts holds a process's copy of the state in the platform's store
+// (configuration, targets and model versions) and how old that copy may be.
+// Package feed in io/process builds it from the store and from peers, for the
+// processes of package hosted, which read it through Source. Processes that
+// follow an environment document have a view.View.
 package facts
 
 import (
--- a/core/process/gossip/elect_test.go
+++ b/core/process/gossip/elect_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// ReadersPerZone continue for a while after their turn, so that processes whose
-// clocks differ by less than the overlap never leave a zone without readers,
-// when some new readers start late and some old ones stop early.
+// Readers continue for a while after their turn, so that processes whose clocks
+// differ by less than the overlap never leave a zone without readers, when some
+// new readers start late and some old ones stop early.
 func TestTurnsOverlap(t *testing.T) {
 	members := sideNames(40)
 	turn := epoch.Truncate(ReaderTurn).Add(ReaderTurn)
--- a/core/process/gossip/node.go
+++ b/core/process/gossip/node.go
@@ -29,6 +29,8 @@
 	noPeersSince    time.Time
 }
 
+// peer is what is known of a connected peer: its zone, the marks that it sent
+// last, and the parts of unfinished deltas from it.
 type peer struct {
 	zone    string
 	marks   Marks
@@ -158,7 +160,7 @@
 	if err != nil {
 		return n.refuseDelta(id, *whole, err, now)
 	}
-	return n.offer(d.Topic, next, now)
+	return n.adoptIfValid(d.Topic, next, now)
 }
 
 // refuseDelta reports a delta that did not result in the state it announced,
@@ -187,12 +189,12 @@
 	case !s.Mark.supersedes(t, r.held.Mark):
 		return []Action{Ignored{Topic: t, Mark: s.Mark, Held: r.held.Mark}}
 	}
-	return n.offer(t, s, now)
+	return n.adoptIfValid(t, s, now)
 }
 
-// offer adopts s if it is valid, and sends the new marks to the peers that
-// don't hold it.
-func (n *Node) offer(t Topic, s State, now time.Time) []Action {
+// adoptIfValid adopts s if Accept allows it, and sends the new marks to the
+// peers that don't hold it.
+func (n *Node) adoptIfValid(t Topic, s State, now time.Time) []Action {
 	r := n.replicas[t]
 	if err := n.Accept(t, s); err != nil {
 		if s.Mark.supersedes(t, r.refused) {
--- a/core/process/gossip/start_test.go
+++ b/core/process/gossip/start_test.go
@@ -11,9 +11,8 @@
 
 // Guards against every process of a new fleet taking itself for the only one
 // and downloading the weights itself. The VM list lags behind the start of the
-// fleet and is empty at first. Each process accepted that as the list's first
-// version and, as it was not in it, left the next read to readers that did not
-// exist; the list stayed empty for 10 s.
+// fleet and is empty at first. If that is accepted as the first version, each
+// process leaves the next read to readers that do not exist.
 func TestEmptyListAtStartIsReadAgain(t *testing.T) {
 	var o Observer
 	_, changed, err := o.Observe(State{}, nil)
--- a/core/process/gossip/vms.go
+++ b/core/process/gossip/vms.go
@@ -15,8 +15,8 @@
 // Observer turns answers of the platform's VM list into versioned states. It
 // must be used from a single goroutine.
 type Observer struct {
-	// smallAnswers counts consecutive answers that lack more than half of the
-	// VMDecoder held.
+	// smallAnswers counts consecutive answers with fewer than half as many VMs
+	// as the state held.
 	smallAnswers int
 	// liveAnswers counts, for each VM held as leaving, the consecutive answers
 	// that say it is live.
--- a/core/process/inidoc/file.go
+++ b/core/process/inidoc/file.go
@@ -1,4 +1,4 @@
-// Package inidoc parses INI texts and reports all their faults, not only the first:
+// Package inidoc parses INI texts and reports all their problems, not only the first:
 // duplicate sections and keys, unknown keys, and invalid values. Settings files
 // (io/process/conf) and environment documents (core/process/envdoc) are both read
 // with it.
@@ -18,7 +18,7 @@
 // Processes send each other sections one by one, each in a single message.
 const MaxSectionBytes = 32 << 10
 
-// File is a parsed text. Problems lists its faults; reading the values of its
+// File is a parsed text. Problems lists its problems; reading the values of its
 // sections adds to it.
 type File struct {
 	Name     string
--- a/core/process/inidoc/problem.go
+++ b/core/process/inidoc/problem.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Problem is a fault in an INI text: its location and the reason. Key and Value
-// are empty if the fault concerns a whole section, and Section is empty if it
-// concerns the whole file.
+// Problem is what is wrong at one place of an INI text: its location and the
+// reason. Key and Value are empty if the problem concerns a whole section, and
+// Section is empty if it concerns the whole file.
 type Problem struct {
 	File    string
 	Section string
@@ -17,41 +17,41 @@
 }
 
 // Error returns the problem as one line.
-func (f Problem) Error() string {
+func (p Problem) Error() string {
 	var b strings.Builder
-	b.WriteString(f.File)
-	if f.Section != "" {
-		fmt.Fprintf(&b, ": [%s]", f.Section)
+	b.WriteString(p.File)
+	if p.Section != "" {
+		fmt.Fprintf(&b, ": [%s]", p.Section)
 	}
-	if f.Section == "" && f.Key != "" {
+	if p.Section == "" && p.Key != "" {
 		b.WriteString(":")
 	}
-	if f.Key != "" {
-		fmt.Fprintf(&b, " %s", f.Key)
+	if p.Key != "" {
+		fmt.Fprintf(&b, " %s", p.Key)
 	}
-	if f.Value != "" {
-		fmt.Fprintf(&b, " = %q", f.Value)
+	if p.Value != "" {
+		fmt.Fprintf(&b, " = %q", p.Value)
 	}
-	fmt.Fprintf(&b, ": %s", f.Reason)
+	fmt.Fprintf(&b, ": %s", p.Reason)
 	return b.String()
 }
 
-// Problems lists the faults of a text in the order in which they were found.
+// Problems lists the problems of a text in the order in which they were found.
 type Problems []Problem
 
 // Error returns one line for each problem.
-func (f Problems) Error() string {
-	lines := make([]string, 0, len(f))
-	for _, problem := range f {
+func (p Problems) Error() string {
+	lines := make([]string, 0, len(p))
+	for _, problem := range p {
 		lines = append(lines, problem.Error())
 	}
 	return strings.Join(lines, "\n")
 }
 
-// Err returns f as an error, or nil if it is empty.
-func (f Problems) Err() error {
-	if len(f) == 0 {
+// Err returns p as an error, or nil if it is empty.
+func (p Problems) Err() error {
+	if len(p) == 0 {
 		return nil
 	}
-	return f
+	return p
 }
--- a/core/process/operr/operr.go
+++ b/core/process/operr/operr.go
@@ -18,8 +18,8 @@
 	Err  error
 }
 
-// Error returns the error as "step (peer): cause", or as "step: cause" without a
-// peer.
+// Error returns the error as "operation (peer): cause", or as "operation: cause"
+// without a peer.
 func (e *Error) Error() string {
 	if e.Peer == "" {
 		return fmt.Sprintf("%s: %v", e.Op, e.Err)
@@ -31,14 +31,14 @@
 func (e *Error) Unwrap() error { return e.Err }
 
 // Wrap returns err with an operation and a peer. It returns nil if err is nil.
-func Wrap(step, peer string, err error) error {
+func Wrap(op, peer string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return &Error{Op: step, Peer: peer, Err: err}
+	return &Error{Op: op, Peer: peer, Err: err}
 }
 
 // Errorf returns an Error whose cause has the formatted message.
-func Errorf(step, peer, format string, args ...any) error {
-	return &Error{Op: step, Peer: peer, Err: errors.Newf(format, args...)}
+func Errorf(op, peer, format string, args ...any) error {
+	return &Error{Op: op, Peer: peer, Err: errors.Newf(format, args...)}
 }
--- a/core/process/ttlmap/map.go
+++ b/core/process/ttlmap/map.go
@@ -1,4 +1,5 @@
 // Package ttlmap implements a map that limits the number and the age of its entries.
+// An entry of a Map is a key with its value, not an entry process.
 // Packages such as core/request/picker and core/request/admit use it for what they
 // learn from and about other processes. In a plain map, entries for targets, keys and
 // customers that no longer exist would accumulate over weeks.
@@ -30,14 +31,14 @@
 }
 
 // Get returns the value of key, if there is one that has not expired at now.
-func (t *Map[K, V]) Get(now time.Time, key K) (V, bool) {
+func (m *Map[K, V]) Get(now time.Time, key K) (V, bool) {
 	var zero V
-	e, ok := t.items[key]
+	e, ok := m.items[key]
 	if !ok {
 		return zero, false
 	}
 	it := e.Value.(*item[K, V])
-	if t.expired(now, it) {
+	if m.expired(now, it) {
 		return zero, false
 	}
 	return it.value, true
@@ -45,51 +46,51 @@
 
 // Put sets the value of key. If the key is new, Put then removes entries as Expire
 // does.
-func (t *Map[K, V]) Put(now time.Time, key K, value V) {
-	if t.items == nil {
-		t.items = make(map[K]*list.Element)
+func (m *Map[K, V]) Put(now time.Time, key K, value V) {
+	if m.items == nil {
+		m.items = make(map[K]*list.Element)
 	}
-	if e, ok := t.items[key]; ok {
+	if e, ok := m.items[key]; ok {
 		it := e.Value.(*item[K, V])
 		it.value = value
 		it.putAt = now
-		t.order.MoveToFront(e)
+		m.order.MoveToFront(e)
 		return
 	}
-	t.items[key] = t.order.PushFront(&item[K, V]{key: key, value: value, putAt: now})
-	t.Expire(now)
+	m.items[key] = m.order.PushFront(&item[K, V]{key: key, value: value, putAt: now})
+	m.Expire(now)
 }
 
 // Delete removes key.
-func (t *Map[K, V]) Delete(key K) {
-	if e, ok := t.items[key]; ok {
-		t.remove(e)
+func (m *Map[K, V]) Delete(key K) {
+	if e, ok := m.items[key]; ok {
+		m.remove(e)
 	}
 }
 
 // Expire removes the entries that have expired at now or exceed MaxEntries.
-func (t *Map[K, V]) Expire(now time.Time) {
-	for e := t.order.Back(); e != nil; e = t.order.Back() {
-		if len(t.items) <= t.MaxEntries && !t.expired(now, e.Value.(*item[K, V])) {
+func (m *Map[K, V]) Expire(now time.Time) {
+	for e := m.order.Back(); e != nil; e = m.order.Back() {
+		if len(m.items) <= m.MaxEntries && !m.expired(now, e.Value.(*item[K, V])) {
 			return
 		}
-		t.remove(e)
+		m.remove(e)
 	}
 }
 
 // Len returns the number of entries, including expired ones that have not been
 // removed yet.
-func (t *Map[K, V]) Len() int { return len(t.items) }
+func (m *Map[K, V]) Len() int { return len(m.items) }
 
 // All iterates over the entries that have not expired at now, the one put last
 // first. The current entry may be deleted during the iteration.
-func (t *Map[K, V]) All(now time.Time) func(yield func(K, V) bool) {
+func (m *Map[K, V]) All(now time.Time) func(yield func(K, V) bool) {
 	return func(yield func(K, V) bool) {
 		var next *list.Element
-		for e := t.order.Front(); e != nil; e = next {
+		for e := m.order.Front(); e != nil; e = next {
 			next = e.Next()
 			it := e.Value.(*item[K, V])
-			if t.expired(now, it) {
+			if m.expired(now, it) {
 				return
 			}
 			if !yield(it.key, it.value) {
@@ -99,11 +100,11 @@
 	}
 }
 
-func (t *Map[K, V]) expired(now time.Time, it *item[K, V]) bool {
-	return now.Sub(it.putAt) > t.TTL
+func (m *Map[K, V]) expired(now time.Time, it *item[K, V]) bool {
+	return now.Sub(it.putAt) > m.TTL
 }
 
-func (t *Map[K, V]) remove(e *list.Element) {
-	delete(t.items, e.Value.(*item[K, V]).key)
-	t.order.Remove(e)
+func (m *Map[K, V]) remove(e *list.Element) {
+	delete(m.items, e.Value.(*item[K, V]).key)
+	m.order.Remove(e)
 }
--- a/core/process/verlog/contact.go
+++ b/core/process/verlog/contact.go
@@ -10,7 +10,9 @@
 	ageAtStart = time.Hour
 	// MaxGap is the longest time that a watch may begin after the store's last
 	// answer, and end after its wait, for its changes still to count as
-	// received when they were made.
+	// received when they were made. A larger gap dates versions later than they
+	// were announced, by up to as much; with a smaller one a busy process takes
+	// more changes for missed ones.
 	MaxGap = 200 * time.Millisecond
 	// catchUpWait is the wait of a watch that begins more than MaxGap after
 	// the last answer. It fetches what was missed, so that the next watch
@@ -108,19 +110,20 @@
 	return e
 }
 
-// Confirm records that the state at revision at was current at the time since.
-func (c *Contact) Confirm(since time.Duration, at uint64) {
+// Confirm records that the state at the given revision was current at the time
+// since.
+func (c *Contact) Confirm(since time.Duration, revision uint64) {
 	c.Known = true
-	c.Revision = max(c.Revision, at)
+	c.Revision = max(c.Revision, revision)
 	c.Confirmed = max(c.Confirmed, since)
 }
 
 // ShouldAdopt reports whether state received from a peer, confirmed at since
-// with revision at, replaces the current state. A newer revision does even if
+// with the given revision, replaces the current state. A newer revision does even if
 // its confirmation is older: the peer got the change from a watch that began
 // before another peer's latest one. Peers are asked in parallel, so another
 // answer may have arrived since the question was sent; a newer revision
 // includes everything that the other answer contained.
-func (c Contact) ShouldAdopt(since time.Duration, at uint64) bool {
-	return at > c.Revision || at == c.Revision && (!c.Known || since > c.Confirmed)
+func (c Contact) ShouldAdopt(since time.Duration, revision uint64) bool {
+	return revision > c.Revision || revision == c.Revision && (!c.Known || since > c.Confirmed)
 }
--- a/core/process/verlog/log.go
+++ b/core/process/verlog/log.go
@@ -58,32 +58,32 @@
 }
 
 // Add merges n into the log. It reports whether the log changed.
-func (l *Log) Add(n Entry) bool {
-	n.FromReturn = n.FromReturn && !n.Exact
+func (l *Log) Add(e Entry) bool {
+	e.FromReturn = e.FromReturn && !e.Exact
 	for i, old := range l.entries {
-		if old.Model == n.Model && old.Version == n.Version {
-			l.entries[i] = mergeEntries(old, n)
+		if old.Model == e.Model && old.Version == e.Version {
+			l.entries[i] = mergeEntries(old, e)
 			return l.entries[i] != old
 		}
 	}
-	l.entries = append(l.entries, n)
+	l.entries = append(l.entries, e)
 	slices.SortStableFunc(l.entries, func(a, b Entry) int {
 		return cmp.Or(cmp.Compare(a.Model, b.Model), cmp.Compare(a.Version, b.Version))
 	})
-	l.dropOldest(n.Model)
+	l.dropOldest(e.Model)
 	return true
 }
 
 // dropOldest removes the oldest versions of a model beyond maxVersionsPerModel.
 func (l *Log) dropOldest(model string) {
 	count := 0
-	for _, n := range l.entries {
-		if n.Model == model {
+	for _, e := range l.entries {
+		if e.Model == model {
 			count++
 		}
 	}
-	l.entries = slices.DeleteFunc(l.entries, func(n Entry) bool {
-		if n.Model != model || count <= maxVersionsPerModel {
+	l.entries = slices.DeleteFunc(l.entries, func(e Entry) bool {
+		if e.Model != model || count <= maxVersionsPerModel {
 			return false
 		}
 		count--
@@ -119,8 +119,8 @@
 // the newest version's announcement. Replaced versions don't count: a peer that
 // saw the newest one also reports the ones before it.
 func (l *Log) Unresolved() bool {
-	for i, n := range l.entries {
-		if !n.Exact && (i+1 == len(l.entries) || l.entries[i+1].Model != n.Model) {
+	for i, e := range l.entries {
+		if !e.Exact && (i+1 == len(l.entries) || l.entries[i+1].Model != e.Model) {
 			return true
 		}
 	}
--- a/core/process/verlog/report.go
+++ b/core/process/verlog/report.go
@@ -38,12 +38,12 @@
 }
 
 // Check returns an error for the first field that is out of range.
-func (s *VersionReport) Check() error {
-	if s.Model == "" || s.Version == 0 {
-		return errors.Newf("factsTell: version %d of model %q: want a model and a version above 0", s.Version, s.Model)
+func (r *VersionReport) Check() error {
+	if r.Model == "" || r.Version == 0 {
+		return errors.Newf("factsTell: report of version %d of model %q: want a model and a version above 0", r.Version, r.Model)
 	}
-	if s.Age < 0 {
-		return errors.Newf("factsTell: age %s of version %d of %q is below 0", s.Age, s.Version, s.Model)
+	if r.Age < 0 {
+		return errors.Newf("factsTell: age %s of version %d of %q is below 0", r.Age, r.Version, r.Model)
 	}
 	return nil
 }
@@ -51,8 +51,8 @@
 // VersionReports returns the log's entries in the form sent to peers.
 func (l *Log) VersionReports(now time.Duration) []VersionReport {
 	var out []VersionReport
-	for _, n := range l.entries {
-		out = append(out, VersionReport{Model: n.Model, Version: n.Version, Age: max(0, now-n.Since), Exact: n.Exact, FromReturn: n.FromReturn, StoreUnreachable: n.StoreUnreachable})
+	for _, e := range l.entries {
+		out = append(out, VersionReport{Model: e.Model, Version: e.Version, Age: max(0, now-e.Since), Exact: e.Exact, FromReturn: e.FromReturn, StoreUnreachable: e.StoreUnreachable})
 	}
 	return out
 }
