--- a/core/request/picker/choose.go
+++ b/core/request/picker/choose.go
@@ -55,7 +55,8 @@
 	// Rand samples the two targets whose load is compared.
 	Rand *rand.Rand
 	// LoadFactor bounds prefix affinity: a target that holds the prefix is chosen
-	// while its load is at most this multiple of the mean load.
+	// while its load is at most this multiple of the mean load. A lower one spreads a
+	// popular prefix over more targets, a higher one lets calls queue behind it.
 	LoadFactor float64
 	// MinAffinityLoad is the load, as a share of the target's capacity, up to which
 	// affinity applies whatever the mean load, for a target that holds the whole
@@ -77,6 +78,7 @@
 	MaxPrefixes int
 	MaxTargets  int
 	// AssumedCapacity is the capacity assumed for a target that has not reported one.
+	// Too high a value makes a target that reports nothing look idle.
 	AssumedCapacity int
 
 	prefixes       prefixTable
