--- a/bench/policy/entry.go
+++ b/bench/policy/entry.go
@@ -8,25 +8,30 @@
 	"hawthornferry/core/request/picker"
 )
 
-// call is one arrival on its way.
+// call is one simulated call. arrivedAt, sent, first and ended are when it arrived
+// at its entry, was sent to its target, had its first byte and ended; they are zero
+// until then. released is set once it has ended or its caller has gone away.
+// prefillLeft is the number of prompt tokens that are still to be computed, and
+// prefillDone is set if the current step computes the last of them.
 type call struct {
 	arrival
-	s         *simulation
-	entry     *entry
-	target    string
-	begun     time.Time
-	sent      time.Time
-	first     time.Time
-	ended     time.Time
-	refused   bool
-	gone      bool
-	prefill   int
-	computed  bool
-	hitBlocks int
-	tokens    int
+	s            *simulation
+	entry        *entry
+	target       string
+	arrivedAt    time.Time
+	sent         time.Time
+	first        time.Time
+	ended        time.Time
+	refused      bool
+	released     bool
+	prefillLeft  int
+	prefillDone  bool
+	cachedBlocks int
+	generated    int
 }
 
-// entry carries out what its policy decides.
+// entry simulates an entry process: it offers each call to its policy and sends the
+// admitted ones to the targets that the policy chooses.
 type entry struct {
 	s        *simulation
 	vm       fleet.VM
@@ -40,12 +45,12 @@
 	n.calls = make(map[string]*call)
 	n.inFlight = make(map[string]int)
 	n.reports = make(map[string]picker.LoadReport)
-	n.s.after(tickEvery, n.tick)
+	n.s.after(tickInterval, n.tick)
 }
 
 func (n *entry) tick() {
-	n.deliver(n.policy.tick(n.s.now))
-	n.s.after(tickEvery, n.tick)
+	n.applyVerdicts(n.policy.tick(n.s.now))
+	n.s.after(tickInterval, n.tick)
 }
 
 func (n *entry) report(target string, r picker.LoadReport) {
@@ -58,25 +63,27 @@
 	n.policy.event(n.s.now, target, block, stored)
 }
 
-// arrive offers the call. The caller goes away when it has no first byte
-// after its patience.
+// arrive offers the call to the policy. The caller goes away if it has no first byte
+// after interactiveCallerTimeout or batchCallerTimeout.
 func (n *entry) arrive(c *call) {
-	c.begun = n.s.now
-	c.request.Deadline = n.s.now.Add(c.due)
+	c.arrivedAt = n.s.now
+	c.request.Deadline = n.s.now.Add(c.deadline)
 	n.calls[c.request.ID] = c
-	n.deliver(n.policy.offer(n.s.now, c.request))
-	patience := callerGivesUp
+	n.applyVerdicts(n.policy.offer(n.s.now, c.request))
+	timeout := interactiveCallerTimeout
 	if c.request.Priority == picker.PriorityBatch {
-		patience = batchGivesUp
+		timeout = batchCallerTimeout
 	}
-	n.s.after(patience, func() {
+	n.s.after(timeout, func() {
 		if c.first.IsZero() && !c.refused {
-			c.leave()
+			c.release()
 		}
 	})
 }
 
-func (n *entry) deliver(vs []admit.Verdict) {
+// applyVerdicts drops the calls that the policy refused and sends the ones that it
+// admitted.
+func (n *entry) applyVerdicts(vs []admit.Verdict) {
 	for _, v := range vs {
 		c := n.calls[v.ID]
 		if v.Decision == admit.Refused {
@@ -88,12 +95,13 @@
 	}
 }
 
+// send sends a call to the target that the policy chooses for it.
 func (n *entry) send(c *call) {
 	c.target = n.policy.choose(n.s.now, c.request, n.candidates())
 	c.sent = n.s.now
 	n.inFlight[c.target]++
-	e := n.s.engineOf(c.target)
-	n.s.after(n.s.distance(n, e), func() { e.submit(c) })
+	e := n.s.engineByName(c.target)
+	n.s.after(n.s.delay(n, e), func() { e.submit(c) })
 }
 
 func (n *entry) candidates() []picker.Candidate {
@@ -110,28 +118,28 @@
 }
 
 func (c *call) firstByte() {
-	if c.gone {
+	if c.released {
 		return
 	}
 	c.first = c.s.now
 }
 
 func (c *call) end() {
-	if c.gone {
+	if c.released {
 		return
 	}
 	c.ended = c.s.now
-	if c.outputs > 1 {
-		pace := c.ended.Sub(c.first) / time.Duration(c.outputs-1)
-		c.entry.policy.paced(c.s.now, c.target, pace)
+	if c.outputTokens > 1 {
+		pace := c.ended.Sub(c.first) / time.Duration(c.outputTokens-1)
+		c.entry.policy.observeTokenInterval(c.s.now, c.target, pace)
 	}
-	c.leave()
+	c.release()
 }
 
-// leave frees what the call holds at its entry; an engine drops a call whose
-// caller is gone at its next step.
-func (c *call) leave() {
-	c.gone = true
+// release frees what the call holds at its entry and tells the policy that it is
+// done. An engine that still has the call drops it at its next step.
+func (c *call) release() {
+	c.released = true
 	n := c.entry
 	delete(n.calls, c.request.ID)
 	d := admit.Done{ID: c.request.ID}
@@ -141,5 +149,5 @@
 	if !c.first.IsZero() {
 		d.FirstByte = c.first.Sub(c.sent)
 	}
-	n.deliver(n.policy.done(n.s.now, d))
+	n.applyVerdicts(n.policy.done(n.s.now, d))
 }
--- a/bench/policy/main.go
+++ b/bench/policy/main.go
@@ -1,7 +1,8 @@
-// Command policy compares ways of choosing targets and admitting calls on a
-// queueing model of engines in virtual time. It writes a table and a plot.
-// The model has no processes, sockets or faults of them; it measures policy
-// alone, on the code that the entries run.
+// Command policy compares algorithms for choosing targets and admitting calls, on a
+// simulation of entries and engines in virtual time. It prints a table and writes
+// policy.csv and policy.svg. The simulation has no processes, sockets or failures;
+// it runs the code of core/request/picker and core/request/admit that the entries
+// run. make bench-policy starts it.
 package main
 
 import (
@@ -12,19 +13,20 @@
 	"sync"
 )
 
-// loads are the offered loads in parts of the capacity.
+// loads are the offered loads as fractions of the capacity.
 var loads = []float64{0.7, 1.0, 1.5, 2.0}
 
-// burstLoad is the load of the runs that jump to it from a tenth of it.
+// burstLoad is the load after the jump in the burst runs, which begin with a tenth
+// of it (burstInitialShare).
 const burstLoad = 0.9
 
 // slowLoad is the load of the runs with one slow engine.
 const slowLoad = 0.7
 
 func main() {
-	out := flag.String("out", "docs", "directory of the table and the plot")
-	capacity := flag.Float64("capacity", 0, "calls a second taken as load 1; 0 measures it")
-	seed := flag.Uint64("seed", 1, "seed of the work")
+	out := flag.String("out", "docs", "directory for policy.csv and policy.svg")
+	capacity := flag.Float64("capacity", 0, "capacity in calls per second, which is load 1; 0: measure it")
+	seed := flag.Uint64("seed", 1, "seed of the workload")
 	flag.Parse()
 	if err := run(*out, *capacity, *seed); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -34,7 +36,7 @@
 
 func run(out string, capacity float64, seed uint64) error {
 	if capacity == 0 {
-		capacity = saturated(seed)
+		capacity = measureCapacity(seed)
 	}
 	fmt.Printf("capacity %.1f calls/s (%d engines of %d slots)\n", capacity, engines, engineSlots)
 	var all []scenario
@@ -53,7 +55,7 @@
 	return writePlot(filepath.Join(out, "policy.svg"), results)
 }
 
-// runAll runs the scenarios at the same time; each has its own state.
+// runAll runs the scenarios concurrently; each has its own state.
 func runAll(all []scenario) []result {
 	results := make([]result, len(all))
 	var wg sync.WaitGroup
--- a/bench/policy/output.go
+++ b/bench/policy/output.go
@@ -25,7 +25,7 @@
 	ms := func(d time.Duration) string { return f(float64(d)/float64(time.Millisecond), 0) }
 	return []string{
 		r.policy, f(r.load, 1), strconv.FormatBool(r.slow), strconv.FormatBool(r.burst), f(r.offered, 1), f(r.goodput, 1),
-		f(r.refused, 3), f(r.late, 3), ms(r.p50), ms(r.p99), f(r.hits, 3), f(r.small, 3),
+		f(r.refused, 3), f(r.late, 3), ms(r.p50), ms(r.p99), f(r.cacheHitShare, 3), f(r.small, 3),
 	}
 }
 
--- a/bench/policy/policies.go
+++ b/bench/policy/policies.go
@@ -9,32 +9,35 @@
 	"hawthornferry/core/request/picker"
 )
 
-// policy is what an entry asks.
+// policy decides which calls an entry admits and which target each call goes to. The
+// other methods inform it about calls that are done, load reports, cache events and
+// times between tokens; tick lets it act as time passes.
 type policy interface {
 	offer(now time.Time, r picker.Request) []admit.Verdict
 	choose(now time.Time, r picker.Request, cs []picker.Candidate) string
 	done(now time.Time, d admit.Done) []admit.Verdict
 	report(now time.Time, target string, r picker.LoadReport)
 	event(now time.Time, target string, block uint64, stored bool)
-	paced(now time.Time, target string, pace time.Duration)
+	observeTokenInterval(now time.Time, target string, pace time.Duration)
 	tick(now time.Time) []admit.Verdict
 }
 
-// open admits every call at once and learns nothing.
-type open struct{}
+// admitAll is the part of a policy that admits every call at once and ignores all
+// information.
+type admitAll struct{}
 
-func (open) offer(_ time.Time, r picker.Request) []admit.Verdict {
+func (admitAll) offer(_ time.Time, r picker.Request) []admit.Verdict {
 	return []admit.Verdict{{ID: r.ID, Decision: admit.Admitted}}
 }
-func (open) done(time.Time, admit.Done) []admit.Verdict  { return nil }
-func (open) report(time.Time, string, picker.LoadReport) {}
-func (open) event(time.Time, string, uint64, bool)       {}
-func (open) paced(time.Time, string, time.Duration)      {}
-func (open) tick(time.Time) []admit.Verdict              { return nil }
+func (admitAll) done(time.Time, admit.Done) []admit.Verdict            { return nil }
+func (admitAll) report(time.Time, string, picker.LoadReport)           {}
+func (admitAll) event(time.Time, string, uint64, bool)                 {}
+func (admitAll) observeTokenInterval(time.Time, string, time.Duration) {}
+func (admitAll) tick(time.Time) []admit.Verdict                        { return nil }
 
-// roundRobin takes the targets in turn.
+// roundRobin chooses the targets in turn.
 type roundRobin struct {
-	open
+	admitAll
 	n int
 }
 
@@ -43,10 +46,11 @@
 	return cs[p.n%len(cs)].VM.Name
 }
 
-// leastInFlight takes the target with the fewest of the entry's own calls,
-// beginning at a drawn place so that entries do not all take the first.
+// leastInFlight chooses the target with the fewest calls of this entry in flight. It
+// starts its search at a random target, so that the entries do not all choose the
+// first of several equal ones.
 type leastInFlight struct {
-	open
+	admitAll
 	rand *rand.Rand
 }
 
@@ -61,40 +65,41 @@
 	return best.VM.Name
 }
 
-// chosen is the project's choice of target without admission.
-type chosen struct {
-	open
-	c *picker.Chooser
+// pickerPolicy chooses targets with picker.Chooser and admits every call.
+type pickerPolicy struct {
+	admitAll
+	chooser *picker.Chooser
 }
 
-func (p *chosen) choose(now time.Time, r picker.Request, cs []picker.Candidate) string {
-	got, err := p.c.Choose(now, r, cs)
+func (p *pickerPolicy) choose(now time.Time, r picker.Request, cs []picker.Candidate) string {
+	got, err := p.chooser.Choose(now, r, cs)
 	if err != nil {
 		panic(err)
 	}
 	return got.VM.Name
 }
 
-func (p *chosen) paced(now time.Time, target string, pace time.Duration) {
-	p.c.ObserveTokenInterval(now, target, pace)
+func (p *pickerPolicy) observeTokenInterval(now time.Time, target string, pace time.Duration) {
+	p.chooser.ObserveTokenInterval(now, target, pace)
 }
 
-func (p *chosen) event(now time.Time, target string, block uint64, stored bool) {
+func (p *pickerPolicy) event(now time.Time, target string, block uint64, stored bool) {
 	if stored {
-		p.c.PrefixStored(now, target, block)
+		p.chooser.PrefixStored(now, target, block)
 		return
 	}
-	p.c.PrefixEvicted(now, target, block)
+	p.chooser.PrefixEvicted(now, target, block)
 }
 
-// whole is the project's choice of target and its admission.
-type whole struct {
-	chosen
-	a *admit.Admitter
+// pickerAndAdmitPolicy chooses targets with picker.Chooser and admits calls with
+// admit.Admitter, as the entries do.
+type pickerAndAdmitPolicy struct {
+	pickerPolicy
+	admitter *admit.Admitter
 }
 
-func (p *whole) offer(now time.Time, r picker.Request) []admit.Verdict {
-	return p.a.Offer(now, admit.Offer{
+func (p *pickerAndAdmitPolicy) offer(now time.Time, r picker.Request) []admit.Verdict {
+	return p.admitter.Offer(now, admit.Offer{
 		ID:       r.ID,
 		Customer: r.Customer,
 		Service:  r.Service,
@@ -103,33 +108,37 @@
 	})
 }
 
-func (p *whole) done(now time.Time, d admit.Done) []admit.Verdict { return p.a.Done(now, d) }
+func (p *pickerAndAdmitPolicy) done(now time.Time, d admit.Done) []admit.Verdict {
+	return p.admitter.Done(now, d)
+}
 
-func (p *whole) report(now time.Time, target string, r picker.LoadReport) {
-	p.a.Report(now, "helper", target, r)
+func (p *pickerAndAdmitPolicy) report(now time.Time, target string, r picker.LoadReport) {
+	p.admitter.Report(now, "helper", target, r)
 }
 
-func (p *whole) tick(now time.Time) []admit.Verdict { return p.a.Tick(now) }
+func (p *pickerAndAdmitPolicy) tick(now time.Time) []admit.Verdict { return p.admitter.Tick(now) }
 
-// named is a policy under the name that the results show.
-type named struct {
+// namedPolicy holds the constructor of a policy and the name that the results show.
+type namedPolicy struct {
 	name string
 	make func(fleet.VM, *rand.Rand) policy
 }
 
-func policies() []named {
-	return []named{
+// policies returns the policies that are compared; measureCapacity uses the one at
+// index 2.
+func policies() []namedPolicy {
+	return []namedPolicy{
 		{name: "roundRobin", make: func(fleet.VM, *rand.Rand) policy { return &roundRobin{} }},
 		{name: "leastInFlight", make: func(_ fleet.VM, r *rand.Rand) policy { return &leastInFlight{rand: r} }},
-		{name: "choiceOnly", make: func(vm fleet.VM, r *rand.Rand) policy { return newChosen(vm, r) }},
+		{name: "choiceOnly", make: func(vm fleet.VM, r *rand.Rand) policy { return newPickerPolicy(vm, r) }},
 		{name: "hawthornferry", make: func(vm fleet.VM, r *rand.Rand) policy {
 			a := &admit.Admitter{}
 			a.SetShares(shares())
-			return &whole{chosen: *newChosen(vm, r), a: a}
+			return &pickerAndAdmitPolicy{pickerPolicy: *newPickerPolicy(vm, r), admitter: a}
 		}},
 	}
 }
 
-func newChosen(vm fleet.VM, r *rand.Rand) *chosen {
-	return &chosen{c: &picker.Chooser{Entry: vm, Rand: r}}
+func newPickerPolicy(vm fleet.VM, r *rand.Rand) *pickerPolicy {
+	return &pickerPolicy{chooser: &picker.Chooser{Entry: vm, Rand: r}}
 }
--- a/bench/policy/simulation.go
+++ b/bench/policy/simulation.go
@@ -10,42 +10,47 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// The fleet of the runs: three zones, an entry in each.
+// The simulated fleet: three zones with one entry and enginesPerZone engines each.
+// sameZoneDelay and crossZoneDelay are one-way network delays. Each entry calls its
+// policy's tick every tickInterval.
 const (
 	zones          = 3
 	enginesPerZone = 4
 	engines        = zones * enginesPerZone
-	nearDelay      = 500 * time.Microsecond
-	farDelay       = 3 * time.Millisecond
-	tickEvery      = 100 * time.Millisecond
+	sameZoneDelay  = 500 * time.Microsecond
+	crossZoneDelay = 3 * time.Millisecond
+	tickInterval   = 100 * time.Millisecond
 )
 
-// epoch is the time at which every run begins.
+// epoch is the virtual time at which every run begins.
 var epoch = time.Unix(1_700_000_000, 0)
 
 // simulation runs events in the order of their virtual time.
 type simulation struct {
-	now     time.Time
-	rand    *rand.Rand
-	engines []*engine
-	entries []*entry
-	events  events
-	count   int
+	now        time.Time
+	rand       *rand.Rand
+	engines    []*engine
+	entries    []*entry
+	events     events
+	eventCount int
 }
 
+// event is a function to be run at a virtual time. sequence orders events of the
+// same time by when they were scheduled.
 type event struct {
-	at  time.Time
-	n   int
-	run func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
+// events is a heap with the earliest event first.
 type events []event
 
 func (e events) Len() int      { return len(e) }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].n < e[j].n
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -64,14 +69,14 @@
 		p := newPolicy(vm, rand.New(rand.NewPCG(seed, uint64(z))))
 		s.entries = append(s.entries, &entry{s: s, vm: vm, policy: p})
 		for i := range enginesPerZone {
-			s.engines = append(s.engines, &engine{s: s, vm: newVM("engine", fleet.RoleSide, z, i), slow: 1})
+			s.engines = append(s.engines, &engine{s: s, vm: newVM("engine", fleet.RoleSide, z, i), stepFactor: 1})
 		}
 	}
 	for _, n := range s.entries {
 		n.start()
 	}
 	for i, e := range s.engines {
-		s.after(time.Duration(i)*reportEvery/engines, e.report)
+		s.after(time.Duration(i)*reportInterval/engines, e.report)
 	}
 	return s
 }
@@ -88,13 +93,13 @@
 	}
 }
 
-// after has f run when d has passed.
+// after schedules f to run when d has passed.
 func (s *simulation) after(d time.Duration, f func()) {
-	s.count++
-	heap.Push(&s.events, event{at: s.now.Add(d), n: s.count, run: f})
+	s.eventCount++
+	heap.Push(&s.events, event{at: s.now.Add(d), sequence: s.eventCount, run: f})
 }
 
-// run runs events until end.
+// run runs the events up to the virtual time end.
 func (s *simulation) run(end time.Time) {
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
 		e := heap.Pop(&s.events).(event)
@@ -103,15 +108,15 @@
 	}
 }
 
-// distance is the delay between an entry and an engine.
-func (s *simulation) distance(n *entry, e *engine) time.Duration {
+// delay returns the one-way network delay between an entry and an engine.
+func (s *simulation) delay(n *entry, e *engine) time.Duration {
 	if n.vm.Zone == e.vm.Zone {
-		return nearDelay
+		return sameZoneDelay
 	}
-	return farDelay
+	return crossZoneDelay
 }
 
-func (s *simulation) engineOf(name string) *engine {
+func (s *simulation) engineByName(name string) *engine {
 	for _, e := range s.engines {
 		if e.vm.Name == name {
 			return e
