--- a/bench/burst/faults.go
+++ b/bench/burst/faults.go
@@ -12,24 +12,24 @@
 	"hawthornferry/io/version/swarm"
 )
 
-// The faults of a fault run.
+// How often the faults of a trial with faults occur.
 const (
 	killOneIn    = 10
 	corruptOneIn = 50
 	stallOneIn   = 10
 )
 
-// faults brings about the faults of a run; the zero value brings about none.
+// faults injects the faults of a trial; the zero value injects none.
 type faults struct {
-	on      bool
-	stalled atomic.Bool
-	draws   atomic.Int64
+	enabled     bool
+	stalled     atomic.Bool
+	originReads atomic.Int64
 }
 
-// start kills one side in killOneIn and stalls one link in stallOneIn, half
-// way through the bound.
-func (f *faults) start(ctx context.Context, w *world) {
-	if !f.on || sleepUntil(ctx, time.Now().Add(w.trial.bound(w.rates)/2)) != nil {
+// inject waits for half of the trial's bound. Then it stalls one link in stallOneIn
+// and kills one side in killOneIn.
+func (f *faults) inject(ctx context.Context, w *testbed) {
+	if !f.enabled || sleepUntil(ctx, time.Now().Add(w.trial.bound(w.rates)/2)) != nil {
 		return
 	}
 	f.stalled.Store(true)
@@ -44,8 +44,9 @@
 	wg.Wait()
 }
 
-// link blocks on a link that has stalled.
-func (f *faults) link(ctx context.Context, from, to string) error {
+// blockIfStalled blocks until ctx ends if the link between the two sides has
+// stalled.
+func (f *faults) blockIfStalled(ctx context.Context, from, to string) error {
 	if !f.stalled.Load() {
 		return nil
 	}
@@ -58,51 +59,54 @@
 	return ctx.Err()
 }
 
-// drawn corrupts one answer of the origin in corruptOneIn.
-func (f *faults) drawn(b []byte) []byte {
-	if !f.on || f.draws.Add(1)%corruptOneIn != 0 {
+// originResponse returns the bytes that the origin sends for a chunk; one response
+// in corruptOneIn is corrupted.
+func (f *faults) originResponse(b []byte) []byte {
+	if !f.enabled || f.originReads.Add(1)%corruptOneIn != 0 {
 		return b
 	}
-	return flipped(b)
+	return withFlippedBit(b)
 }
 
-func flipped(b []byte) []byte {
+func withFlippedBit(b []byte) []byte {
 	out := append([]byte(nil), b...)
 	out[len(out)/2] ^= 1
 	return out
 }
 
-// cacheBytes is a cache of one byte in a fault run, so that every upload
-// reads the staging area and meets its corruption.
+// cacheBytes returns the size of a side's chunk cache: one byte in a trial with
+// faults, so that every upload reads from the staging area, whose reads may be
+// corrupted; otherwise 0, which means the default.
 func (f *faults) cacheBytes() int64 {
-	if f.on {
+	if f.enabled {
 		return 1
 	}
 	return 0
 }
 
-// staging wraps a staging area so that one read in corruptOneIn is corrupt.
-func (f *faults) staging(s swarm.Staging, seed uint64) swarm.Staging {
-	if !f.on {
+// wrapStaging wraps a staging area so that one read in corruptOneIn is corrupted, at
+// random.
+func (f *faults) wrapStaging(s swarm.Staging, seed uint64) swarm.Staging {
+	if !f.enabled {
 		return s
 	}
-	return &badStaging{Staging: s, rng: rand.New(rand.NewPCG(seed, 1))}
+	return &corruptingStaging{Staging: s, rng: rand.New(rand.NewPCG(seed, 1))}
 }
 
-type badStaging struct {
+type corruptingStaging struct {
 	swarm.Staging
 
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-// Get returns the chunk, corrupt once in a while.
-func (s *badStaging) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
+// Get returns the chunk, at random corrupted.
+func (s *corruptingStaging) Get(ctx context.Context, d chunk.Digest) ([]byte, error) {
 	b, err := s.Staging.Get(ctx, d)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil || s.rng.IntN(corruptOneIn) != 0 {
 		return b, err
 	}
-	return flipped(b), nil
+	return withFlippedBit(b), nil
 }
--- a/bench/burst/linkdirection.go
+++ b/bench/burst/linkdirection.go
@@ -6,77 +6,83 @@
 	"time"
 )
 
-// wire stands in for one direction of a link: everything passes in the order
-// of arrival at the link's rate, live traffic and transfers alike.
-type wire struct {
+// linkDirection simulates one direction of a link: live traffic and transfers alike
+// pass in the order of arrival at the link's rate. freeAt is when all that was
+// reserved so far has passed.
+type linkDirection struct {
 	rate float64 // bytes a second
 
-	mu    sync.Mutex
-	free  time.Time
-	bytes int64 // of transfers
+	mu        sync.Mutex
+	freeAt    time.Time
+	bulkBytes int64 // of transfers
 }
 
-// span is when something begins and ends to pass a wire.
-type span struct {
+// interval is the time in which a message passes one point of its path, from its
+// first to its last byte.
+type interval struct {
 	begin time.Time
 	end   time.Time
 }
 
-// pass books n bytes that arrive over in and returns when they leave. Bytes
-// are passed on as they arrive, as packets would be.
-func (w *wire) pass(in span, n int, bulk bool) span {
+// schedule reserves the link for n bytes that arrive during in, and returns when
+// they leave. Bytes are forwarded as they arrive, as packets would be.
+func (w *linkDirection) schedule(in interval, n int, bulk bool) interval {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	begin := in.begin
-	if w.free.After(begin) {
-		begin = w.free
+	if w.freeAt.After(begin) {
+		begin = w.freeAt
 	}
 	end := begin.Add(time.Duration(float64(n) / w.rate * float64(time.Second)))
-	w.free = end
+	w.freeAt = end
 	if end.Before(in.end) {
 		end = in.end
 	}
 	if bulk {
-		w.bytes += int64(n)
+		w.bulkBytes += int64(n)
 	}
-	return span{begin: begin, end: end}
+	return interval{begin: begin, end: end}
 }
 
-func (w *wire) carried() int64 {
+// transferred returns the number of bytes of transfers so far, without live traffic.
+func (w *linkDirection) transferred() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.bytes
+	return w.bulkBytes
 }
 
-func newWire(rate float64) *wire { return &wire{rate: rate} }
+func newLinkDirection(rate float64) *linkDirection { return &linkDirection{rate: rate} }
 
-// ahead is how long before the end of its way a block of a transfer is handed
-// to the receiver. Without it a connection would have one block under way at a
-// time, where a network has a window of them; the wires still carry no more
-// than their rates, since each block is booked on all of them.
-const ahead = 8 * time.Millisecond
+// handOffLead is how long before the end of its path a block of a transfer is handed
+// to the receiver. Without it a connection would have one block in flight at a time,
+// where a network has a window of them. The links still carry no more than their
+// rates, since each block is reserved on all of them.
+const handOffLead = 8 * time.Millisecond
 
-// passBulk books n bytes of a transfer on each wire in turn and waits until
-// they are about to leave the last.
-func passBulk(ctx context.Context, n int, wires ...*wire) error {
-	return sleepUntil(ctx, book(n, true, wires).Add(-ahead))
+// sendBulk reserves each link of the path for n bytes of a transfer and waits until
+// handOffLead before they leave the last.
+func sendBulk(ctx context.Context, n int, path ...*linkDirection) error {
+	return sleepUntil(ctx, reserve(n, true, path).Add(-handOffLead))
 }
 
-// passLive books n bytes of a live request and waits until they have left the
-// last wire.
-func passLive(ctx context.Context, n int, wires ...*wire) error {
-	return sleepUntil(ctx, book(n, false, wires))
+// sendLive reserves each link of the path for n bytes of a live request and waits
+// until they have left the last.
+func sendLive(ctx context.Context, n int, path ...*linkDirection) error {
+	return sleepUntil(ctx, reserve(n, false, path))
 }
 
-func book(n int, bulk bool, wires []*wire) time.Time {
+// reserve reserves each link of the path for n bytes, and returns when they leave
+// the last.
+func reserve(n int, bulk bool, path []*linkDirection) time.Time {
 	now := time.Now()
-	s := span{begin: now, end: now}
-	for _, w := range wires {
-		s = w.pass(s, n, bulk)
+	s := interval{begin: now, end: now}
+	for _, w := range path {
+		s = w.schedule(s, n, bulk)
 	}
 	return s.end
 }
 
+// sleepUntil waits until t, or returns the error of ctx if that ends first.
 func sleepUntil(ctx context.Context, t time.Time) error {
 	d := time.Until(t)
 	if d <= 0 {
--- a/bench/burst/live.go
+++ b/bench/burst/live.go
@@ -9,42 +9,43 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// A live request: its sizes, the target's own time for it, how many a side
-// gets in a second, and how many of them come from another region.
+// Parameters of the live requests: their sizes, the target's processing time and its
+// jitter, how many a side gets in a second, and how many of them come from another
+// region.
 const (
-	liveAsk      = 512
-	liveAnswer   = 1024
-	liveService  = 60 * time.Millisecond
-	liveJitter   = 40 * time.Millisecond
-	livePerSide  = 20.0
-	liveCrossOne = 16 // one in this many crosses regions
+	liveRequestBytes    = 512
+	liveResponseBytes   = 1024
+	liveServiceTime     = 60 * time.Millisecond
+	liveJitter          = 40 * time.Millisecond
+	liveRequestsPerSide = 20.0
+	liveCrossOneIn      = 16 // one in this many crosses regions
 )
 
-// liveCrossing is the live traffic in bytes a second over the busier
-// direction of one region link.
-func liveCrossing(sides int) float64 {
+// liveCrossRegionRate returns the rate of live traffic, in bytes per second, over
+// the busier direction of one region link.
+func liveCrossRegionRate(sides int) float64 {
 	perRegion := float64((sides + len(regionNames) - 1) / len(regionNames))
-	return perRegion * livePerSide / liveCrossOne * (liveAsk + liveAnswer)
+	return perRegion * liveRequestsPerSide / liveCrossOneIn * (liveRequestBytes + liveResponseBytes)
 }
 
-// live sends requests to every side of a world and keeps their latencies.
-type live struct {
-	w *world
+// liveTraffic sends requests to every side of a testbed and records their latencies.
+type liveTraffic struct {
+	w *testbed
 
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-func newLive(w *world) *live {
-	return &live{w: w, hist: newHistogram()}
+func newLiveTraffic(w *testbed) *liveTraffic {
+	return &liveTraffic{w: w, hist: newHistogram()}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 }
 
-// swap returns the latencies since the last swap.
-func (l *live) swap() *hdrhistogram.Histogram {
+// takeLatencies returns the latencies since its previous call.
+func (l *liveTraffic) takeLatencies() *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.hist
@@ -56,53 +57,58 @@
 	return time.Duration(h.ValueAtQuantile(99)) * time.Microsecond
 }
 
-// run sends requests at random moments until ctx ends.
-func (l *live) run(ctx context.Context) {
+// run sends requests at random intervals until ctx ends.
+func (l *liveTraffic) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	for _, s := range l.w.sides {
-		wg.Go(func() { l.drive(ctx, s) })
+		wg.Go(func() { l.sendToSide(ctx, s) })
 	}
 }
 
-func (l *live) drive(ctx context.Context, s *side) {
+// sendToSide sends requests to one side until ctx ends or the side was killed. It
+// does not wait for responses; one request in liveCrossOneIn comes from another
+// region.
+func (l *liveTraffic) sendToSide(ctx context.Context, s *side) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	for k := 0; ctx.Err() == nil; k++ {
-		gap := time.Duration(rand.ExpFloat64() / livePerSide * float64(time.Second))
+	for n := 0; ctx.Err() == nil; n++ {
+		gap := time.Duration(rand.ExpFloat64() / liveRequestsPerSide * float64(time.Second))
 		if sleepUntil(ctx, time.Now().Add(gap)) != nil {
 			return
 		}
-		if s.dead() {
+		if s.wasKilled() {
 			return
 		}
-		far := k%liveCrossOne == 0
-		wg.Go(func() { l.request(ctx, s, far) })
+		crossRegion := n%liveCrossOneIn == 0
+		wg.Go(func() { l.request(ctx, s, crossRegion) })
 	}
 }
 
-func (l *live) request(ctx context.Context, s *side, far bool) {
+// request simulates one request and records its latency. It reports the bytes to the
+// side's pacer, which makes room for live traffic.
+func (l *liveTraffic) request(ctx context.Context, s *side, crossRegion bool) {
 	begin := time.Now()
 	other := l.w.regions[(s.region+1)%len(l.w.regions)]
 	own := l.w.regions[s.region]
-	in := []*wire{s.down}
-	out := []*wire{s.up}
-	if far {
-		in = []*wire{other.out, own.in, s.down}
-		out = []*wire{s.up, own.out, other.in}
-		s.pacer.Cross.Live(liveAsk)
-		s.pacer.Cross.Live(liveAnswer)
+	in := []*linkDirection{s.down}
+	out := []*linkDirection{s.up}
+	if crossRegion {
+		in = []*linkDirection{other.out, own.in, s.down}
+		out = []*linkDirection{s.up, own.out, other.in}
+		s.pacer.Cross.Live(liveRequestBytes)
+		s.pacer.Cross.Live(liveResponseBytes)
 	}
-	s.pacer.Down.Live(liveAsk)
-	if passLive(ctx, liveAsk, in...) != nil {
+	s.pacer.Down.Live(liveRequestBytes)
+	if sendLive(ctx, liveRequestBytes, in...) != nil {
 		return
 	}
-	service := liveService + rand.N(liveJitter)
+	service := liveServiceTime + rand.N(liveJitter)
 	if sleepUntil(ctx, time.Now().Add(service)) != nil {
 		return
 	}
-	s.pacer.Up.Live(liveAnswer)
-	if passLive(ctx, liveAnswer, out...) != nil {
+	s.pacer.Up.Live(liveResponseBytes)
+	if sendLive(ctx, liveResponseBytes, out...) != nil {
 		return
 	}
 	l.mu.Lock()
--- a/bench/burst/main.go
+++ b/bench/burst/main.go
@@ -1,8 +1,8 @@
-// Command burst measures how fast a new version reaches N sides and what it
-// costs the links, against the least possible time and against every side
-// drawing from the origin. All sides run in this one process, over real
-// sockets on the loopback; the links are stood in for by paced wires that are
-// slow enough for them, and not the processors, to bind.
+// Command burst measures how fast a new version reaches N sides and how many bytes
+// it takes over the links, compared with the least possible time and with a baseline
+// in which every side downloads from the origin. All sides run in this process, over
+// real sockets on loopback. The links are simulated, with rates so low that the
+// links, and not the CPUs, are the bottleneck. make bench-burst starts it.
 package main
 
 import (
@@ -19,30 +19,30 @@
 	"hawthornferry/core/version/spread"
 )
 
-// fullChunks is the customary number of chunks of a version.
-const fullChunks = 256
+// defaultChunks is the number of chunks of a version if --chunks is not given.
+const defaultChunks = 256
 
 var (
-	verbose   bool
-	profiled  bool
-	tuning    spread.Config
-	logWriter io.Writer = os.Stderr
+	verbose      bool
+	printLinkUse bool
+	spreadConfig spread.Config
+	logWriter    io.Writer = os.Stderr
 )
 
-// options are the command line.
+// options holds the command-line flags.
 type options struct {
-	quick   bool
-	only    string
-	sides   int
-	setting string
-	csv     string
-	plot    string
-	cpu     string
-	chunks  int
+	quick      bool
+	only       string
+	sides      int
+	setting    string
+	csv        string
+	plot       string
+	cpuProfile string
+	chunks     int
 }
 
 func main() {
-	o := options{chunks: fullChunks}
+	o := options{chunks: defaultChunks}
 	p := flaggy.NewParser("burst")
 	p.Bool(&o.quick, "q", "quick", "Run a few small trials only.")
 	p.String(&o.only, "m", "mode", "Run only this mode: baseline, originBytes, time or faults.")
@@ -51,20 +51,20 @@
 	p.String(&o.csv, "c", "csv", "Write the results to this file.")
 	p.String(&o.plot, "p", "plot", "Write a plot to this file.")
 	p.Int(&o.chunks, "k", "chunks", "Chunks of a version.")
-	p.Int(&tuning.UploadSlots, "o", "uploads", "Chunks that a side sends at a time.")
-	p.Int(&tuning.DownloadSlots, "i", "inbound", "Chunks that a side takes at a time.")
-	p.Int(&tuning.Degree, "d", "degree", "Neighbours that a side dials.")
-	p.Int(&tuning.ImportSlots, "t", "turns", "Chunks that cross between two regions at a time.")
-	p.Int(&tuning.OriginSlots, "w", "draws", "Chunks that a region draws from the origin at a time.")
-	p.Bool(&profiled, "u", "profile", "Print how busy the links are while a version spreads.")
-	p.String(&o.cpu, "", "cpu", "Write a profile of the processors to this file.")
+	p.Int(&spreadConfig.UploadSlots, "o", "uploads", "Chunks that a side sends at a time.")
+	p.Int(&spreadConfig.DownloadSlots, "i", "inbound", "Chunks that a side downloads at a time.")
+	p.Int(&spreadConfig.Degree, "d", "degree", "Neighbours that a side dials.")
+	p.Int(&spreadConfig.ImportSlots, "t", "turns", "Chunks that cross between two regions at a time.")
+	p.Int(&spreadConfig.OriginSlots, "w", "draws", "Chunks that a region downloads from the origin at a time.")
+	p.Bool(&printLinkUse, "u", "profile", "Print which part of their rates the links carry while a version spreads.")
+	p.String(&o.cpuProfile, "", "cpu", "Write a CPU profile to this file.")
 	p.Bool(&verbose, "v", "verbose", "Log to standard error.")
 	if err := p.Parse(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	if o.cpu != "" {
-		defer profileCPU(o.cpu)()
+	if o.cpuProfile != "" {
+		defer profileCPU(o.cpuProfile)()
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -76,7 +76,7 @@
 
 func measureAll(ctx context.Context, o options) error {
 	var results []result
-	fmt.Println(tableHead)
+	fmt.Println(tableHeader)
 	for i, t := range trials(o) {
 		r, err := run(ctx, t, uint64(i))
 		if ctx.Err() != nil {
@@ -112,7 +112,8 @@
 
 // trials lists the runs that the options ask for.
 func trials(o options) []trial {
-	// The ends come first: a run that is cut short still spans the range.
+	// The first four sizes span the whole range, so that the results of an interrupted
+	// run still cover it.
 	sides := []int{4, 16, 64, 128, 8, 32}
 	faultSides := 64
 	if o.quick {
@@ -129,31 +130,33 @@
 		}
 	}
 	for _, s := range settings {
-		out = append(out, faultTrial(s, faultSides, o)...)
+		out = append(out, faultTrials(s, faultSides, o)...)
 	}
 	return out
 }
 
-func faultTrial(s setting, n int, o options) []trial {
-	if !wantedMode(o, "faults") || !wantedSetting(o, s) {
+func faultTrials(s setting, n int, o options) []trial {
+	if !wantsMode(o, "faults") || !wantsSetting(o, s) {
 		return nil
 	}
-	return []trial{{setting: s, mode: modeOrigin, sides: n, chunks: o.chunks, size: wholeBytes / o.chunks, faults: true}}
+	return []trial{{setting: s, mode: modeOrigin, sides: n, chunks: o.chunks, chunkSize: versionBytes / o.chunks, faults: true}}
 }
 
-func wantedSetting(o options, s setting) bool { return o.setting == "" || o.setting == s.name }
+func wantsSetting(o options, s setting) bool { return o.setting == "" || o.setting == s.name }
 
+// trialsOf returns one trial without faults for each mode. The baseline has fewer
+// chunks, since the origin sends each of them to all n sides.
 func trialsOf(s setting, n int, o options) []trial {
-	if !wantedSetting(o, s) {
+	if !wantsSetting(o, s) {
 		return nil
 	}
 	var out []trial
 	for _, m := range []mode{modeBaseline, modeOrigin, modeTime} {
-		if !wantedMode(o, m.name) {
+		if !wantsMode(o, m.name) {
 			continue
 		}
-		t := trial{setting: s, mode: m, sides: n, chunks: o.chunks, size: wholeBytes / o.chunks}
-		if m.direct {
+		t := trial{setting: s, mode: m, sides: n, chunks: o.chunks, chunkSize: versionBytes / o.chunks}
+		if m.originOnly {
 			t.chunks = max(1, o.chunks/n)
 		}
 		out = append(out, t)
@@ -161,4 +164,4 @@
 	return out
 }
 
-func wantedMode(o options, name string) bool { return o.only == "" || o.only == name }
+func wantsMode(o options, name string) bool { return o.only == "" || o.only == name }
--- a/bench/burst/plot.go
+++ b/bench/burst/plot.go
@@ -10,8 +10,9 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// writePlot draws time over bound against the number of sides, a line for
-// each setting and mode. The baseline is in a logarithmic scale with the rest.
+// writePlot draws time over bound against the number of sides, a line for each
+// setting and mode. Both axes are logarithmic, so that the baseline fits in with the
+// rest.
 func writePlot(path string, results []result) error {
 	p := plot.New()
 	p.Title.Text = "time to N sides over the bound"
--- a/bench/burst/profile.go
+++ b/bench/burst/profile.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// profileCPU starts a profile of the processors and returns how to end it.
+// profileCPU starts a CPU profile and returns the function that ends it.
 func profileCPU(path string) func() {
 	f, err := os.Create(path)
 	if err != nil {
@@ -25,48 +25,48 @@
 	}
 }
 
-// profileEvery is the time between two lines of a profile.
-const profileEvery = 250 * time.Millisecond
+// linkUseInterval is the time between two lines of printLinkUse.
+const linkUseInterval = 250 * time.Millisecond
 
-// profile writes how busy transfers keep the machines' links, region by
-// region, and what the origin and the region links carry, in parts of their
-// rates.
-func (w *world) profile(ctx context.Context, out io.Writer) {
+// printLinkUse prints the part of their rates that transfers use of the machines'
+// links, region by region, of the region links and of the origin's link.
+func (w *testbed) printLinkUse(ctx context.Context, out io.Writer) {
 	begin := time.Now()
 	var last []int64
-	for sleepUntil(ctx, time.Now().Add(profileEvery)) == nil {
-		now := w.carried()
+	for sleepUntil(ctx, time.Now().Add(linkUseInterval)) == nil {
+		now := w.transferred()
 		if last != nil {
-			fmt.Fprintf(out, "%6.2fs%s\n", time.Since(begin).Seconds(), w.profileLine(last, now))
+			fmt.Fprintf(out, "%6.2fs%s\n", time.Since(begin).Seconds(), w.linkUseLine(last, now))
 		}
 		last = now
 	}
 }
 
-// carried lists, for each region, the bytes over its machines' links up and
-// down and over its region link out and in; then those of the origin.
-func (w *world) carried() []int64 {
+// transferred lists, for each region, the bytes of transfers over its machines'
+// links up and down and over its region link out and in; then those over the
+// origin's link.
+func (w *testbed) transferred() []int64 {
 	out := make([]int64, 4*len(w.regions)+1)
 	for _, s := range w.sides {
-		out[4*s.region] += s.up.carried()
-		out[4*s.region+1] += s.down.carried()
+		out[4*s.region] += s.up.transferred()
+		out[4*s.region+1] += s.down.transferred()
 	}
 	for i, r := range w.regions {
-		out[4*i+2] = r.out.carried()
-		out[4*i+3] = r.in.carried()
+		out[4*i+2] = r.out.transferred()
+		out[4*i+3] = r.in.transferred()
 	}
-	out[len(out)-1] = w.origin.carried()
+	out[len(out)-1] = w.origin.transferred()
 	return out
 }
 
-func (w *world) profileLine(last, now []int64) string {
+func (w *testbed) linkUseLine(last, now []int64) string {
 	machines := make([]float64, len(w.regions))
 	for _, s := range w.sides {
 		machines[s.region] += w.rates.machine
 	}
 	line := ""
 	part := func(i int, rate float64) float64 {
-		return float64(now[i]-last[i]) / (rate * profileEvery.Seconds())
+		return float64(now[i]-last[i]) / (rate * linkUseInterval.Seconds())
 	}
 	for i, name := range regionNames {
 		line += fmt.Sprintf("  %s up %.2f down %.2f out %.2f in %.2f", name,
--- a/bench/burst/report.go
+++ b/bench/burst/report.go
@@ -10,18 +10,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-const tableHead = "setting       mode         faults sides chunks bound    time     ratio  origin  region  p99before p99during slowdown lost"
+const tableHeader = "setting       mode         faults sides chunks bound    time     ratio  origin  region  p99before p99during slowdown lost"
 
 func tableLine(r result) string {
 	t := r.trial
 	return fmt.Sprintf("%-13s %-12s %-6t %5d %6d %-8s %-8s %5.2f  %6.2f  %6.2f  %9s %9s %8.2f %4d",
-		t.setting.name, t.mode.name, t.faults, t.sides, t.chunks, short(r.bound), short(r.took), r.ratio(),
-		r.originCopies, r.regionCopies, short(r.before), short(r.during), r.slowdown(), r.lost)
+		t.setting.name, t.mode.name, t.faults, t.sides, t.chunks, formatDuration(r.bound), formatDuration(r.duration), r.ratio(),
+		r.originCopies, r.regionCopies, formatDuration(r.p99Before), formatDuration(r.p99During), r.slowdown(), r.incomplete)
 }
 
-func short(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-var csvHead = []string{
+var csvHeader = []string{
 	"setting", "mode", "faults", "sides", "chunks", "boundSeconds", "seconds", "ratio",
 	"originCopies", "regionCopies", "p99BeforeSeconds", "p99DuringSeconds", "slowdown", "lost",
 }
@@ -33,22 +33,22 @@
 	}
 	defer f.Close()
 	w := csv.NewWriter(f)
-	_ = w.Write(csvHead)
+	_ = w.Write(csvHeader)
 	for _, r := range results {
-		_ = w.Write(csvLine(r))
+		_ = w.Write(csvRow(r))
 	}
 	w.Flush()
 	return errors.Wrap(w.Error(), "write results")
 }
 
-func csvLine(r result) []string {
+func csvRow(r result) []string {
 	t := r.trial
 	return []string{
 		t.setting.name, t.mode.name, strconv.FormatBool(t.faults), strconv.Itoa(t.sides), strconv.Itoa(t.chunks),
-		number(r.bound.Seconds()), number(r.took.Seconds()), number(r.ratio()),
-		number(r.originCopies), number(r.regionCopies),
-		number(r.before.Seconds()), number(r.during.Seconds()), number(r.slowdown()), strconv.Itoa(r.lost),
+		formatNumber(r.bound.Seconds()), formatNumber(r.duration.Seconds()), formatNumber(r.ratio()),
+		formatNumber(r.originCopies), formatNumber(r.regionCopies),
+		formatNumber(r.p99Before.Seconds()), formatNumber(r.p99During.Seconds()), formatNumber(r.slowdown()), strconv.Itoa(r.incomplete),
 	}
 }
 
-func number(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', 4, 64) }
--- a/bench/burst/testbed.go
+++ b/bench/burst/testbed.go
@@ -26,49 +26,50 @@
 	"hawthornferry/io/version/swarm"
 )
 
-// region is the pair of wires that joins a region to the others.
+// region holds the two directions of the link between a region and all others.
 type region struct {
-	out *wire
-	in  *wire
+	out *linkDirection
+	in  *linkDirection
 }
 
-// side is one side with its machine's wires.
+// side is one side with the two directions of its machine's link.
 type side struct {
 	vm     fleet.VM
 	region int
-	up     *wire
-	down   *wire
+	up     *linkDirection
+	down   *linkDirection
 	pacer  *pace.Pacer
 	node   *swarm.Node
 	stop   func()
 	killed atomic.Bool
 }
 
-func (s *side) dead() bool { return s.killed.Load() }
+func (s *side) wasKilled() bool { return s.killed.Load() }
 
-// world is a fleet of sides, the wires between them, a store and an origin.
-type world struct {
+// testbed is a fleet of sides, the simulated links between them, and the weight
+// store and the origin that serve them.
+type testbed struct {
 	trial   trial
 	rates   rates
 	regions []*region
 	sides   []*side
 	byName  map[string]*side
-	origin  *wire
+	origin  *linkDirection
 
-	manifest chunk.Manifest
-	pinned   chunk.Digest
-	encoded  []byte
-	chunks   map[chunk.Digest][]byte
-	faults   faults
+	manifest        chunk.Manifest
+	manifestDigest  chunk.Digest
+	encodedManifest []byte
+	chunks          map[chunk.Digest][]byte
+	faults          faults
 }
 
-func newWorld(ctx context.Context, t trial, r rates, seed uint64) (*world, error) {
-	w := &world{trial: t, rates: r, origin: newWire(r.origin), byName: map[string]*side{}}
-	w.faults.on = t.faults
+func newTestbed(ctx context.Context, t trial, r rates, seed uint64) (*testbed, error) {
+	w := &testbed{trial: t, rates: r, origin: newLinkDirection(r.origin), byName: map[string]*side{}}
+	w.faults.enabled = t.faults
 	for range regionNames {
-		w.regions = append(w.regions, &region{out: newWire(r.region), in: newWire(r.region)})
+		w.regions = append(w.regions, &region{out: newLinkDirection(r.region), in: newLinkDirection(r.region)})
 	}
-	if err := w.publish(seed); err != nil {
+	if err := w.makeVersion(seed); err != nil {
 		return nil, err
 	}
 	for i := range t.sides {
@@ -79,30 +80,30 @@
 	return w, nil
 }
 
-// publish makes a version of random bytes.
-func (w *world) publish(seed uint64) error {
+// makeVersion creates a version of random bytes and its manifest.
+func (w *testbed) makeVersion(seed uint64) error {
 	w.chunks = map[chunk.Digest][]byte{}
 	src := rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16)})
 	m := chunk.Manifest{Model: "model", Version: "1", ContentDigest: chunk.DigestOf(nil), Size: w.trial.bytes()}
 	for range w.trial.chunks {
-		b := make([]byte, w.trial.size)
+		b := make([]byte, w.trial.chunkSize)
 		_, _ = src.Read(b)
 		d := chunk.DigestOf(b)
 		w.chunks[d] = b
-		m.Chunks = append(m.Chunks, chunk.Ref{Digest: d, Size: int64(w.trial.size)})
+		m.Chunks = append(m.Chunks, chunk.Ref{Digest: d, Size: int64(w.trial.chunkSize)})
 	}
 	b, err := m.Encode()
-	w.manifest, w.encoded, w.pinned = m, b, chunk.DigestOf(b)
+	w.manifest, w.encodedManifest, w.manifestDigest = m, b, chunk.DigestOf(b)
 	return err
 }
 
-func (w *world) addSide(ctx context.Context, i int) error {
+func (w *testbed) addSide(ctx context.Context, i int) error {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	k := i % len(regionNames)
-	s := &side{region: k, up: newWire(w.rates.machine), down: newWire(w.rates.machine)}
+	s := &side{region: k, up: newLinkDirection(w.rates.machine), down: newLinkDirection(w.rates.machine)}
 	s.vm = fleet.VM{
 		Name:    fmt.Sprintf("side%03d", i),
 		Role:    fleet.RoleSide,
@@ -113,7 +114,7 @@
 		State:   fleet.StateLive,
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	platform, err := w.serveTo(ctx, s)
+	platform, err := w.startOrigin(ctx, s)
 	if err != nil {
 		cancel()
 		return err
@@ -133,7 +134,7 @@
 	return nil
 }
 
-func (w *world) newNode(s *side, platform netip.AddrPort, seed uint64) *swarm.Node {
+func (w *testbed) newNode(s *side, platform netip.AddrPort, seed uint64) *swarm.Node {
 	clock := clockwork.NewRealClock()
 	s.pacer = pace.New(pace.Config{
 		Up:     int64(w.rates.machine),
@@ -146,18 +147,19 @@
 	if verbose {
 		quiet.SetOutput(logWriter)
 	}
-	cfg := tuning
-	cfg.OriginOnly, cfg.Seed = w.trial.mode.direct, seed
+	cfg := spreadConfig
+	cfg.OriginOnly, cfg.Seed = w.trial.mode.originOnly, seed
 	if cfg.OriginOnly {
-		// All wait for the origin's link at once; that is no stall.
-		cfg.MinTimeout = giveUpLeast
+		// All sides wait for the origin's link at the same time. That is not a
+		// stalled transfer, so it must not run into a timeout.
+		cfg.MinTimeout = minTimeLimit
 	}
 	return &swarm.Node{
 		Self:         &link.Self{VM: s.vm, Boot: s.vm.Name},
 		Clock:        clock,
-		Log:          decisions(quiet.WithField("side", s.vm.Name)),
+		Log:          newDecisionLog(quiet.WithField("side", s.vm.Name)),
 		Logger:       quiet.WithField("side", s.vm.Name),
-		Staging:      w.faults.staging(&stage.Memory{}, seed),
+		Staging:      w.faults.wrapStaging(&stage.Memory{}, seed),
 		Origin:       platform,
 		Store:        platform,
 		OriginRegion: regionNames[0],
@@ -169,11 +171,11 @@
 	}
 }
 
-// logged writes decisions with the rest of the log.
-type logged struct{ to logrus.FieldLogger }
+// decisionLogger writes decisions to the log of the side.
+type decisionLogger struct{ to logrus.FieldLogger }
 
 // Record writes one decision.
-func (l logged) Record(d trail.Decision) {
+func (l decisionLogger) Record(d trail.Decision) {
 	l.to.WithFields(logrus.Fields{
 		"action":  d.Action,
 		"subject": d.Subject,
@@ -182,54 +184,59 @@
 	}).Info(d.Reason)
 }
 
-func decisions(to logrus.FieldLogger) trail.Log {
+// newDecisionLog returns a decision log that writes to the given log with --verbose,
+// and otherwise discards.
+func newDecisionLog(to logrus.FieldLogger) trail.Log {
 	if verbose {
-		return logged{to: to}
+		return decisionLogger{to: to}
 	}
 	return trail.Discard{}
 }
 
-// Shape passes a block over the wires between two sides.
-func (w *world) Shape(ctx context.Context, from, to fleet.VM, n int) error {
+// Shape delays a block of n bytes as the simulated links between two sides would. It
+// implements swarm.Shaper.
+func (w *testbed) Shape(ctx context.Context, from, to fleet.VM, n int) error {
 	a, b := w.byName[from.Name], w.byName[to.Name]
-	if err := w.faults.link(ctx, from.Name, to.Name); err != nil {
+	if err := w.faults.blockIfStalled(ctx, from.Name, to.Name); err != nil {
 		return err
 	}
-	wires := []*wire{a.up}
+	path := []*linkDirection{a.up}
 	if a.region != b.region {
-		wires = append(wires, w.regions[a.region].out, w.regions[b.region].in)
+		path = append(path, w.regions[a.region].out, w.regions[b.region].in)
 	}
-	return passBulk(ctx, n, append(wires, b.down)...)
+	return sendBulk(ctx, n, append(path, b.down)...)
 }
 
-// serveTo runs a store and an origin for one side, so that the bytes pass
-// that side's wires.
-func (w *world) serveTo(ctx context.Context, s *side) (netip.AddrPort, error) {
+// startOrigin starts a server that is the store and the origin for one side, so that
+// its downloads can be passed over that side's simulated links.
+func (w *testbed) startOrigin(ctx context.Context, s *side) (netip.AddrPort, error) {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
 	}
-	srv := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.answer(rw, r, s) })}
+	srv := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) { w.serveOrigin(rw, r, s) })}
 	go func() { _ = srv.Serve(nl) }()
 	context.AfterFunc(ctx, func() { srv.Close() })
 	return netip.MustParseAddrPort(nl.Addr().String()), nil
 }
 
-func (w *world) answer(rw http.ResponseWriter, r *http.Request, s *side) {
+// serveOrigin answers a request for a chunk, and any other request with the
+// manifest.
+func (w *testbed) serveOrigin(rw http.ResponseWriter, r *http.Request, s *side) {
 	d, ok := strings.CutPrefix(r.URL.Path, "/v1/chunks/")
 	if !ok {
-		_, _ = rw.Write(w.encoded)
+		_, _ = rw.Write(w.encodedManifest)
 		return
 	}
-	b := w.faults.drawn(w.chunks[chunk.Digest(d)])
-	wires := []*wire{w.origin}
+	b := w.faults.originResponse(w.chunks[chunk.Digest(d)])
+	path := []*linkDirection{w.origin}
 	if s.region != 0 {
-		wires = append(wires, w.regions[0].out, w.regions[s.region].in)
+		path = append(path, w.regions[0].out, w.regions[s.region].in)
 	}
-	wires = append(wires, s.down)
+	path = append(path, s.down)
 	for off := 0; off < len(b); off += blockSize {
 		end := min(off+blockSize, len(b))
-		if passBulk(r.Context(), end-off, wires...) != nil {
+		if sendBulk(r.Context(), end-off, path...) != nil {
 			return
 		}
 		if _, err := rw.Write(b[off:end]); err != nil {
@@ -239,12 +246,12 @@
 	}
 }
 
-// view is the belief that every side is given.
-func (w *world) view() view.View {
+// view returns the view of the fleet and the configuration that every side is given.
+func (w *testbed) view() view.View {
 	v := view.View{Document: &envdoc.Document{
 		Revision: 1,
-		Goal:     w.trial.mode.weigh,
-		Models:   []envdoc.Model{{Name: "model", Version: "1", Manifest: w.pinned}},
+		Goal:     w.trial.mode.goal,
+		Models:   []envdoc.Model{{Name: "model", Version: "1", Manifest: w.manifestDigest}},
 		Services: []envdoc.Service{{Name: "service", Kind: envdoc.KindEngine, Model: "model"}},
 	}}
 	for _, s := range w.sides {
@@ -258,7 +265,7 @@
 }
 
 // close stops every side.
-func (w *world) close() {
+func (w *testbed) close() {
 	var wg sync.WaitGroup
 	for _, s := range w.sides {
 		wg.Go(s.stop)
