--- a/bench/calls/main.go
+++ b/bench/calls/main.go
@@ -1,6 +1,6 @@
-// Command calls measures what the call path adds to a call: the same calls go
-// in turn straight to a target and through an entry, a session and a side, all
-// in this process over loopback sockets. It ends by itself.
+// Command calls measures the overhead of the call path: the same calls go
+// alternately to a target directly and through an entry, a session and a side, all
+// in this process over loopback sockets. It exits when all slices are done.
 package main
 
 import (
@@ -12,27 +12,27 @@
 	"time"
 )
 
-// settings are the flags.
-type settings struct {
+// options holds the command-line flags.
+type options struct {
 	workers  int
 	slice    time.Duration
 	rounds   int
 	tokens   int
 	kind     string
-	lane     string
+	route    string
 	profile  string
 	bodySize int
 }
 
 func main() {
-	var s settings
-	flag.IntVar(&s.workers, "workers", 16, "callers at once")
-	flag.DurationVar(&s.slice, "slice", time.Second, "how long each lane is called in turn")
-	flag.IntVar(&s.rounds, "rounds", 4, "turns of each lane")
+	var s options
+	flag.IntVar(&s.workers, "workers", 16, "concurrent callers")
+	flag.DurationVar(&s.slice, "slice", time.Second, "how long each route is called before the next one")
+	flag.IntVar(&s.rounds, "rounds", 4, "slices for each route")
 	flag.IntVar(&s.tokens, "tokens", 64, "tokens of a stream")
 	flag.StringVar(&s.kind, "kind", "", "lookup, once or stream; all when empty")
-	flag.StringVar(&s.lane, "lane", "", "direct or entry; both when empty")
-	flag.StringVar(&s.profile, "profile", "", "file for a processor profile")
+	flag.StringVar(&s.route, "lane", "", "direct or entry; both when empty")
+	flag.StringVar(&s.profile, "profile", "", "file for a CPU profile")
 	flag.IntVar(&s.bodySize, "body", 256, "bytes of a request's body")
 	flag.Parse()
 	if err := run(s); err != nil {
@@ -41,10 +41,10 @@
 	}
 }
 
-func run(s settings) error {
+func run(s options) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w, err := newWorld(ctx, s.tokens)
+	w, err := newTestbed(ctx, s.tokens)
 	if err != nil {
 		return err
 	}
--- a/bench/calls/measure.go
+++ b/bench/calls/measure.go
@@ -12,75 +12,76 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// kind is one kind of call. Its path differs between the lanes.
+// kind is one kind of call. Its URL differs between the routes.
 type kind struct {
 	name   string
 	method string
-	direct func(w *world) string
-	entry  func(w *world) string
-	body   func(s settings) string
+	direct func(w *testbed) string
+	entry  func(w *testbed) string
+	body   func(s options) string
 }
 
 var kinds = []kind{
 	{
-		name: "lookup", method: http.MethodGet, body: func(settings) string { return "" },
-		direct: func(w *world) string { return w.plain + "/pitches" },
-		entry:  func(w *world) string { return w.entry + "/v1/services/booking/pitches" },
+		name: "lookup", method: http.MethodGet, body: func(options) string { return "" },
+		direct: func(w *testbed) string { return w.plainTarget + "/pitches" },
+		entry:  func(w *testbed) string { return w.entryAddress + "/v1/services/booking/pitches" },
 	},
 	{
-		name: "once", method: http.MethodPost, body: func(s settings) string { return strings.Repeat("x", s.bodySize) },
-		direct: func(w *world) string { return w.plain + "/payments" },
-		entry:  func(w *world) string { return w.entry + "/v1/services/booking/payments" },
+		name: "once", method: http.MethodPost, body: func(s options) string { return strings.Repeat("x", s.bodySize) },
+		direct: func(w *testbed) string { return w.plainTarget + "/payments" },
+		entry:  func(w *testbed) string { return w.entryAddress + "/v1/services/booking/payments" },
 	},
 	{
 		name: "stream", method: http.MethodPost,
-		body:   func(settings) string { return `{"model":"helper","stream":true,"messages":[]}` },
-		direct: func(w *world) string { return w.engine + "/v1/chat/completions" },
-		entry:  func(w *world) string { return w.entry + "/v1/chat/completions" },
+		body:   func(options) string { return `{"model":"helper","stream":true,"messages":[]}` },
+		direct: func(w *testbed) string { return w.engineTarget + "/v1/chat/completions" },
+		entry:  func(w *testbed) string { return w.entryAddress + "/v1/chat/completions" },
 	},
 }
 
-// lane collects the calls of one way to the target, in microseconds.
-type lane struct {
-	name  string
-	url   string
-	hist  *hdrhistogram.Histogram
-	spent time.Duration
+// route collects the latencies, in microseconds, of the calls over one of the two
+// routes to a target.
+type route struct {
+	name      string
+	url       string
+	latencies *hdrhistogram.Histogram
+	elapsed   time.Duration
 }
 
-// maxMicros bounds a measured latency.
-const maxMicros = 60_000_000
+// maxLatencyMicros is the highest latency that the histogram can hold.
+const maxLatencyMicros = 60_000_000
 
-func newLane(name, url string) *lane {
-	return &lane{name: name, url: "http://" + url, hist: hdrhistogram.New(1, maxMicros, 3)}
+func newRoute(name, url string) *route {
+	return &route{name: name, url: "http://" + url, latencies: hdrhistogram.New(1, maxLatencyMicros, 3)}
 }
 
-func measure(s settings, w *world, k kind) error {
-	var lanes []*lane
-	for _, l := range []*lane{newLane("direct", k.direct(w)), newLane("entry", k.entry(w))} {
-		if s.lane == "" || s.lane == l.name {
-			lanes = append(lanes, l)
+func measure(s options, w *testbed, k kind) error {
+	var routes []*route
+	for _, l := range []*route{newRoute("direct", k.direct(w)), newRoute("entry", k.entry(w))} {
+		if s.route == "" || s.route == l.name {
+			routes = append(routes, l)
 		}
 	}
 	client := &http.Transport{MaxIdleConnsPerHost: s.workers}
 	defer client.CloseIdleConnections()
 	for range s.rounds {
-		for _, l := range lanes {
-			if err := l.turn(s, k, client); err != nil {
+		for _, l := range routes {
+			if err := l.callForSlice(s, k, client); err != nil {
 				return err
 			}
 		}
 	}
-	for _, l := range lanes {
+	for _, l := range routes {
 		fmt.Printf("%-7s %-7s workers %-4d calls/s %9.0f  p50 %7d us  p99 %7d us  max %7d us\n",
-			k.name, l.name, s.workers, float64(l.hist.TotalCount())/l.spent.Seconds(),
-			l.hist.ValueAtQuantile(50), l.hist.ValueAtQuantile(99), l.hist.Max())
+			k.name, l.name, s.workers, float64(l.latencies.TotalCount())/l.elapsed.Seconds(),
+			l.latencies.ValueAtQuantile(50), l.latencies.ValueAtQuantile(99), l.latencies.Max())
 	}
 	return nil
 }
 
-// turn calls one lane for a slice.
-func (l *lane) turn(s settings, k kind, client *http.Transport) error {
+// callForSlice sends calls over the route for one slice, from all workers at once.
+func (l *route) callForSlice(s options, k kind, client *http.Transport) error {
 	start := time.Now()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -93,7 +94,7 @@
 				if err != nil {
 					failed = err
 				}
-				_ = l.hist.RecordValue(d.Microseconds())
+				_ = l.latencies.RecordValue(d.Microseconds())
 				mu.Unlock()
 				if err != nil {
 					return
@@ -102,11 +103,11 @@
 		})
 	}
 	wg.Wait()
-	l.spent += time.Since(start)
+	l.elapsed += time.Since(start)
 	return failed
 }
 
-func (l *lane) call(s settings, k kind, client *http.Transport) (time.Duration, error) {
+func (l *route) call(s options, k kind, client *http.Transport) (time.Duration, error) {
 	start := time.Now()
 	req, err := http.NewRequest(k.method, l.url, bytes.NewBufferString(k.body(s)))
 	if err != nil {
--- a/bench/calls/testbed.go
+++ b/bench/calls/testbed.go
@@ -23,36 +23,37 @@
 
 const manifest = "sha256:aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"
 
-// world is one entry, and a plain target and an engine behind a side each.
-type world struct {
-	plain  string
-	engine string
-	entry  string
-	view   view.View
+// testbed is one entry, and a plain target and an engine, each behind a side of its
+// own. It is the source of the view for the entry and the sides.
+type testbed struct {
+	plainTarget  string
+	engineTarget string
+	entryAddress string
+	view         view.View
 }
 
-func (w *world) Current() view.View       { return w.view }
-func (w *world) Changed() <-chan struct{} { return nil }
+func (w *testbed) Current() view.View       { return w.view }
+func (w *testbed) Changed() <-chan struct{} { return nil }
 
-func newWorld(ctx context.Context, tokens int) (*world, error) {
-	w := &world{}
+func newTestbed(ctx context.Context, tokens int) (*testbed, error) {
+	w := &testbed{}
 	w.view.Document = &envdoc.Document{Revision: 1, Services: []envdoc.Service{
 		{Name: "booking", Kind: envdoc.KindPlain, Timeout: time.Minute},
 		{Name: "helper", Kind: envdoc.KindEngine, Timeout: time.Minute},
 	}}
-	plain, err := serve(http.HandlerFunc(echo))
+	plainTarget, err := serve(http.HandlerFunc(plainHandler))
 	if err != nil {
 		return nil, err
 	}
-	engine, err := serve(engineOf(tokens))
+	engineTarget, err := serve(engineHandler(tokens))
 	if err != nil {
 		return nil, err
 	}
-	w.plain, w.engine = plain.String(), engine.String()
+	w.plainTarget, w.engineTarget = plainTarget.String(), engineTarget.String()
 	for _, t := range []struct {
 		service string
 		target  netip.AddrPort
-	}{{"booking", plain}, {"helper", engine}} {
+	}{{"booking", plainTarget}, {"helper", engineTarget}} {
 		if err := w.addSide(ctx, t.service, t.target); err != nil {
 			return nil, err
 		}
@@ -69,13 +70,15 @@
 	return netip.ParseAddrPort(nl.Addr().String())
 }
 
-func echo(w http.ResponseWriter, r *http.Request) {
+// plainHandler answers every request as a plain target, with a fixed JSON object.
+func plainHandler(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	_, _ = io.WriteString(w, `{"held":true}`)
 }
 
-// engineOf streams its tokens as fast as they are taken.
-func engineOf(tokens int) http.Handler {
+// engineHandler answers as an engine that streams its tokens as fast as they are
+// read.
+func engineHandler(tokens int) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("/v1/state", func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprintf(w, `{"manifest":%q,"capacity":256}`, manifest)
@@ -93,19 +96,19 @@
 	return mux
 }
 
-func vmOf(name, service string, role fleet.Role, a net.Addr) fleet.VM {
+func newVM(name, service string, role fleet.Role, a net.Addr) fleet.VM {
 	return fleet.VM{
 		Name: name, Role: role, Zone: "z", Region: "r", Service: service,
 		Address: netip.MustParseAddrPort(a.String()), State: fleet.StateLive,
 	}
 }
 
-func (w *world) addSide(ctx context.Context, service string, target netip.AddrPort) error {
+func (w *testbed) addSide(ctx context.Context, service string, target netip.AddrPort) error {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	self := &link.Self{Boot: service, VM: vmOf(service, service, fleet.RoleSide, nl.Addr())}
+	self := &link.Self{Boot: service, VM: newVM(service, service, fleet.RoleSide, nl.Addr())}
 	g := &gate.Gate{
 		Self: self, Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope,
 		Source: w, Target: target, Service: service,
@@ -117,17 +120,19 @@
 	return nil
 }
 
-func (w *world) addEntry(ctx context.Context) error {
+// addEntry starts the entry and waits until the targets of all sides are ready for
+// it.
+func (w *testbed) addEntry(ctx context.Context) error {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	f := &front.Front{
-		Self:  &link.Self{Boot: "entry", VM: vmOf("entry", "", fleet.RoleEntry, nl.Addr())},
+		Self:  &link.Self{Boot: "entry", VM: newVM("entry", "", fleet.RoleEntry, nl.Addr())},
 		Clock: clockwork.NewRealClock(), Log: trail.Discard{}, Metrics: tally.NoopScope, Source: w, Net: nl,
 	}
 	go func() { _ = f.Run(ctx) }()
-	w.entry = nl.Addr().String()
+	w.entryAddress = nl.Addr().String()
 	for ready := 0; ready < len(w.view.VMs); {
 		time.Sleep(time.Millisecond)
 		ready = 0
