--- a/bench/conf/fleet.go
+++ b/bench/conf/fleet.go
@@ -25,26 +25,28 @@
 )
 
 const (
-	environment = "bench"
-	zones       = 3
-	serviceRate = 2000
-	listLag     = 500 * time.Millisecond
+	environment       = "bench"
+	zones             = 3
+	configServiceRate = 2000
+	listDelay         = 500 * time.Millisecond
 )
 
-// fleetOf is the processes of one run and the platform that they read.
-type fleetOf struct {
-	watchers  []*watch.Watcher
-	stops     []context.CancelFunc
-	service   netip.AddrPort
-	list      netip.AddrPort
-	reads     atomic.Uint64
-	listReads atomic.Uint64
-	wg        sync.WaitGroup
+// testFleet holds the processes of one trial, the addresses of the stand-ins for the
+// platform, and how often those were read.
+type testFleet struct {
+	watchers      []*watch.Watcher
+	stops         []context.CancelFunc
+	configService netip.AddrPort
+	vmList        netip.AddrPort
+	reads         atomic.Uint64
+	listReads     atomic.Uint64
+	wg            sync.WaitGroup
 }
 
-// start runs the platform and the processes of p until ctx ends.
-func start(ctx context.Context, p plan) (*fleetOf, error) {
-	f := &fleetOf{}
+// startFleet starts the stand-ins for the platform and the processes of the trial.
+// They run until ctx ends.
+func startFleet(ctx context.Context, p trial) (*testFleet, error) {
+	f := &testFleet{}
 	if err := f.startPlatform(ctx); err != nil {
 		return nil, err
 	}
@@ -59,20 +61,21 @@
 	return f, nil
 }
 
-func (f *fleetOf) startPlatform(ctx context.Context) error {
+func (f *testFleet) startPlatform(ctx context.Context) error {
 	clock := clockwork.NewRealClock()
-	config := &platf.Config{Rate: serviceRate, Clock: clock}
-	list := &platf.List{Lag: listLag, Clock: clock}
+	config := &platf.Config{Rate: configServiceRate, Clock: clock}
+	vmList := &platf.List{Lag: listDelay, Clock: clock}
 	var err error
-	if f.service, err = f.serve(ctx, config.Handler(), &f.reads); err != nil {
+	if f.configService, err = f.serve(ctx, config.Handler(), &f.reads); err != nil {
 		return err
 	}
-	f.list, err = f.serve(ctx, list.Handler(), &f.listReads)
+	f.vmList, err = f.serve(ctx, vmList.Handler(), &f.listReads)
 	return err
 }
 
-// serve answers on a free port and counts the reads, not the control calls.
-func (f *fleetOf) serve(ctx context.Context, h http.Handler, reads *atomic.Uint64) (netip.AddrPort, error) {
+// serve serves h on a free port. It counts the reads, which are the requests below
+// /v1/, but not the control requests.
+func (f *testFleet) serve(ctx context.Context, h http.Handler, reads *atomic.Uint64) (netip.AddrPort, error) {
 	l, addr, err := listen()
 	if err != nil {
 		return addr, err
@@ -98,27 +101,28 @@
 	return l, addr, err
 }
 
-// strike brings the fault about.
-func (f *fleetOf) strike(what fault) {
-	dies := func(int, *watch.Watcher) bool { return false }
+// injectFault stops the processes that the fault hits. faultZoneCut is set up by
+// startProcess.
+func (f *testFleet) injectFault(what fault) {
+	isKilled := func(int, *watch.Watcher) bool { return false }
 	switch what {
 	case faultReadersDead:
-		dies = func(i int, w *watch.Watcher) bool { return i%zones == 0 && w.Stats().Reader }
+		isKilled = func(i int, w *watch.Watcher) bool { return i%zones == 0 && w.Stats().Reader }
 	case faultThirdDead:
-		dies = func(i int, _ *watch.Watcher) bool { return (i/zones)%3 == 0 }
+		isKilled = func(i int, _ *watch.Watcher) bool { return (i/zones)%3 == 0 }
 	}
-	var left []*watch.Watcher
+	var alive []*watch.Watcher
 	for i, w := range f.watchers {
-		if dies(i, w) {
+		if isKilled(i, w) {
 			f.stops[i]()
 			continue
 		}
-		left = append(left, w)
+		alive = append(alive, w)
 	}
-	f.watchers = left
+	f.watchers = alive
 }
 
-func (f *fleetOf) startProcess(parent context.Context, i int, p plan) error {
+func (f *testFleet) startProcess(parent context.Context, i int, p trial) error {
 	ctx, stop := context.WithCancel(parent)
 	l, addr, err := listen()
 	if err != nil {
@@ -129,13 +133,13 @@
 		Name: fmt.Sprintf("side-%03d", i), Role: fleet.RoleSide, Zone: fmt.Sprintf("z%d", i%zones),
 		Region: "r", Service: "s", Address: addr, State: fleet.StateLive,
 	}
-	if err := f.put(ctx, f.list, "/control/vms/"+vm.Name, vm); err != nil {
+	if err := f.putJSON(ctx, f.vmList, "/control/vms/"+vm.Name, vm); err != nil {
 		stop()
 		return err
 	}
 	w := &watch.Watcher{
 		Self: &link.Self{VM: vm, Boot: vm.Name}, Clock: clockwork.NewRealClock(), Log: trail.Discard{},
-		Metrics: tally.NoopScope, Environment: environment, Config: f.service, VMList: f.list,
+		Metrics: tally.NoopScope, Environment: environment, Config: f.configService, VMList: f.vmList,
 	}
 	if p.direct {
 		w.VMList = netip.AddrPort{}
@@ -151,8 +155,9 @@
 	return nil
 }
 
-// promote gives the service a document in which one section is new.
-func (f *fleetOf) promote(ctx context.Context, sections, change int) error {
+// promote writes a document to the configuration service. Each value of change gives
+// another timeout to the service in it and leaves the other sections as they are.
+func (f *testFleet) promote(ctx context.Context, sections, change int) error {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "[environment]\nname = %s\nstage = trial\n[region.r]\nlink = 25Mbit\n", environment)
 	for z := range zones {
@@ -162,18 +167,18 @@
 	for i := range sections {
 		fmt.Fprintf(&b, "[customer.customer-%04d]\nshare = 1\n", i)
 	}
-	return f.do(ctx, f.service, "/control/documents/"+environment, &b)
+	return f.putBody(ctx, f.configService, "/control/documents/"+environment, &b)
 }
 
-func (f *fleetOf) put(ctx context.Context, addr netip.AddrPort, path string, v any) error {
+func (f *testFleet) putJSON(ctx context.Context, addr netip.AddrPort, path string, v any) error {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	return f.do(ctx, addr, path, bytes.NewReader(b))
+	return f.putBody(ctx, addr, path, bytes.NewReader(b))
 }
 
-func (f *fleetOf) do(ctx context.Context, addr netip.AddrPort, path string, body interface{ Read([]byte) (int, error) }) error {
+func (f *testFleet) putBody(ctx context.Context, addr netip.AddrPort, path string, body interface{ Read([]byte) (int, error) }) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+addr.String()+path, body)
 	if err != nil {
 		return err
@@ -189,8 +194,8 @@
 	return nil
 }
 
-// awaitAll waits until every process has the revision in force.
-func (f *fleetOf) awaitAll(ctx context.Context, revision uint64) error {
+// awaitAll waits until every process has the revision, or a later one, in force.
+func (f *testFleet) awaitAll(ctx context.Context, revision uint64) error {
 	for _, w := range f.watchers {
 		for {
 			changed := w.Changed()
--- a/bench/conf/main.go
+++ b/bench/conf/main.go
@@ -1,8 +1,8 @@
-// Command conf measures how configuration spreads through a fleet: reads at
-// the configuration service, time until the last process has a new revision,
-// and bytes, processor time and memory for each process. All processes run
-// in this one program, over real sockets on the loopback, against the
-// stand-ins of the platform. As a baseline each process reads for itself.
+// Command conf measures how configuration spreads through a fleet: the reads from
+// the configuration service, the time until the last process has a new revision, and
+// the bytes, CPU time and memory of each process. All processes run in this program,
+// over real sockets on loopback, against stand-ins for the platform. In the baseline
+// each process reads from the service itself. make bench-conf starts it.
 package main
 
 import (
@@ -15,8 +15,10 @@
 	"github.com/integrii/flaggy"
 )
 
-// plan is what one run measures.
-type plan struct {
+// trial describes one run. sections is the number of customers in the document. With
+// direct each process reads from the configuration service itself. idle is the
+// length of the phase without promotions.
+type trial struct {
 	processes  int
 	sections   int
 	direct     bool
@@ -25,12 +27,12 @@
 	promotions int
 }
 
-// fault is what befalls the fleet right before the promotions.
+// fault is the failure that is injected before the promotions.
 type fault string
 
-// The faults: all readers of one zone die, a third of all processes dies, or
-// one zone has never reached the configuration service. The VM list goes on
-// to name the dead.
+// The faults: all readers of one zone stop, a third of all processes stops, or one
+// zone has never reached the configuration service. The VM list goes on to name the
+// stopped processes.
 const (
 	faultNone        fault = ""
 	faultReadersDead fault = "readersDead"
@@ -38,9 +40,9 @@
 	faultZoneCut     fault = "zoneCut"
 )
 
-// pace is the time from one promotion to the next: a little more often than
-// 70,000 changes a day.
-const pace = time.Second
+// promotionInterval is the time from one promotion to the next. One a second is a
+// little more often than 70,000 changes a day.
+const promotionInterval = time.Second
 
 // The sizes that are measured by default.
 var (
@@ -61,7 +63,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(2)
 	}
-	all := plans(quick)
+	all := trials(quick)
 	if only >= len(all) {
 		fmt.Fprintf(os.Stderr, "--only %d: want 0 to %d\n", only, len(all)-1)
 		os.Exit(2)
@@ -77,33 +79,33 @@
 	}
 }
 
-func plans(quick bool) []plan {
+func trials(quick bool) []trial {
 	if quick {
-		return []plan{
+		return []trial{
 			{processes: 10, sections: documentSize, idle: 3 * time.Second, promotions: 3},
 			{processes: 10, sections: documentSize, idle: 3 * time.Second, promotions: 3, direct: true},
 		}
 	}
-	var out []plan
+	var out []trial
 	for _, n := range sizes {
-		out = append(out, plan{processes: n, sections: documentSize, idle: 15 * time.Second, promotions: 20})
+		out = append(out, trial{processes: n, sections: documentSize, idle: 15 * time.Second, promotions: 20})
 	}
-	out = append(out, plan{processes: 100, sections: largeSize, idle: 10 * time.Second, promotions: 10})
+	out = append(out, trial{processes: 100, sections: largeSize, idle: 10 * time.Second, promotions: 10})
 	for _, n := range sizes {
-		out = append(out, plan{processes: n, sections: documentSize, idle: 5 * time.Second, promotions: 5, direct: true})
+		out = append(out, trial{processes: n, sections: documentSize, idle: 5 * time.Second, promotions: 5, direct: true})
 	}
 	for _, f := range []fault{faultReadersDead, faultThirdDead, faultZoneCut} {
-		out = append(out, plan{processes: 100, sections: documentSize, idle: time.Second, promotions: 10, fault: f})
+		out = append(out, trial{processes: 100, sections: documentSize, idle: time.Second, promotions: 10, fault: f})
 	}
 	return out
 }
 
-func run(ctx context.Context, plans []plan, csvPath string) error {
-	out, err := openTable(csvPath, len(plans) == 1)
+func run(ctx context.Context, trials []trial, csvPath string) error {
+	out, err := openTable(csvPath, len(trials) == 1)
 	if err != nil {
 		return err
 	}
-	for _, p := range plans {
+	for _, p := range trials {
 		r, err := measure(ctx, p)
 		if err != nil {
 			return err
--- a/bench/conf/measure.go
+++ b/bench/conf/measure.go
@@ -8,75 +8,81 @@
 	"time"
 )
 
-// settle lets connections and the VM list come to rest before the phases.
-const settle = 6 * time.Second
+// settleTime passes before the phases, so that connections are established and the
+// VM list no longer changes.
+const settleTime = 6 * time.Second
 
-// result is what one run has measured. Rates are a second; bytes are those
-// of the configuration connections, received and sent, for each process.
+// result holds the measurements of one trial. Rates are per second. Bytes are per
+// process: platformBytes and platformBytesMax are what it has read from the platform
+// itself, the others what it received and sent on its configuration connections. CPU
+// rates and heapPerProcess are means over the processes. lastMedian and lastMax are
+// the times until the last process has a promoted revision.
 type result struct {
-	plan
-	startReads   uint64
-	startTime    time.Duration
-	idleReads    float64
-	idleList     float64
-	idleBytes    float64
-	idleMax      float64
-	idleCPU      float64
-	changeReads  float64
-	changeBytes  float64
-	changeMax    float64
-	platform     float64
-	platformMax  float64
-	changeCPU    float64
-	lastMedian   time.Duration
-	lastMax      time.Duration
-	heapEach     float64
-	readers      int
-	peersLargest int
+	trial
+	startReads       uint64
+	startTime        time.Duration
+	idleReads        float64
+	idleList         float64
+	idleBytes        float64
+	idleBytesMax     float64
+	idleCPU          float64
+	changeReads      float64
+	changeBytes      float64
+	changeBytesMax   float64
+	platformBytes    float64
+	platformBytesMax float64
+	changeCPU        float64
+	lastMedian       time.Duration
+	lastMax          time.Duration
+	heapPerProcess   float64
+	readers          int
+	peersLargest     int
 }
 
-// sample is the counts at one moment.
+// sample holds the counters at one moment. list is the number of reads of the VM
+// list.
 type sample struct {
 	at    time.Time
 	reads uint64
 	list  uint64
 	cpu   time.Duration
 	bytes []uint64
-	// platform is the bytes that each process has read itself.
-	platform []uint64
+	// platformBytes is the number of bytes that each process has read from the
+	// platform itself.
+	platformBytes []uint64
 }
 
-func (f *fleetOf) sample() sample {
+func (f *testFleet) sample() sample {
 	s := sample{at: time.Now(), reads: f.reads.Load(), list: f.listReads.Load(), cpu: cpuTime()}
 	for _, w := range f.watchers {
 		st := w.Stats()
 		s.bytes = append(s.bytes, st.Received+st.Sent)
-		s.platform = append(s.platform, st.Platform)
+		s.platformBytes = append(s.platformBytes, st.Platform)
 	}
 	return s
 }
 
-// phase is the difference of two samples, as rates.
-type phase struct {
-	reads, list, cpu          float64
-	bytesMean, bytesMax       float64
-	platformMean, platformMax float64
+// phaseRates holds the rates per second between two samples.
+type phaseRates struct {
+	reads, list, cpu                    float64
+	bytesMean, bytesMax                 float64
+	platformBytesMean, platformBytesMax float64
 }
 
-func between(a, b sample) phase {
+func ratesBetween(a, b sample) phaseRates {
 	secs := b.at.Sub(a.at).Seconds()
-	p := phase{
+	p := phaseRates{
 		reads: float64(b.reads-a.reads) / secs,
 		list:  float64(b.list-a.list) / secs,
 		cpu:   (b.cpu - a.cpu).Seconds() / secs / float64(len(a.bytes)),
 	}
-	p.bytesMean, p.bytesMax = rates(a.bytes, b.bytes, secs)
-	p.platformMean, p.platformMax = rates(a.platform, b.platform, secs)
+	p.bytesMean, p.bytesMax = growthRates(a.bytes, b.bytes, secs)
+	p.platformBytesMean, p.platformBytesMax = growthRates(a.platformBytes, b.platformBytes, secs)
 	return p
 }
 
-// rates returns the mean and the largest growth a second.
-func rates(a, b []uint64, secs float64) (mean, largest float64) {
+// growthRates returns the mean and the largest growth per second.
+func growthRates(a, b []uint64, secs float64) (mean, largest float64) {
 	for i := range a {
 		rate := float64(b[i]-a[i]) / secs
 		mean += rate / float64(len(a))
@@ -85,13 +91,13 @@
 	return mean, largest
 }
 
-func measure(parent context.Context, p plan) (result, error) {
-	r := result{plan: p}
+func measure(parent context.Context, p trial) (result, error) {
+	r := result{trial: p}
 	ctx, cancel := context.WithCancel(parent)
 	defer cancel()
-	before := heap()
+	before := liveHeap()
 	begin := time.Now()
-	f, err := start(ctx, p)
+	f, err := startFleet(ctx, p)
 	if err != nil {
 		return r, err
 	}
@@ -101,23 +107,24 @@
 		return r, err
 	}
 	r.startTime = time.Since(begin)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	r.startReads = f.reads.Load()
 	f.idle(&r)
-	f.strike(p.fault)
+	f.injectFault(p.fault)
 	if err := f.changes(ctx, &r); err != nil {
 		return r, err
 	}
-	r.heapEach = (heap() - before) / float64(p.processes)
+	r.heapPerProcess = (liveHeap() - before) / float64(p.processes)
 	return r, ctx.Err()
 }
 
-func (f *fleetOf) idle(r *result) {
+// idle measures the phase without promotions.
+func (f *testFleet) idle(r *result) {
 	a := f.sample()
 	time.Sleep(r.idle)
-	ph := between(a, f.sample())
+	ph := ratesBetween(a, f.sample())
 	r.idleReads, r.idleList = ph.reads, ph.list
-	r.idleBytes, r.idleMax, r.idleCPU = ph.bytesMean, ph.bytesMax, ph.cpu
+	r.idleBytes, r.idleBytesMax, r.idleCPU = ph.bytesMean, ph.bytesMax, ph.cpu
 	for _, w := range f.watchers {
 		st := w.Stats()
 		if st.Reader {
@@ -127,11 +134,13 @@
 	}
 }
 
-func (f *fleetOf) changes(ctx context.Context, r *result) error {
+// changes measures the phase with promotions, one every promotionInterval unless a
+// process takes longer to get the revision.
+func (f *testFleet) changes(ctx context.Context, r *result) error {
 	var times []time.Duration
 	a := f.sample()
 	for i := 1; i <= r.promotions; i++ {
-		next := time.Now().Add(pace)
+		next := time.Now().Add(promotionInterval)
 		begin := time.Now()
 		if err := f.promote(ctx, r.sections, i); err != nil {
 			return err
@@ -142,9 +151,9 @@
 		times = append(times, time.Since(begin))
 		time.Sleep(time.Until(next))
 	}
-	ph := between(a, f.sample())
-	r.changeReads, r.changeBytes, r.changeMax, r.changeCPU = ph.reads, ph.bytesMean, ph.bytesMax, ph.cpu
-	r.platform, r.platformMax = ph.platformMean, ph.platformMax
+	ph := ratesBetween(a, f.sample())
+	r.changeReads, r.changeBytes, r.changeBytesMax, r.changeCPU = ph.reads, ph.bytesMean, ph.bytesMax, ph.cpu
+	r.platformBytes, r.platformBytesMax = ph.platformBytesMean, ph.platformBytesMax
 	slices.Sort(times)
 	r.lastMedian, r.lastMax = times[len(times)/2], times[len(times)-1]
 	return nil
@@ -158,8 +167,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is the live heap in bytes.
-func heap() float64 {
+// liveHeap returns the size of the live heap in bytes, after a garbage collection.
+func liveHeap() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/bench/conf/output.go
+++ b/bench/conf/output.go
@@ -17,22 +17,23 @@
 	"lastMedianMs", "lastMaxMs", "heapKiB", "peersLargest",
 }
 
-// table prints each result as it comes and writes the CSV file.
+// table prints each result when it is added, and writes it to the CSV file if there
+// is one.
 type table struct {
 	file io.WriteCloser
 	csv  *csv.Writer
 }
 
-// openTable starts the table. The CSV file at path is begun anew, or added to
-// when more is set and it is there already.
-func openTable(path string, more bool) (*table, error) {
+// openTable prints the header. The CSV file at path is overwritten, or appended to
+// if appendRows is set; the header is written if the file is empty.
+func openTable(path string, appendRows bool) (*table, error) {
 	fmt.Println(strings.Join(columns, " "))
 	t := &table{}
 	if path == "" {
 		return t, nil
 	}
 	mode := os.O_TRUNC
-	if more {
+	if appendRows {
 		mode = os.O_APPEND
 	}
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|mode, 0o644)
@@ -81,13 +82,13 @@
 	}
 	row = append(row, ms(r.startTime))
 	for _, v := range []float64{
-		r.idleReads, r.idleList, r.idleBytes, r.idleMax, 100 * r.idleCPU,
-		r.changeReads, r.changeBytes, r.changeMax, 100 * r.changeCPU,
-		r.platform, r.platformMax,
+		r.idleReads, r.idleList, r.idleBytes, r.idleBytesMax, 100 * r.idleCPU,
+		r.changeReads, r.changeBytes, r.changeBytesMax, 100 * r.changeCPU,
+		r.platformBytes, r.platformBytesMax,
 	} {
 		row = append(row, fmt.Sprintf("%.2f", v))
 	}
-	row = append(row, ms(r.lastMedian), ms(r.lastMax), fmt.Sprintf("%.0f", r.heapEach/1024))
+	row = append(row, ms(r.lastMedian), ms(r.lastMax), fmt.Sprintf("%.0f", r.heapPerProcess/1024))
 	return append(row, fmt.Sprint(r.peersLargest))
 }
 
