--- a/script/capacity-slopes.sh
+++ b/script/capacity-slopes.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Prints the slopes of the tables that script/capacity.sh writes: least squares
-# over all sizes of a kind, as what, points, value at zero, slope.
+# Fits a line to each relation in the tables that script/capacity.sh writes, by least
+# squares over all sizes of the fleet, and prints what it relates, the number of
+# points, the value at zero and the slope.
 #
 #   script/capacity-slopes.sh FILE.csv...
 set -euo pipefail
@@ -54,7 +55,8 @@
       if (role == "reader") point("reader " phase ": platform bytes/s over VMs listed", fleet + $at["listed"], $at["platformInPerS"])
     }
   }
-  # At the smallest size all sides read; their rest is that of readers.
+  # At the smallest size every side is a reader, so its idle CPU use is that of a
+  # reader.
   phase == "idle" && plain && (role == "side" || !(fleet in rest)) { rest[fleet] = core }
   phase == "calls" || phase == "onces" {
     if (role == "called") { called = calls; point("called entry: core % over " phase "/s", calls, core); point("called entry: call bytes/s over " phase "/s", calls, session) }
--- a/script/capacity.sh
+++ b/script/capacity.sh
@@ -1,24 +1,25 @@
 #!/usr/bin/env bash
-# Measures what an entry, a side and a zone reader cost at several sizes of the
-# fleet: real processes and stand-ins on loopback, in three zones. It writes the
-# means by role as CSV and ends every process that it started.
+# Measures the CPU, memory and traffic that an entry, a side and a zone reader take at
+# several sizes of the fleet: real processes and stand-ins on loopback, in three
+# zones. It writes the means by role as CSV and stops every process that it started.
 #
-#   script/capacity.sh control FILE.csv   plain services: at rest, at a promotion
-#                                         a second and under calls, at each size
+#   script/capacity.sh control FILE.csv   plain services: idle, at a promotion a
+#                                         second and under calls, at each size
 #   script/capacity.sh data FILE.csv      engines: new versions of four sizes,
 #                                         and streams at three rates
 #
 # Environment:
-#   SIZES="…"      sides:entries:customers:listed:subset of each size; listed is how many
-#                  VMs more the VM list names, leaving and in a zone of their own,
-#                  without a process; subset is how many sessions an entry keeps
+#   SIZES="…"      sides:entries:customers:listed:subset of each size; listed is the
+#                  number of additional VMs in the VM list, which are leaving, in a
+#                  zone of their own and without a process; subset is how many
+#                  sessions an entry keeps, 8 if left out
 #   VERSIONS="…"   sizes of the versions in MiB
-#   STREAMS="…"    streams at once
-#   MEMORY=64MiB   soft limit of memory in the part data
+#   STREAMS="…"    numbers of concurrent streams
+#   MEMORY=64MiB   soft memory limit of each process in the part data
 #   INTERVAL=6     seconds of each phase
-#   CAPACITY_NET=40   second number of the IP numbers, 127.CAPACITY_NET.x.y
+#   CAPACITY_NET=40   second byte of the IP addresses, 127.CAPACITY_NET.x.y
 #
-# Exit code 1 when a process ended by itself, does not hold the last revision, or
+# Exit code 1 if a process exited by itself or does not have the last revision, or if
 # a version is not served.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -37,18 +38,20 @@
 readonly zones=(east-a west-a south-a)
 readonly regions=(east west south)
 
-# The callers of the phases under calls; each waits for its answer.
+# The numbers of concurrent callers in the phases calls and onces; each caller waits
+# for an answer before its next call.
 readonly few=2 many=8
 
-# The streams of the phases under streams, and the tokens of each.
+# The numbers of concurrent streams in the phases streams-N, and the tokens of each
+# stream.
 streams=${STREAMS-4 12 36}
 readonly tokens=200
 
-# The sizes of the versions in MiB; the first is there before the measurement.
+# The sizes of the versions in MiB; the first is served before the measurement.
 versions=${VERSIONS:-2 8 16 32 64}
 
-# A process that was asked to end and has not is killed after this many tenths
-# of a second.
+# The processes that have not exited this many tenths of a second after SIGTERM are
+# killed.
 readonly grace_tenths=50
 
 declare -A pids=()
@@ -64,7 +67,7 @@
   exit 1
 }
 
-# end_all ends the processes of the ids given.
+# end_all PID... stops the given processes.
 end_all() {
   local pid tenths=0
   for pid in "$@"; do kill "$pid" 2>/dev/null || true; done
@@ -94,8 +97,8 @@
 trap 'exit 130' INT
 trap 'exit 143' TERM
 
-# start NAME PROGRAM ARG... starts a process with its output in the run
-# directory.
+# start NAME PROGRAM ARG... starts a process and appends its output to NAME.log in
+# the run directory.
 start() {
   local name=$1 program=$2
   shift 2
@@ -131,7 +134,8 @@
     curl -sS --fail -o /dev/null -X PUT --data-binary @- "http://$config/control/documents/capacity"
 }
 
-# add ROLE NAME GROUP I [SUBSET] lists a VM and writes the settings of its process.
+# add ROLE NAME GROUP I [SUBSET] adds a VM to the VM list and writes the settings of
+# its process.
 add() {
   local role=$1 name=$2 group=$3 i=$4 zone=${zones[$4 % 3]} region=${regions[$4 % 3]}
   local ip=127.$net.$group.$((i + 1)) service=
@@ -155,7 +159,7 @@
   admins[$name]=$ip:9001
 }
 
-# list_more COUNT lists VMs without a process.
+# list_more COUNT adds VMs without a process to the VM list.
 list_more() {
   local i
   (($1 > 0)) || return 0
@@ -172,11 +176,11 @@
   curl --config "$dir/far.curl"
 }
 
-# reads prints how many reads the configuration service has had.
+# reads prints how often the configuration service has been read.
 reads() { curl -sS --fail "http://$config/control/calls" | sed 's/[^0-9]//g'; }
 
-# processes_now FILE notes processor ticks, resident KiB and bytes of all read
-# calls (files and sockets) of each process.
+# processes_now FILE writes a line for each process: name, CPU ticks, resident KiB,
+# and bytes of all read calls (files and sockets).
 processes_now() {
   local name pid
   echo "at $EPOCHREALTIME" >"$1"
@@ -190,8 +194,9 @@
   done
 }
 
-# status_now FILE notes of each process: reader, revision, connections to
-# peers, sessions, calls done, and bytes received and sent by purpose.
+# status_now FILE writes a line for each process: name, whether it is a reader,
+# revision, connections to peers, sessions, calls done, and bytes received and sent
+# by purpose.
 status_now() {
   local name
   local -a args=()
@@ -220,16 +225,17 @@
   done
 }
 
-# phase_begin begins a phase.
+# phase_begin records the counters at the start of a phase.
 phase_begin() {
   status_now "$dir/status.0"
   reads_0=$(reads)
   processes_now "$dir/proc.0"
 }
 
-# phase_end NAME SIZE TOKENS ends it and writes a row for each role. At rest and
-# under promotions a process that reads the platform counts as a reader; in the
-# other phases processes count by their role.
+# phase_end NAME SIZE [TOKENS] ends the phase and writes a row for each role. In the
+# phases idle and change, a process that reads from the platform counts as a reader.
+# In the other phases processes count by their role, except that entry-1, which gets
+# all calls, has a row of its own (called).
 phase_end() {
   processes_now "$dir/proc.1"
   local reads_1
@@ -245,7 +251,7 @@
     {
       r = role[$1]
       if (phase == "idle" || phase == "change") {
-        # A process that read in only a part of the phase is of neither kind.
+        # A process that was a reader at only one end of the phase is not counted.
         if ($2 != reader[$1]) next
         if ($2) r = "reader"
       } else if ($1 == "entry-1") r = "called"
@@ -276,8 +282,7 @@
     }' "$dir/roles" "$dir/proc.0" "$dir/proc.1" "$dir/status.0" "$dir/status.1" | tee -a "$csv"
 }
 
-# call COUNT METHOD starts callers at the first entry, each with one call at a
-# time.
+# call COUNT METHOD starts callers of the first entry, each with one call at a time.
 call() {
   local i
   for ((i = 0; i < $1; i++)); do
@@ -291,7 +296,7 @@
   callers=()
 }
 
-# wait_for_revision N waits until each process holds the revision.
+# wait_for_revision N waits until each process has the revision.
 wait_for_revision() {
   local tenths behind
   for ((tenths = 0; tenths < 100; tenths += 5)); do
@@ -351,7 +356,7 @@
   stop_size
 }
 
-# measure_calls SIZE PHASE measures under the callers that run.
+# measure_calls SIZE PHASE measures a phase while the callers run.
 measure_calls() {
   sleep 0.5
   phase_begin
@@ -359,8 +364,8 @@
   phase_end "$2" "$1"
 }
 
-# chat COUNT starts callers that have one stream after the other of the first
-# entry, and keeps what they get.
+# chat COUNT starts callers that request one stream after another from the first
+# entry, and keeps the responses.
 chat() {
   local i
   for ((i = 0; i < $1; i++)); do
@@ -370,7 +375,7 @@
   done
 }
 
-# events prints how many events the callers have got.
+# events prints how many events the callers have received.
 events() { cat "$dir"/stream.* | grep -c '^data: {' || true; }
 
 measure_data() {
--- a/script/demo.sh
+++ b/script/demo.sh
@@ -1,19 +1,20 @@
 #!/usr/bin/env bash
-# Runs the demonstration: stand-ins, two entries and a side beside each target
-# of a deployment, all on loopback. Promotes version 1, then version 2 while
-# callers run, prints the table of outcomes and ends every process that it
-# started. Exit code 1 when an outcome is missed.
+# Runs the demonstration: stand-ins for the platform, two entries and a side beside
+# each target of a deployment, all on loopback. Promotes version 1, then version 2
+# while callers run, prints the table of results and stops every process that it
+# started. Exit code 1 if a result is not as required.
 #
 #   script/demo.sh DEPLOYMENT       pindan or schools
 #
 # Environment:
 #   SIZE_MIB=64    size of version 2; version 1 has a quarter of it
 #   LIMIT=180      most seconds for each rollout
-#   DEMO_NET=20    second number of the IP numbers, 127.DEMO_NET.x.y
-#   FAULTS=1       in mid-rollout makes the connections to two sides go silent,
-#                  kills two others and an entry, pauses two more for 5 s, and
-#                  starts the killed anew
-#   OVERHEAD=1     measures at the end what the entries add to a call
+#   DEMO_NET=20    second byte of the IP addresses, 127.DEMO_NET.x.y; the default is
+#                  30 for schools
+#   FAULTS=1       during the rollout of version 2, makes the connections to two
+#                  sides go silent, kills two other sides and an entry, pauses two
+#                  more sides for 5 s, and restarts the killed processes
+#   OVERHEAD=1     at the end measures how much latency the entries add to a call
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -42,13 +43,13 @@
 
 declare -A pids=()
 
-# A process that was asked to end and has not is killed after this many tenths
-# of a second, so that a failed run leaves nothing behind.
+# The processes that have not exited this many tenths of a second after SIGTERM are
+# killed, so that a failed run leaves no process behind.
 readonly grace_tenths=100
 
 running() { kill -0 "$1" 2>/dev/null; }
 
-# stop_all ends every process that this script started, by its id.
+# stop_all stops every process that this script started, by its process id.
 stop_all() {
   local code=$? pid tenths=0
   trap - EXIT INT TERM
@@ -73,8 +74,8 @@
   exit 1
 }
 
-# start NAME PROGRAM ARG... starts a process with its output in the run
-# directory.
+# start NAME PROGRAM ARG... starts a process and appends its output to NAME.log in
+# the run directory.
 start() {
   local name=$1 program=$2
   shift 2
@@ -82,8 +83,8 @@
   pids[$name]=$!
 }
 
-# check_all fails when a process has ended by itself, such as for a port in
-# use, and shows its last words.
+# check_all fails if a process has exited by itself, for instance because a port was
+# in use, and prints the last line of its log.
 check_all() {
   local name
   for name in "${!pids[@]}"; do
@@ -91,19 +92,19 @@
   done
 }
 
-# command_of NAME prints the program and the arguments of a process.
+# command_of NAME prints the program and the arguments of a process of the plan.
 command_of() { awk -v name="$1" '$1 == name { sub(/^[^ ]+ /, ""); print }' "$dir/processes"; }
 
-# restart NAME starts a process of the plan anew.
+# restart NAME starts a process of the plan again.
 restart() {
   local words
   read -ra words <<<"$(command_of "$1")"
   start "$1" "${words[@]}"
 }
 
-# follow runs a command in the foreground. Bash runs a trap only once a
-# foreground command has ended, but wait returns at once: without this an
-# interrupt would take effect only after a rollout.
+# follow runs a command in the background and waits for it. Bash runs a trap only
+# after a foreground command has ended, but a signal interrupts wait at once. With a
+# foreground command, an interrupt would take effect only after the rollout.
 follow() {
   local code=0
   "$@" &
@@ -122,7 +123,8 @@
   done <"$dir/processes"
 }
 
-# memory WHEN notes the resident memory of the system's processes in KiB.
+# memory WHEN appends the resident memory of each process of the system, in KiB, to
+# the file memory, from which the table command reads it.
 memory() {
   local name pid kib
   while read -r name program _; do
@@ -133,9 +135,10 @@
   done <"$dir/processes"
 }
 
-# break_some makes the connections to a side of each kind go silent, then kills
-# a side of each kind and an entry and pauses two other sides while version 2 is
-# under way. After a while it replaces the killed and resumes the paused.
+# break_some injects the faults of FAULTS=1 while version 2 is rolled out. It makes
+# the connections to a side of each kind go silent, then kills a side of each kind
+# and an entry, and pauses two other sides. After 5 s it restarts the killed
+# processes and resumes the paused ones.
 break_some() {
   local name
   local -r names=("$chat-1" "$once-1" entry-1)
@@ -172,7 +175,8 @@
 follow bin/standin publish --fleet "$dir" --number 2 --size $((size_mib * mib))
 bin/hawthornferry check "$dir/version-2.ini"
 
-# The platform lists a VM before its processes run; the list lags by a second.
+# The platform lists a VM before its processes run, and the VM list shows a change
+# with a delay of a second.
 sleep 2
 start_all hawthornferry
 sleep 2
@@ -183,7 +187,7 @@
 check_all
 memory rest
 
-echo "callers begin"
+echo "starting callers"
 bin/standin callers --fleet "$dir" --progress --duration "$((limit + 30))s" --customers "$customers" \
   --lookup-service "$lookup" --lookup-path "$path" --once-service "$once" --once-path "$once_path" \
   --stream 8/6 --whole 4/3 --lookups 4/20 --onces 4/10 --tokens 40 >"$dir/callers.json" 2>"$dir/callers.log" &
@@ -209,7 +213,7 @@
 check_all
 
 if [[ $overhead == 1 ]]; then
-  echo "what the entries add, in turn with the same calls past them"
+  echo "measuring the overhead of the entries: the same calls alternately through them and directly"
   follow bin/standin callers --fleet "$dir" --direct --duration 12s --slice 1s --customers "$customers" \
     --lookup-service "$lookup" --lookup-path "$path" --once-service "$once" --once-path "$once_path" \
     --stream 2 --whole 0 --lookups 2 --onces 2 --ticket-every 0 >"$dir/overhead.json"
--- a/script/failures.sh
+++ b/script/failures.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# Brings about failures with real processes on loopback and judges the
-# outcomes: a side, an entry and the configuration service are killed, paused
-# and woken, a target leaves, processes end gracefully under load, engines go
-# silent, and two promotions race. Callers run all the while. Nothing timed
-# decides: the verdict is the callers' own checks of every answer, the
-# services' counts of executions, and replay over the decision logs.
-# Exit code 1 when an outcome is missed.
+# Injects failures into real processes on loopback and checks the results: sides and
+# entries are killed, or paused and resumed, the configuration service is paused, a
+# target leaves, processes shut down gracefully under load, an engine goes silent,
+# and two promotions race. Callers run throughout. The verdict doesn't depend on
+# timing: it comes from the callers' checks of every answer, the services' counts of
+# executions, and hawthornferry replay over the decision logs.
+# Exit code 1 if a result is not as required.
 #
 #   script/failures.sh
 #
 # Environment:
-#   FAIL_NET=60    second number of the IP numbers, 127.FAIL_NET.x.y
+#   FAIL_NET=60    second byte of the IP addresses, 127.FAIL_NET.x.y
 #   PAUSE=6        seconds for which a process is paused or silent
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -65,13 +65,13 @@
 # signal SIGNAL NAME sends a signal to a process that this script started.
 signal() { kill "-$1" "${pids[$2]}"; }
 
-# replace NAME starts a process anew under its name.
+# replace NAME waits until a process has exited and starts it again.
 replace() {
   wait "${pids[$1]}" 2>/dev/null || true
   start "$1"
 }
 
-# field FILTER prints a value of the plan.
+# field FILTER prints a value of the plan, selected by a jq filter.
 field() { jq -r "$1" "$dir/fleet.json"; }
 
 put_document() {
@@ -92,7 +92,7 @@
 }
 
 killed() {
-  note "$1 is killed and replaced"
+  note "$1 is killed and restarted"
   signal KILL "$1"
   sleep 2
   replace "$1"
@@ -100,7 +100,7 @@
 }
 
 paused() {
-  note "$1 is paused for ${pause}s and wakes"
+  note "$1 is paused for ${pause}s and resumed"
   signal STOP "$1"
   sleep "$pause"
   signal CONT "$1"
@@ -108,7 +108,7 @@
 }
 
 ended() {
-  note "$1 ends gracefully under load and is replaced"
+  note "$1 shuts down gracefully under load and is restarted"
   signal TERM "$1"
   replace "$1"
   sleep 4
