--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Plain targets; README.md names demo and test.
+# README.md names the targets demo and test.
 GO      ?= go
 TOOLS    = $(GO) tool -modfile=tools/go.mod
 PACKAGES = ./...
@@ -34,7 +34,8 @@
 unit:
 	$(KNOWNRED) without "$(PACKAGES)" $(UNIT)
 
-# QUICK=1 runs a few trials only and leaves docs/ alone.
+# Measures how fast a new version reaches the sides. QUICK=1 runs a few trials only
+# and does not write to docs/.
 bench-burst:
 	$(GO) build -o bin/burst ./bench/burst
 ifeq ($(QUICK),1)
@@ -43,12 +44,13 @@
 	bin/burst --csv docs/burst.csv --plot docs/burst.png
 endif
 
-# The exhaustive explorations run on one goroutine each; under the race
-# detector they would take minutes and find no more.
+# The tests in core/ without the race detector: the exhaustive explorations among them
+# run on one goroutine each, so under the race detector they would take minutes and
+# find no more.
 prove:
 	$(KNOWNRED) without ./core/... $(PROVE)
 
-# The tests that KNOWN-RED.txt lists, with the flags of the targets that leave them out.
+# The tests that KNOWN-RED.txt lists, with the flags of the targets that exclude them.
 known-red:
 	$(KNOWNRED) only "$(PACKAGES)" $(UNIT)
 	$(KNOWNRED) only ./core/... $(PROVE)
@@ -56,7 +58,8 @@
 clean:
 	rm -rf bin run
 
-# Compares policies of choice and admission on a queueing model; see docs/notes-policy.md.
+# Compares policies for choosing targets and admitting calls on a queueing model; see
+# docs/notes-policy.md.
 bench-policy:
 	$(GO) run ./bench/policy -out docs
 
@@ -69,7 +72,8 @@
 	bin/conf --csv docs/conf.csv
 endif
 
-# Measures what each role costs at several sizes; see docs/CAPACITY.md.
+# Measures the CPU, memory and traffic of each role at several sizes of the fleet; see
+# docs/CAPACITY.md.
 bench-capacity: build
 	script/capacity.sh control docs/capacity.csv
 	SIZES="32:4:100:0:2 32:4:100:0:8 32:4:100:0:32" script/capacity.sh control docs/capacity-sessions.csv
@@ -77,18 +81,18 @@
 	MEMORY=256MiB VERSIONS="2 32 64" script/capacity.sh data docs/capacity-memory.csv
 	script/capacity-slopes.sh docs/capacity.csv docs/capacity-sessions.csv docs/capacity-data.csv
 
-# Kills, pauses and cuts off real processes on loopback and judges the outcomes.
+# Kills, pauses and restarts real processes on loopback and checks the results.
 failures: build
 	script/failures.sh
 
 soak-build: build
 	$(GO) build -o bin/soak ./platform/soak
 
-# Runs the real programs among stand-ins of the platform that misbehave, and
-# checks the promises meanwhile; see doc/soak.md.
+# Runs the real programs with stand-ins for the platform that inject faults, and
+# checks the guarantees meanwhile; see doc/soak.md.
 soak: soak-build
 	bin/soak --seed $(SEED) --seconds $(SECONDS) $(SOAK_FLAGS)
 
-# A short run for CI.
+# Short runs for CI, one for each of SHORT_SEEDS.
 soak-short: soak-build
 	@for seed in $(SHORT_SEEDS); do bin/soak --seed $$seed --seconds 40 || exit 1; done
