--- a/io/conn/link/link.go
+++ b/io/conn/link/link.go
@@ -2,7 +2,7 @@
 // system. Each end first sends a Hello. Its Purpose selects the handler at the
 // accepting process; bulk transfers have their own purpose, so that calls never
 // wait behind them on a connection. Every package that talks to peers uses Dial
-// or Ask and provides a Handler for the process's Listener.
+// or RoundTrip and provides a Handler for the process's Listener.
 package link
 
 import (
--- a/io/conn/link/peers.go
+++ b/io/conn/link/peers.go
@@ -7,7 +7,7 @@
 )
 
 // PeerRunner runs one goroutine for each peer of a set that changes: it starts one
-// when a peer is added and cancels it when the peer is removed. Set Keep before
+// when a peer is added and cancels it when the peer is removed. Set Serve before
 // Run.
 type PeerRunner struct {
 	// Serve runs for the peer at addr and must return when ctx ends.
--- a/io/conn/sessn/beat.go
+++ b/io/conn/sessn/beat.go
@@ -19,8 +19,8 @@
 
 // Heartbeat is sent by the side at a fixed interval, and at once when its content
 // has changed. Reading is the side's clock. Leaving means that the target takes no
-// new calls, Ready that it can serve calls. Serving is the manifest of the version
-// that the target serves; it is empty for a service without weights.
+// new calls, Ready that it can serve calls. ServedVersion is the digest of the manifest
+// of the version that the target serves; it is empty for a service without weights.
 type Heartbeat struct {
 	Reading       fresh.ClockReading `msgpack:"r"`
 	Leaving       bool               `msgpack:"l"`
--- a/io/conn/sessn/call.go
+++ b/io/conn/sessn/call.go
@@ -105,7 +105,7 @@
 }
 
 // enqueue adds received messages to the call's queue. A side that keeps to its
-// credit never has more than Window bytes queued, so the call fails beyond that
+// credit never has more than CreditWindow bytes queued, so the call fails beyond that
 // instead of using more memory.
 func (c *Call) enqueue(ms ...frame.Message) {
 	c.mu.Lock()
--- a/io/conn/sessn/client.go
+++ b/io/conn/sessn/client.go
@@ -25,7 +25,7 @@
 	// OnChange, when set, is called after each heartbeat, when the connection ends,
 	// and when an attempt to connect fails. It must not block.
 	OnChange func()
-	// Events, when set, is called with the target's cache events. It must not block.
+	// OnCacheEvents, when set, is called with the target's cache events. It must not block.
 	OnCacheEvents func([]PrefixEvent)
 
 	mu            sync.Mutex
@@ -35,8 +35,8 @@
 }
 
 // Status is what an entry knows about a side. Connected means that a heartbeat has
-// been received on the current connection; Beat is the latest one and At when it
-// was received. Refused means that the latest attempt to connect found nothing
+// been received on the current connection; Heartbeat is the latest one and ReceivedAt
+// when it was received. Refused means that the latest attempt to connect found nothing
 // listening at the side's address.
 type Status struct {
 	Connected  bool
@@ -147,7 +147,7 @@
 	c.notifyChange()
 }
 
-// notifyChange closes the channel that Next returned and calls Changed.
+// notifyChange closes the channel that StatusChanged returned and calls OnChange.
 func (c *Client) notifyChange() {
 	c.mu.Lock()
 	if c.statusChanged != nil {
--- a/io/conn/sessn/message.go
+++ b/io/conn/sessn/message.go
@@ -32,10 +32,10 @@
 // again on that connection, so a late answer cannot reach another call.
 type Channel uint64
 
-// Start opens a call. Request is the request's id in the logs. Echo is the latest
-// reading of the side's clock that the entry has received. Body is the first block
-// of the request's body and Size the length of the whole body; Body messages carry
-// the rest. Ticket is set for a call that may run at most once. Version, when set,
+// Start opens a call. Request is the request's id in the logs. EchoedReading is the
+// latest reading of the side's clock that the entry has received. Body is the first
+// block of the request's body and BodySize the length of the whole body; Body messages
+// carry the rest. Ticket is set for a call that may run at most once. Version, when set,
 // is the manifest of the only version that may answer. Timeout limits how long the
 // call runs at the side. Members encodes the possible owners of the call's key as
 // the entry knows them; the side compares it with its own (see calls.OwnerMembers).
--- a/io/conn/sessn/server.go
+++ b/io/conn/sessn/server.go
@@ -16,16 +16,17 @@
 )
 
 // Service handles the calls of a side's sessions and provides its heartbeats;
-// gate.Gate implements it.
+// gate.Proxy implements it.
 type Service interface {
 	// HandleCall handles a call whose request has been received completely. It is called
 	// in a goroutine of its own.
 	HandleCall(s *Stream)
 	// HandleQuery handles a query. It is called in a goroutine of its own.
 	HandleQuery(s *Stream, q *Query)
-	// Beat returns the content of the next heartbeat.
+	// Heartbeat returns the content of the next heartbeat.
 	Heartbeat() Heartbeat
-	// Changed returns a channel that is closed when the result of Beat changes.
+	// HeartbeatChanged returns a channel that is closed when the result of Heartbeat
+	// changes.
 	HeartbeatChanged() <-chan struct{}
 	// CacheEvents returns the target's cache events after a position, at most MaxEvents
 	// of them, and the position of the last one returned.
--- a/io/conn/sessn/timing.go
+++ b/io/conn/sessn/timing.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Timing sets the intervals and timeouts of a session. Beat is the time between
-// heartbeats. A connection on which nothing is received for Silent is closed, and
-// the entry opens another; Silent must be longer than Beat, or healthy connections
-// are closed. Silent also limits an attempt to connect. Redial is the wait after a
-// failed attempt.
+// Timing sets the intervals and timeouts of a session. HeartbeatInterval is the time
+// between heartbeats. A connection on which nothing is received for SilenceTimeout is
+// closed, and the entry opens another; SilenceTimeout must be longer than
+// HeartbeatInterval, or healthy connections are closed. SilenceTimeout also limits an
+// attempt to connect. RedialDelay is the wait after a failed attempt.
 type Timing struct {
 	HeartbeatInterval time.Duration
 	SilenceTimeout    time.Duration
--- a/io/process/admin/serve.go
+++ b/io/process/admin/serve.go
@@ -1,7 +1,7 @@
 // Package admin implements the administration API of an entry or side: a read-only
 // HTTP server with the health, readiness, metrics and status of the process. It has
 // an address of its own, so that operators and the load balancer reach it when many
-// callers occupy the other one. Packages host and hosted run it; the command status
+// callers occupy the other one. Packages proc and hosted run it; the command status
 // is its client.
 package admin
 
--- a/io/process/admin/status.go
+++ b/io/process/admin/status.go
@@ -23,7 +23,7 @@
 }
 
 // Process identifies the process. Boot identifies this run of it. Ready is the result
-// of /readyz; Reason says why the process is not ready.
+// of /readyz; NotReadyReason says why the process is not ready.
 type Process struct {
 	Name           string     `json:"name"`
 	Role           fleet.Role `json:"role"`
@@ -36,11 +36,11 @@
 	NotReadyReason string     `json:"reason,omitempty"`
 }
 
-// Config describes the configuration in force and how the process gets it. Refused is
-// the highest revision that was received and rejected, and Fault the reason. Conflict
-// is the revision in force if another document with the same revision was seen, else
-// 0. Service is the highest revision that this process has read from the platform
-// itself. Reader says whether it currently reads the platform for its zone. Peers is
+// Config describes the configuration in force and how the process gets it.
+// RefusedRevision is the highest revision that was received and rejected, and
+// RefusalReason the reason. ConflictRevision is the revision in force if another
+// document with the same revision was seen, else 0. ReadRevision is the highest revision
+// that this process has read from the platform itself. Reader says whether it currently reads the platform for its zone. Peers is
 // the number of connected peers. VMListVersion and VMs are the version and the length
 // of the VM list.
 type Config struct {
@@ -67,7 +67,7 @@
 	Zones    []Progress   `json:"zones"`
 }
 
-// Progress is a rollout in one zone. Want is the number of replicas wanted, Serving
+// Progress is a rollout in one zone. Wanted is the number of replicas wanted, Serving
 // those that serve the version, Staged those that have all its chunks. ChunksHeld and
 // ChunksTotal are summed over all replicas.
 type Progress struct {
@@ -93,7 +93,7 @@
 
 // Outcome counts a customer's calls to a service by outcome since the process
 // started. Repeated counts those that had been received before and did not run again,
-// RefusedRevision those that admission refused.
+// Refused those that admission refused.
 type Outcome struct {
 	Customer string `json:"customer"`
 	Service  string `json:"service"`
--- a/io/process/cmds/plan.go
+++ b/io/process/cmds/plan.go
@@ -59,7 +59,7 @@
 	return printPlan(out.stdout, result)
 }
 
-// joinFlaws returns the flaws of two documents as one error, so that one run reports
+// joinFlaws returns the problems of two documents as one error, so that one run reports
 // all of them. Any other error is returned alone.
 func joinFlaws(a, b error) error {
 	var all, flaws inidoc.Problems
--- a/io/process/hosted/settings.go
+++ b/io/process/hosted/settings.go
@@ -14,7 +14,7 @@
 	"hawthornferry/core/process/fleet"
 )
 
-// ReloadSettings are the settings of one process, read at its start. Of changes to them, only
+// Settings are the settings of one process, read at its start. Of changes to them, only
 // Seeds takes effect while the process runs.
 type Settings struct {
 	// VM describes this process to its peers. They identify each other by address, so
--- a/io/process/jsonl/log.go
+++ b/io/process/jsonl/log.go
@@ -24,7 +24,8 @@
 	Clock  clockwork.Clock
 	Logger *logrus.Logger
 	// Routine reports whether a decision is routine: its line is the first to be
-	// omitted when the output is slow or the Budget is used up. nil means that none is.
+	// omitted when the output is slow or the RateLimiter's limit is reached. nil
+	// means that none is.
 	Routine func(d trail.Decision) bool
 	// RateLimiter limits the lines written per second; nil for no limit.
 	RateLimiter *RateLimiter
@@ -115,7 +116,7 @@
 	return b.Bytes(), err
 }
 
-// dropped is the line that stands for lines that were dropped.
+// droppedReport is the line that stands for lines that were dropped.
 type droppedReport struct {
 	Level   string `json:"level"`
 	Message string `json:"msg"`
--- a/io/process/jsonl/ratelimiter.go
+++ b/io/process/jsonl/ratelimiter.go
@@ -19,10 +19,10 @@
 
 // RateLimiter limits how many lines of each kind a Log writes per second. Lines of one
 // action are one kind, and routine lines of that action are a kind of their own.
-// Routine lines over the budget are held back until their request ends. If it
+// Routine lines over the limit are held back until their request ends. If it
 // succeeds, they are all omitted; if it fails, is refused or is moved to another
 // target, they are written, so that the log has every line on it. Other lines over
-// the budget are omitted. Lines that are omitted are counted, and one line per action
+// the limit are omitted. Lines that are omitted are counted, and one line per action
 // reports their number. Set the exported fields before the first call.
 type RateLimiter struct {
 	// PerSecond is the maximum number of lines of one kind that are written per
@@ -40,7 +40,7 @@
 	held        map[string][]heldLine
 }
 
-// lineKind identifies the lines that share a budget.
+// lineKind identifies the lines that share a limit.
 type lineKind struct {
 	action  string
 	routine bool
--- a/io/process/jsonl/ratelimiter_test.go
+++ b/io/process/jsonl/ratelimiter_test.go
@@ -15,7 +15,7 @@
 
 // In a burst of forty times as many requests as the log has lines for, one request in
 // a hundred fails. All lines of the failed requests must be written, the lines of the
-// others must stay within the budget, and the log must report how many were omitted.
+// others must stay within the limit, and the log must report how many were omitted.
 func TestBudgetKeepsAllLinesOfFailedRequests(t *testing.T) {
 	const perSecond, requests = 50, 2000
 	clock := clockwork.NewFakeClock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// Guards against routine lines that use up the budget of others: within one second,
+// Guards against routine lines that use up the limit of others: within one second,
 // a burst of requests succeeds and then every request fails. All the failures must be
 // logged.
 func TestRoutineLinesLeaveBudgetForFailures(t *testing.T) {
--- a/io/process/jsonl/sink.go
+++ b/io/process/jsonl/sink.go
@@ -1,7 +1,7 @@
 // Package jsonl writes the log of a process as lines of JSON: its decisions (package
 // trail), which the commands replay and explain read, and its other messages. It
 // never makes a request wait for the log output, and can limit the lines per second.
-// Packages host and hosted set it up at the start of a process.
+// Packages proc and hosted set it up at the start of a process.
 package jsonl
 
 import (
@@ -17,11 +17,11 @@
 	"hawthornferry/core/process/operr"
 )
 
-// DefaultQueueLines is the length of a Sink's queue in lines when Buffer is 0.
+// DefaultQueueLines is the length of a Sink's queue in lines when QueueLines is 0.
 const DefaultQueueLines = 4096
 
 // Sink is an io.Writer that queues lines for Out, so that Write never blocks. Each
-// Write is one line. Buffer is the length of the queue in lines. Set the exported
+// Write is one line. QueueLines is the length of the queue in lines. Set the exported
 // fields before the first Write.
 type Sink struct {
 	Out        io.Writer
--- a/io/process/jsonl/sink_test.go
+++ b/io/process/jsonl/sink_test.go
@@ -14,7 +14,7 @@
 	"hawthornferry/core/process/trail"
 )
 
-// Guards against a Decide that blocks while the log output does: its caller is
+// Guards against a Record that blocks while the log output does: its caller is
 // handling a request. The queue of two lines fills, and the third and fourth decision
 // must return at once. When the output works again, one line must report how many
 // lines were dropped.
--- a/io/process/proc/process.go
+++ b/io/process/proc/process.go
@@ -1,7 +1,6 @@
 // Package proc runs what entries and sides have in common: logs, metrics, configuration, the
 // listener for peers and the administration API. The commands in package cmds open a
-// Process;
-// packages entry and side add their own components to it and call Run.
+// Process; packages entry and side add their own components to it and call Run.
 package proc
 
 import (
--- a/io/process/uptime/uptime.go
+++ b/io/process/uptime/uptime.go
@@ -1,7 +1,7 @@
 // Package uptime provides a clock that also counts the time in which the machine is
 // suspended (Now), and detects when this process stalled (StallDetector). Ages of information
-// are measured with them: package hosted passes both to package feed, and packages order and
-// adapt use Now.
+// are measured with them: package hosted passes both to package feed, packages hosted and
+// side pass Now to package order, and package adapt calls Now itself.
 package uptime
 
 import (
--- a/io/process/watch/stats.go
+++ b/io/process/watch/stats.go
@@ -7,9 +7,8 @@
 // Stats describes the distribution of the configuration, for the administration
 // API. ReadRevision is the revision that this process has last read from the
 // service itself. RefusedRevision is the revision that was last refused, and
-// RefusalReason the reason.
-// ConflictRevision is the revision in force when another document with the same
-// revision was received. ReceivedBytes and SentBytes are those of all
+// RefusalReason the reason. ConflictRevision is the revision in force when another
+// document with the same revision was received. ReceivedBytes and SentBytes are those of all
 // configuration connections, PlatformBytes those of the documents and VM lists that
 // this process has read itself.
 type Stats struct {
--- a/io/request/direct/progress.go
+++ b/io/request/direct/progress.go
@@ -61,7 +61,7 @@
 }
 
 // IsRoutine reports whether d is the line of a request that went well: one attempt, on
-// time. If the log exceeds its budget, these lines are dropped before those of other
+// time. If the log exceeds its rate limit, these lines are dropped before those of other
 // requests.
 func IsRoutine(d trail.Decision) bool {
 	return d.Action == actionAnswer && d.Outcome == string(resend.Relayed) && d.Attempts == 0 && d.Reason == ""
--- a/standin/platf/vms.go
+++ b/standin/platf/vms.go
@@ -23,7 +23,7 @@
 )
 
 // ListFaults are the faults that the VM list injects. Down makes every read fail
-// with status 503. Lag, when above zero, replaces the Lag of the List.
+// with status 503. Lag, when above zero, replaces the Lag of the VMList.
 type ListFaults struct {
 	Down bool           `json:"down"`
 	Lag  serve.Duration `json:"lag"`
