--- a/io/conn/link/peers.go
+++ b/io/conn/link/peers.go
@@ -21,38 +21,38 @@
 }
 
 // Run accepts changes of the set until ctx ends, then waits for the goroutines.
-func (k *PeerRunner) Run(ctx context.Context) error {
-	k.mu.Lock()
-	k.ctx = ctx
-	k.cancels = map[netip.AddrPort]context.CancelFunc{}
-	k.mu.Unlock()
+func (r *PeerRunner) Run(ctx context.Context) error {
+	r.mu.Lock()
+	r.ctx = ctx
+	r.cancels = map[netip.AddrPort]context.CancelFunc{}
+	r.mu.Unlock()
 	<-ctx.Done()
-	k.wg.Wait()
+	r.wg.Wait()
 	return nil
 }
 
 // SetPeers replaces the set of peers. It has no effect before Run starts or after
 // its context ends.
-func (k *PeerRunner) SetPeers(addrs []netip.AddrPort) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.ctx == nil || k.ctx.Err() != nil {
+func (r *PeerRunner) SetPeers(addrs []netip.AddrPort) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.ctx == nil || r.ctx.Err() != nil {
 		return
 	}
 	wanted := make(map[netip.AddrPort]bool, len(addrs))
 	for _, a := range addrs {
 		wanted[a] = true
-		if k.cancels[a] != nil {
+		if r.cancels[a] != nil {
 			continue
 		}
-		ctx, cancel := context.WithCancel(k.ctx)
-		k.cancels[a] = cancel
-		k.wg.Go(func() { k.Serve(ctx, a) })
+		ctx, cancel := context.WithCancel(r.ctx)
+		r.cancels[a] = cancel
+		r.wg.Go(func() { r.Serve(ctx, a) })
 	}
-	for a, cancel := range k.cancels {
+	for a, cancel := range r.cancels {
 		if !wanted[a] {
 			cancel()
-			delete(k.cancels, a)
+			delete(r.cancels, a)
 		}
 	}
 }
--- a/io/process/jsonl/ratelimiter.go
+++ b/io/process/jsonl/ratelimiter.go
@@ -55,24 +55,24 @@
 // admit returns the lines to write now, given the decision d and its line: the
 // report of a second that is over, lines of the request that were held back, and
 // line itself unless it is held back or omitted.
-func (b *RateLimiter) admit(d trail.Decision, routine bool, line []byte) [][]byte {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := b.startSecond(d.Time)
+func (l *RateLimiter) admit(d trail.Decision, routine bool, line []byte) [][]byte {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := l.startSecond(d.Time)
 	kind := lineKind{d.Action, routine}
-	if routine && (b.held[d.Request] != nil || b.written[kind] >= cmp.Or(b.RoutinePerSecond, b.PerSecond)) {
-		b.holdOrOmit(d, line)
+	if routine && (l.held[d.Request] != nil || l.written[kind] >= cmp.Or(l.RoutinePerSecond, l.PerSecond)) {
+		l.holdOrOmit(d, line)
 		return out
 	}
-	for _, h := range b.held[d.Request] {
+	for _, h := range l.held[d.Request] {
 		out = append(out, h.line)
 	}
-	delete(b.held, d.Request)
-	if b.written[kind] >= b.PerSecond {
-		b.omitted[d.Action]++
+	delete(l.held, d.Request)
+	if l.written[kind] >= l.PerSecond {
+		l.omitted[d.Action]++
 		return out
 	}
-	b.written[kind]++
+	l.written[kind]++
 	return append(out, line)
 }
 
@@ -81,40 +81,40 @@
 
 // holdOrOmit holds a routine line back. If the request ends with it, or too many
 // requests are held back, it omits all lines of the request.
-func (b *RateLimiter) holdOrOmit(d trail.Decision, line []byte) {
-	lines := append(b.held[d.Request], heldLine{d.Action, line})
-	if d.Action != answerAction && len(b.held) < maxHeldRequests {
-		b.held[d.Request] = lines
+func (l *RateLimiter) holdOrOmit(d trail.Decision, line []byte) {
+	lines := append(l.held[d.Request], heldLine{d.Action, line})
+	if d.Action != answerAction && len(l.held) < maxHeldRequests {
+		l.held[d.Request] = lines
 		return
 	}
 	for _, h := range lines {
-		b.omitted[h.action]++
+		l.omitted[h.action]++
 	}
-	delete(b.held, d.Request)
+	delete(l.held, d.Request)
 }
 
 // startSecond starts a new second when the current one is over, and returns the
 // lines that report what was omitted in it.
-func (b *RateLimiter) startSecond(now time.Time) [][]byte {
-	if b.written != nil && now.Sub(b.secondStart) < time.Second && !now.Before(b.secondStart) {
+func (l *RateLimiter) startSecond(now time.Time) [][]byte {
+	if l.written != nil && now.Sub(l.secondStart) < time.Second && !now.Before(l.secondStart) {
 		return nil
 	}
 	var out [][]byte
-	for action, n := range b.omitted {
-		b.countOmitted(action, n)
+	for action, n := range l.omitted {
+		l.countOmitted(action, n)
 		out = append(out, omittedLine(now, action, n))
 	}
 	slices.SortFunc(out, func(x, y []byte) int { return cmp.Compare(string(x), string(y)) })
-	b.secondStart, b.written, b.omitted = now, map[lineKind]int{}, map[string]int{}
-	if b.held == nil {
-		b.held = map[string][]heldLine{}
+	l.secondStart, l.written, l.omitted = now, map[lineKind]int{}, map[string]int{}
+	if l.held == nil {
+		l.held = map[string][]heldLine{}
 	}
 	return out
 }
 
-func (b *RateLimiter) countOmitted(action string, n int) {
-	if b.Metrics != nil {
-		b.Metrics.Tagged(map[string]string{"action": action}).Counter("log_lines_left_out_total").Inc(int64(n))
+func (l *RateLimiter) countOmitted(action string, n int) {
+	if l.Metrics != nil {
+		l.Metrics.Tagged(map[string]string{"action": action}).Counter("log_lines_left_out_total").Inc(int64(n))
 	}
 }
 
--- a/io/request/gate/cache.go
+++ b/io/request/gate/cache.go
@@ -38,21 +38,21 @@
 
 // readCacheEvents reads the events that the engine has added since the last call. boot
 // is the engine's current boot; a new one starts numbering its events anew.
-func (g *Proxy) readCacheEvents(ctx context.Context, boot string) {
-	g.mu.Lock()
-	if g.cache.boot != boot {
-		g.cache.boot, g.cache.lastSeq = boot, 0
+func (p *Proxy) readCacheEvents(ctx context.Context, boot string) {
+	p.mu.Lock()
+	if p.cache.boot != boot {
+		p.cache.boot, p.cache.lastSeq = boot, 0
 	}
-	lastSeq := g.cache.lastSeq
-	g.mu.Unlock()
-	page, err := getJSON[eventsPage](ctx, g, "/v1/events?after="+strconv.FormatUint(lastSeq, 10))
+	lastSeq := p.cache.lastSeq
+	p.mu.Unlock()
+	page, err := getJSON[eventsPage](ctx, p, "/v1/events?after="+strconv.FormatUint(lastSeq, 10))
 	if err != nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, e := range page.Events {
-		g.cache.add(e)
+		p.cache.add(e)
 	}
 }
 
@@ -71,10 +71,10 @@
 
 // CacheEvents returns the cache events after a position, and the position of the last one.
 // Older events that are no longer held are left out.
-func (g *Proxy) CacheEvents(after uint64) ([]sessn.PrefixEvent, uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := &g.cache
+func (p *Proxy) CacheEvents(after uint64) ([]sessn.PrefixEvent, uint64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c := &p.cache
 	n := min(c.total-min(after, c.total), uint64(len(c.latest)))
 	fresh := c.latest[uint64(len(c.latest))-n:]
 	return append([]sessn.PrefixEvent(nil), fresh...), c.total
--- a/io/request/gate/gate.go
+++ b/io/request/gate/gate.go
@@ -82,43 +82,43 @@
 	DefaultMaxStoredBytes = 16 << 20
 )
 
-func (g *Proxy) init() { g.setup.Do(g.initialize) }
+func (p *Proxy) init() { p.setup.Do(p.initialize) }
 
-func (g *Proxy) initialize() {
-	if g.LedgerLimits == (calls.Limits{}) {
-		g.LedgerLimits = calls.DefaultLimits()
+func (p *Proxy) initialize() {
+	if p.LedgerLimits == (calls.Limits{}) {
+		p.LedgerLimits = calls.DefaultLimits()
 	}
-	if g.MaxInFlight == 0 {
-		g.MaxInFlight = DefaultMaxInFlight
+	if p.MaxInFlight == 0 {
+		p.MaxInFlight = DefaultMaxInFlight
 	}
-	if g.MaxStoredBytes == 0 {
-		g.MaxStoredBytes = DefaultMaxStoredBytes
+	if p.MaxStoredBytes == 0 {
+		p.MaxStoredBytes = DefaultMaxStoredBytes
 	}
-	g.bootTime = g.Clock.Now()
-	g.ledger = calls.NewLedger(g.Self.Boot, g.LedgerLimits)
-	g.executions = map[calls.ID]*execution{}
-	g.changed = make(chan struct{})
-	g.pooledTransport = newPooledTransport()
-	g.onceTransport = newOnceTransport()
-	g.watchTables()
-	g.server = &sessn.Server{Service: g, Clock: g.Clock, Timing: g.Timing}
+	p.bootTime = p.Clock.Now()
+	p.ledger = calls.NewLedger(p.Self.Boot, p.LedgerLimits)
+	p.executions = map[calls.ID]*execution{}
+	p.changed = make(chan struct{})
+	p.pooledTransport = newPooledTransport()
+	p.onceTransport = newOnceTransport()
+	p.watchTables()
+	p.server = &sessn.Server{Service: p, Clock: p.Clock, Timing: p.Timing}
 }
 
 // Handler returns the handler for entries' connections.
-func (g *Proxy) Handler() link.Handler {
-	g.init()
-	return g.server.Handler()
+func (p *Proxy) Handler() link.Handler {
+	p.init()
+	return p.server.Handler()
 }
 
 // Run keeps the state of the target up to date until ctx ends.
-func (g *Proxy) Run(ctx context.Context) error {
-	g.init()
-	tick := g.Clock.NewTicker(stateInterval)
+func (p *Proxy) Run(ctx context.Context) error {
+	p.init()
+	tick := p.Clock.NewTicker(stateInterval)
 	defer tick.Stop()
-	defer g.pooledTransport.CloseIdleConnections()
+	defer p.pooledTransport.CloseIdleConnections()
 	for {
-		viewChanged := g.Source.Changed()
-		g.updateTarget(ctx)
+		viewChanged := p.Source.Changed()
+		p.updateTarget(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -130,18 +130,18 @@
 
 // Drain refuses new calls and waits until the calls in flight have finished and the
 // entries have read their answers, or until ctx ends.
-func (g *Proxy) Drain(ctx context.Context) error {
-	g.init()
-	g.mu.Lock()
-	g.draining = true
-	g.idle = make(chan struct{})
-	idle := g.idle
-	g.signalIdleLocked()
-	g.announceLocked()
-	g.mu.Unlock()
+func (p *Proxy) Drain(ctx context.Context) error {
+	p.init()
+	p.mu.Lock()
+	p.draining = true
+	p.idle = make(chan struct{})
+	idle := p.idle
+	p.signalIdleLocked()
+	p.announceLocked()
+	p.mu.Unlock()
 	select {
 	case <-idle:
-		return g.server.Flush(ctx, g.announce)
+		return p.server.Flush(ctx, p.announce)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -149,123 +149,123 @@
 
 // signalIdleLocked lets Drain continue if no call is in flight and no answer is
 // pending.
-func (g *Proxy) signalIdleLocked() {
-	if g.inFlight == 0 && g.pendingAnswers == 0 && g.idle != nil {
-		close(g.idle)
-		g.idle = nil
+func (p *Proxy) signalIdleLocked() {
+	if p.inFlight == 0 && p.pendingAnswers == 0 && p.idle != nil {
+		close(p.idle)
+		p.idle = nil
 	}
 }
 
 // answerPending records that a call or query has arrived that needs an answer.
-func (g *Proxy) answerPending() {
-	g.mu.Lock()
-	g.pendingAnswers++
-	g.mu.Unlock()
+func (p *Proxy) answerPending() {
+	p.mu.Lock()
+	p.pendingAnswers++
+	p.mu.Unlock()
 }
 
 // answerSent records that the answer to a call or query has been sent.
-func (g *Proxy) answerSent() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.pendingAnswers--
-	g.signalIdleLocked()
+func (p *Proxy) answerSent() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.pendingAnswers--
+	p.signalIdleLocked()
 }
 
 // ServedVersion returns the digest of the manifest that the target last reported, or an empty
 // digest if it serves none.
-func (g *Proxy) ServedVersion() chunk.Digest {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.target.serving
+func (p *Proxy) ServedVersion() chunk.Digest {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.target.serving
 }
 
 // InFlight returns the number of calls at the target.
-func (g *Proxy) InFlight() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.inFlight
+func (p *Proxy) InFlight() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.inFlight
 }
 
 // Heartbeat returns the content of the next heartbeat.
-func (g *Proxy) Heartbeat() sessn.Heartbeat {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (p *Proxy) Heartbeat() sessn.Heartbeat {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	return sessn.Heartbeat{
-		Reading:       g.clockReadingLocked(),
-		Leaving:       g.draining || g.target.leaving,
-		Ready:         g.target.ready,
-		ServedVersion: g.target.serving,
-		Load:          g.target.load,
+		Reading:       p.clockReadingLocked(),
+		Leaving:       p.draining || p.target.leaving,
+		Ready:         p.target.ready,
+		ServedVersion: p.target.serving,
+		Load:          p.target.load,
 	}
 }
 
 // HeartbeatChanged returns a channel that is closed when entries should learn the result of
 // Heartbeat at once.
-func (g *Proxy) HeartbeatChanged() <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.changed
+func (p *Proxy) HeartbeatChanged() <-chan struct{} {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.changed
 }
 
-func (g *Proxy) announce() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.announceLocked()
+func (p *Proxy) announce() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.announceLocked()
 }
 
-func (g *Proxy) announceLocked() {
-	close(g.changed)
-	g.changed = make(chan struct{})
+func (p *Proxy) announceLocked() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (g *Proxy) clockReadingLocked() fresh.ClockReading {
-	return fresh.ClockReading{Boot: g.Self.Boot, At: g.now()}
+func (p *Proxy) clockReadingLocked() fresh.ClockReading {
+	return fresh.ClockReading{Boot: p.Self.Boot, At: p.now()}
 }
 
 // now returns the time since the gate's boot. It is the clock that readings refer to.
-func (g *Proxy) now() time.Duration { return g.Clock.Since(g.bootTime) }
+func (p *Proxy) now() time.Duration { return p.Clock.Since(p.bootTime) }
 
 // acquireSlotLocked counts a call as in flight. releaseSlot ends that.
-func (g *Proxy) acquireSlotLocked() { g.inFlight++ }
+func (p *Proxy) acquireSlotLocked() { p.inFlight++ }
 
-func (g *Proxy) releaseSlot() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.inFlight--
-	g.signalIdleLocked()
+func (p *Proxy) releaseSlot() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.inFlight--
+	p.signalIdleLocked()
 }
 
 // refusalReasonLocked returns why the target may not get a new call now, or an empty
 // reason if it may. version, if set, is the only one that may answer.
-func (g *Proxy) refusalReasonLocked(version chunk.Digest) calls.Reason {
+func (p *Proxy) refusalReasonLocked(version chunk.Digest) calls.Reason {
 	switch {
-	case g.draining || g.target.leaving:
+	case p.draining || p.target.leaving:
 		return calls.ReasonLeaving
-	case !g.target.ready:
+	case !p.target.ready:
 		return calls.ReasonUnserved
-	case version != "" && version != g.target.serving:
+	case version != "" && version != p.target.serving:
 		return calls.ReasonOtherVersion
-	case g.inFlight >= g.MaxInFlight:
+	case p.inFlight >= p.MaxInFlight:
 		return calls.ReasonBusy
 	}
 	return ""
 }
 
-func (g *Proxy) serviceKind() envdoc.ServiceKind {
-	d := g.Source.Current().Document
+func (p *Proxy) serviceKind() envdoc.ServiceKind {
+	d := p.Source.Current().Document
 	if d == nil {
 		return ""
 	}
-	s, ok := d.ServiceByName(g.Service)
+	s, ok := d.ServiceByName(p.Service)
 	if !ok {
 		return ""
 	}
 	return s.Kind
 }
 
-func (g *Proxy) vmLeaving() bool {
-	for _, vm := range g.Source.Current().VMs {
-		if vm.Name == g.Self.VM.Name {
+func (p *Proxy) vmLeaving() bool {
+	for _, vm := range p.Source.Current().VMs {
+		if vm.Name == p.Self.VM.Name {
 			return vm.State == fleet.StateLeaving
 		}
 	}
--- a/io/request/gate/measure.go
+++ b/io/request/gate/measure.go
@@ -8,29 +8,29 @@
 // addMeasures counts the once-calls that the ledger did not run: repeats and refused
 // ones. If repeats become more frequent, callers or entries are sending the same call
 // again and again.
-func (g *Proxy) addMeasures(a calls.Action) {
+func (p *Proxy) addMeasures(a calls.Action) {
 	switch a.Kind {
 	case calls.ActionJoin, calls.ActionReplay:
-		g.Recorder.AddCount("repeatsStopped", 1)
+		p.Recorder.AddCount("repeatsStopped", 1)
 	case calls.ActionRefuse:
-		g.Recorder.AddCount("refused", 1)
+		p.Recorder.AddCount("refused", 1)
 	}
 }
 
 // watchTables registers the proxy's tables whose sizes Recorder watches.
-func (g *Proxy) watchTables() {
-	g.Recorder.WatchTable(trends.Table{Name: "ledger", Bound: g.LedgerLimits.MaxRecords, Len: g.ledgerSize})
-	g.Recorder.WatchTable(trends.Table{Name: "runs", Bound: g.LedgerLimits.MaxRecords, Len: g.executionsSize})
+func (p *Proxy) watchTables() {
+	p.Recorder.WatchTable(trends.Table{Name: "ledger", Bound: p.LedgerLimits.MaxRecords, Len: p.ledgerSize})
+	p.Recorder.WatchTable(trends.Table{Name: "runs", Bound: p.LedgerLimits.MaxRecords, Len: p.executionsSize})
 }
 
-func (g *Proxy) ledgerSize() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.ledger.Len()
+func (p *Proxy) ledgerSize() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.ledger.Len()
 }
 
-func (g *Proxy) executionsSize() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.executions)
+func (p *Proxy) executionsSize() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.executions)
 }
--- a/io/request/gate/once.go
+++ b/io/request/gate/once.go
@@ -37,29 +37,29 @@
 }
 
 // beginOnce decides about a once-call and sends its answer when there is one.
-func (g *Proxy) beginOnce(s *sessn.Stream) {
+func (p *Proxy) beginOnce(s *sessn.Stream) {
 	m := s.Start
 	print := fingerprint(m, s.Body)
-	g.mu.Lock()
-	reason := g.refusalReasonLocked("")
-	unsure := m.Members != g.members
-	act := g.ledger.Start(g.now(), calls.StartRequest{Ticket: *m.Ticket, EchoedReading: m.EchoedReading, Fingerprint: print, RefuseReason: reason, MembersDiffer: unsure})
-	r := g.executions[m.Ticket.CallID]
+	p.mu.Lock()
+	reason := p.refusalReasonLocked("")
+	unsure := m.Members != p.members
+	act := p.ledger.Start(p.now(), calls.StartRequest{Ticket: *m.Ticket, EchoedReading: m.EchoedReading, Fingerprint: print, RefuseReason: reason, MembersDiffer: unsure})
+	r := p.executions[m.Ticket.CallID]
 	if act.Kind == calls.ActionRun {
 		r = &execution{id: m.Ticket.CallID, done: make(chan struct{})}
-		g.executions[r.id] = r
-		g.acquireSlotLocked()
+		p.executions[r.id] = r
+		p.acquireSlotLocked()
 	}
-	g.mu.Unlock()
-	g.logDecision(m, act)
+	p.mu.Unlock()
+	p.logDecision(m, act)
 	if act.Kind == calls.ActionRefuse {
 		_ = s.Refuse(refusalOfAction(act))
 		return
 	}
 	if act.Kind == calls.ActionRun {
-		go g.execute(r, s)
+		go p.execute(r, s)
 	}
-	g.answer(s, r, act.Kind != calls.ActionRun)
+	p.answer(s, r, act.Kind != calls.ActionRun)
 }
 
 func refusalOfAction(a calls.Action) sessn.Refusal {
@@ -79,31 +79,31 @@
 // execute passes a call to the target. It isn't cancelled when the caller disconnects:
 // a payment that the target has begun can't be undone, and its answer is stored for a
 // repeat of the call.
-func (g *Proxy) execute(r *execution, s *sessn.Stream) {
-	defer g.releaseSlot()
-	ctx, cancel := clockwork.WithTimeout(context.Background(), g.Clock, s.Start.Timeout)
+func (p *Proxy) execute(r *execution, s *sessn.Stream) {
+	defer p.releaseSlot()
+	ctx, cancel := clockwork.WithTimeout(context.Background(), p.Clock, s.Start.Timeout)
 	defer cancel()
-	a, err := g.sendToTarget(ctx, s)
+	a, err := p.sendToTarget(ctx, s)
 	r.answer = a
 	r.state, r.reason = stateAfter(ctx, a, err)
-	g.mu.Lock()
-	g.ledger.Settle(g.now(), r.id, r.state)
-	g.storeLocked(r)
-	g.mu.Unlock()
-	g.Log.Record(trail.Decision{
-		Area: trail.AreaCall, Action: "settle", Request: s.Start.Request, Service: g.Service,
+	p.mu.Lock()
+	p.ledger.Settle(p.now(), r.id, r.state)
+	p.storeLocked(r)
+	p.mu.Unlock()
+	p.Log.Record(trail.Decision{
+		Area: trail.AreaCall, Action: "settle", Request: s.Start.Request, Service: p.Service,
 		Subject: string(r.id), Outcome: string(outcomeOf(r.state)), Reason: string(r.reason),
-		Revision: g.Self.Revision.Load(),
+		Revision: p.Self.Revision.Load(),
 	})
 	close(r.done)
 }
 
-func (g *Proxy) sendToTarget(ctx context.Context, s *sessn.Stream) (*answer, error) {
-	req, err := g.newTargetRequest(ctx, s)
+func (p *Proxy) sendToTarget(ctx context.Context, s *sessn.Stream) (*answer, error) {
+	req, err := p.newTargetRequest(ctx, s)
 	if err != nil {
 		return nil, errors.Mark(err, errNotReached)
 	}
-	res, err := g.onceTransport.RoundTrip(req)
+	res, err := p.onceTransport.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
@@ -146,46 +146,46 @@
 // storeLocked stores a finished call for callers that repeat it. Over MaxStoredBytes,
 // the oldest calls are dropped first. Their records stay in the ledger, so that a call
 // whose answer was dropped still never runs again.
-func (g *Proxy) storeLocked(r *execution) {
+func (p *Proxy) storeLocked(r *execution) {
 	if r.reason == calls.ReasonTooLarge {
 		r.answer = nil
 	}
-	r.settledAt = g.now()
-	g.storedIDs = append(g.storedIDs, r.id)
-	g.storedBytes += r.size()
-	for g.storedBytes > g.MaxStoredBytes && len(g.storedIDs) > 1 {
-		g.dropOldestLocked()
+	r.settledAt = p.now()
+	p.storedIDs = append(p.storedIDs, r.id)
+	p.storedBytes += r.size()
+	for p.storedBytes > p.MaxStoredBytes && len(p.storedIDs) > 1 {
+		p.dropOldestLocked()
 	}
 }
 
 // dropOldestLocked drops the oldest stored call.
-func (g *Proxy) dropOldestLocked() {
-	id := g.storedIDs[0]
-	g.storedIDs = g.storedIDs[1:]
-	if r := g.executions[id]; r != nil {
-		g.storedBytes -= r.size()
-		delete(g.executions, id)
+func (p *Proxy) dropOldestLocked() {
+	id := p.storedIDs[0]
+	p.storedIDs = p.storedIDs[1:]
+	if r := p.executions[id]; r != nil {
+		p.storedBytes -= r.size()
+		delete(p.executions, id)
 	}
 }
 
 // expireLocked drops the stored calls and the ledger records that are older than
 // LedgerLimits.RecordMaxAge.
-func (g *Proxy) expireLocked() {
-	now := g.now()
-	g.ledger.Expire(now)
-	for len(g.storedIDs) > 0 {
-		r := g.executions[g.storedIDs[0]]
-		if r != nil && now-r.settledAt <= g.LedgerLimits.RecordMaxAge {
+func (p *Proxy) expireLocked() {
+	now := p.now()
+	p.ledger.Expire(now)
+	for len(p.storedIDs) > 0 {
+		r := p.executions[p.storedIDs[0]]
+		if r != nil && now-r.settledAt <= p.LedgerLimits.RecordMaxAge {
 			return
 		}
-		g.dropOldestLocked()
+		p.dropOldestLocked()
 	}
 }
 
-func (g *Proxy) updateMetricsLocked() {
-	g.Metrics.Gauge("gate.records").Update(float64(g.ledger.Len()))
-	g.Metrics.Gauge("gate.keptBytes").Update(float64(g.storedBytes))
-	g.Metrics.Gauge("gate.inFlight").Update(float64(g.inFlight))
+func (p *Proxy) updateMetricsLocked() {
+	p.Metrics.Gauge("gate.records").Update(float64(p.ledger.Len()))
+	p.Metrics.Gauge("gate.keptBytes").Update(float64(p.storedBytes))
+	p.Metrics.Gauge("gate.inFlight").Update(float64(p.inFlight))
 }
 
 // executionOverhead is the approximate memory for a stored call without its answer's
@@ -201,7 +201,7 @@
 
 // answer waits for the end of r and sends its answer or a refusal. replayed is set if
 // the call had been received before. r is nil if the answer is no longer stored.
-func (g *Proxy) answer(s *sessn.Stream, r *execution, replayed bool) {
+func (p *Proxy) answer(s *sessn.Stream, r *execution, replayed bool) {
 	if r == nil {
 		_ = s.Refuse(sessn.Refusal{Outcome: calls.OutcomeDone, Reason: calls.ReasonTooLarge})
 		return
@@ -220,30 +220,30 @@
 
 // HandleQuery answers a query. It sends the state, and then the answer if the call is running
 // or done.
-func (g *Proxy) HandleQuery(s *sessn.Stream, q *sessn.Query) {
-	g.answerPending()
-	defer g.answerSent()
-	g.mu.Lock()
-	state := g.ledger.Query(g.now(), calls.QueryRequest{Ticket: q.Ticket, MarkNever: q.Mark, MembersDiffer: q.Members != g.members})
-	r := g.executions[q.Ticket.CallID]
-	g.mu.Unlock()
-	g.Log.Record(trail.Decision{
-		Area: trail.AreaCall, Action: "query", Service: g.Service, Subject: string(q.Ticket.CallID),
-		Choice: string(state), Revision: g.Self.Revision.Load(),
+func (p *Proxy) HandleQuery(s *sessn.Stream, q *sessn.Query) {
+	p.answerPending()
+	defer p.answerSent()
+	p.mu.Lock()
+	state := p.ledger.Query(p.now(), calls.QueryRequest{Ticket: q.Ticket, MarkNever: q.Mark, MembersDiffer: q.Members != p.members})
+	r := p.executions[q.Ticket.CallID]
+	p.mu.Unlock()
+	p.Log.Record(trail.Decision{
+		Area: trail.AreaCall, Action: "query", Service: p.Service, Subject: string(q.Ticket.CallID),
+		Choice: string(state), Revision: p.Self.Revision.Load(),
 	})
 	open := state == calls.StateRunning || state == calls.StateDone
 	if s.Verdict(sessn.Verdict{State: state}, open) != nil || !open {
 		return
 	}
-	g.answer(s, r, false)
+	p.answer(s, r, false)
 }
 
-func (g *Proxy) logDecision(m *sessn.Start, a calls.Action) {
-	g.countCall(string(a.Kind))
-	g.addMeasures(a)
-	g.Log.Record(trail.Decision{
-		Area: trail.AreaCall, Action: string(a.Kind), Request: m.Request, Service: g.Service,
+func (p *Proxy) logDecision(m *sessn.Start, a calls.Action) {
+	p.countCall(string(a.Kind))
+	p.addMeasures(a)
+	p.Log.Record(trail.Decision{
+		Area: trail.AreaCall, Action: string(a.Kind), Request: m.Request, Service: p.Service,
 		Subject: string(m.Ticket.CallID), Outcome: string(a.Outcome), Reason: string(a.Reason),
-		Revision: g.Self.Revision.Load(),
+		Revision: p.Self.Revision.Load(),
 	})
 }
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -23,63 +23,63 @@
 const maxRetryAfter = time.Minute
 
 // HandleCall handles one call.
-func (g *Proxy) HandleCall(s *sessn.Stream) {
-	g.answerPending()
-	defer g.answerSent()
+func (p *Proxy) HandleCall(s *sessn.Stream) {
+	p.answerPending()
+	defer p.answerSent()
 	if s.Start.Ticket != nil {
-		g.beginOnce(s)
+		p.beginOnce(s)
 		return
 	}
-	g.beginRepeatable(s)
+	p.beginRepeatable(s)
 }
 
 // beginRepeatable forwards a call that may be repeated, and streams its answer.
-func (g *Proxy) beginRepeatable(s *sessn.Stream) {
-	if reason := g.admitRepeatable(s.Start); reason != "" {
-		g.countCall("refused")
+func (p *Proxy) beginRepeatable(s *sessn.Stream) {
+	if reason := p.admitRepeatable(s.Start); reason != "" {
+		p.countCall("refused")
 		_ = s.Refuse(sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: reason, RetryAfter: retryAfter})
 		return
 	}
-	defer g.releaseSlot()
-	ctx, cancel := clockwork.WithTimeout(s.Context(), g.Clock, s.Start.Timeout)
+	defer p.releaseSlot()
+	ctx, cancel := clockwork.WithTimeout(s.Context(), p.Clock, s.Start.Timeout)
 	defer cancel()
-	if r := g.forward(ctx, s); r != nil {
-		g.countCall("failed")
+	if r := p.forward(ctx, s); r != nil {
+		p.countCall("failed")
 		_ = s.Refuse(*r)
 		return
 	}
-	g.countCall("passed")
+	p.countCall("passed")
 }
 
-func (g *Proxy) admitRepeatable(m *sessn.Start) calls.Reason {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	switch fresh.CheckFreshness(g.clockReadingLocked(), m.EchoedReading, g.LedgerLimits.MaxReadingAge) {
+func (p *Proxy) admitRepeatable(m *sessn.Start) calls.Reason {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	switch fresh.CheckFreshness(p.clockReadingLocked(), m.EchoedReading, p.LedgerLimits.MaxReadingAge) {
 	case fresh.Stale:
 		return calls.ReasonStaleReading
 	case fresh.OtherBoot:
 		return calls.ReasonOtherBoot
 	}
-	if reason := g.refusalReasonLocked(m.Version); reason != "" {
+	if reason := p.refusalReasonLocked(m.Version); reason != "" {
 		return reason
 	}
-	g.acquireSlotLocked()
+	p.acquireSlotLocked()
 	return ""
 }
 
 // forward sends the call to the target and the answer to the entry. If the answer is
 // not complete, it returns the refusal that ends the call.
-func (g *Proxy) forward(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
-	req, err := g.newTargetRequest(ctx, s)
+func (p *Proxy) forward(ctx context.Context, s *sessn.Stream) *sessn.Refusal {
+	req, err := p.newTargetRequest(ctx, s)
 	if err != nil {
 		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: calls.ReasonTargetUnreachable}
 	}
-	res, err := g.pooledTransport.RoundTrip(req)
+	res, err := p.pooledTransport.RoundTrip(req)
 	if err != nil {
 		return refusalOfError(ctx, err)
 	}
 	defer res.Body.Close()
-	if reason := g.answerRefusalReason(s.Start, res); reason != "" {
+	if reason := p.answerRefusalReason(s.Start, res); reason != "" {
 		return &sessn.Refusal{Outcome: calls.OutcomeNotRun, Reason: reason, RetryAfter: retryAfterOf(res)}
 	}
 	RemoveHopByHopHeaders(res.Header)
@@ -119,8 +119,8 @@
 // empty reason if it may. An engine that is switching versions answers 503, and one
 // with a full queue 429. Neither has begun the call, so another target may run it. An
 // answer of another version than the requested one would mix two texts.
-func (g *Proxy) answerRefusalReason(m *sessn.Start, res *http.Response) calls.Reason {
-	if g.serviceKind() != envdoc.KindEngine {
+func (p *Proxy) answerRefusalReason(m *sessn.Start, res *http.Response) calls.Reason {
+	if p.serviceKind() != envdoc.KindEngine {
 		return ""
 	}
 	switch res.StatusCode {
@@ -157,4 +157,4 @@
 	return &sessn.Refusal{Outcome: calls.OutcomeUnknown, Reason: calls.ReasonTargetBroke}
 }
 
-func (g *Proxy) countCall(name string) { g.Metrics.Counter("gateCalls." + name).Inc(1) }
+func (p *Proxy) countCall(name string) { p.Metrics.Counter("gateCalls." + name).Inc(1) }
--- a/io/request/gate/request.go
+++ b/io/request/gate/request.go
@@ -15,11 +15,11 @@
 const ManifestHeader = "X-Manifest"
 
 // newTargetRequest returns the HTTP request to send to the target.
-func (g *Proxy) newTargetRequest(ctx context.Context, s *sessn.Stream) (*http.Request, error) {
-	url := "http://" + g.Target.String() + s.Start.Path
+func (p *Proxy) newTargetRequest(ctx context.Context, s *sessn.Stream) (*http.Request, error) {
+	url := "http://" + p.Target.String() + s.Start.Path
 	req, err := http.NewRequestWithContext(ctx, s.Start.Method, url, bytes.NewReader(s.Body))
 	if err != nil {
-		return nil, operr.Wrap("build request", g.Target.String(), err)
+		return nil, operr.Wrap("build request", p.Target.String(), err)
 	}
 	req.Header = s.Start.Header.Clone()
 	if req.Header == nil {
--- a/io/request/gate/target.go
+++ b/io/request/gate/target.go
@@ -43,59 +43,59 @@
 
 // updateTarget reads the target's state. It informs the entries at once if something
 // has changed that affects their choice of targets.
-func (g *Proxy) updateTarget(ctx context.Context) {
-	next := g.readTargetState(ctx)
-	members := calls.OwnerMembers(g.Source.Current(), g.Service, g.Self.VM.Zone)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if members != g.members {
-		g.members = members
-		g.ledger.RestartKeyWindow(g.now())
+func (p *Proxy) updateTarget(ctx context.Context) {
+	next := p.readTargetState(ctx)
+	members := calls.OwnerMembers(p.Source.Current(), p.Service, p.Self.VM.Zone)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if members != p.members {
+		p.members = members
+		p.ledger.RestartKeyWindow(p.now())
 	}
-	g.expireLocked()
-	g.updateMetricsLocked()
-	old := g.target
-	g.target = next
+	p.expireLocked()
+	p.updateMetricsLocked()
+	old := p.target
+	p.target = next
 	if old.ready != next.ready || old.leaving != next.leaving || old.serving != next.serving {
-		g.announceLocked()
+		p.announceLocked()
 	}
 }
 
-func (g *Proxy) readTargetState(ctx context.Context) targetState {
-	leaving := g.vmLeaving()
-	switch g.serviceKind() {
+func (p *Proxy) readTargetState(ctx context.Context) targetState {
+	leaving := p.vmLeaving()
+	switch p.serviceKind() {
 	case envdoc.KindPlain:
 		return targetState{ready: true, leaving: leaving}
 	case envdoc.KindEngine:
-		s := g.readEngineState(ctx)
+		s := p.readEngineState(ctx)
 		s.leaving = leaving
 		return s
 	}
 	return targetState{leaving: leaving}
 }
 
-func (g *Proxy) readEngineState(ctx context.Context) targetState {
-	st, err := getJSON[engineState](ctx, g, "/v1/state")
+func (p *Proxy) readEngineState(ctx context.Context) targetState {
+	st, err := getJSON[engineState](ctx, p, "/v1/state")
 	if err != nil {
-		return g.stateAfterFailure()
+		return p.stateAfterFailure()
 	}
-	g.readCacheEvents(ctx, st.Boot)
+	p.readCacheEvents(ctx, st.Boot)
 	return targetState{
 		ready:   st.Manifest != "",
 		serving: st.Manifest,
 		load:    sessn.Load{Known: true, Running: st.Running, Queued: st.Queued, Capacity: st.Capacity},
-		readAt:  g.Clock.Now(),
+		readAt:  p.Clock.Now(),
 	}
 }
 
 // stateAfterFailure returns the state to assume when the engine's state could not be
 // read. It keeps the last one for maxStateAge, as one late response of a busy engine is
 // no reason to stop sending it calls.
-func (g *Proxy) stateAfterFailure() targetState {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	s := g.target
-	if g.Clock.Since(s.readAt) > maxStateAge {
+func (p *Proxy) stateAfterFailure() targetState {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	s := p.target
+	if p.Clock.Since(s.readAt) > maxStateAge {
 		s.ready = false
 		s.serving = ""
 	}
--- a/io/version/adapt/load.go
+++ b/io/version/adapt/load.go
@@ -36,53 +36,53 @@
 // are missing or corrupt, and orders the engine to load them under number. Since it was
 // staged a chunk may have become corrupt or been overwritten by that of another version;
 // an engine that loaded it would serve callers from mixed weights.
-func (s *Adapter) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
-	e := s.versionByDigest(digest)
+func (a *Adapter) Load(ctx context.Context, number uint64, digest chunk.Digest, m chunk.Manifest) error {
+	e := a.versionByDigest(digest)
 	if e == nil {
 		return operr.Errorf("order load", "engine", "manifest %s is not known", digest)
 	}
-	if s.OnLoading != nil {
-		s.OnLoading(true)
-		defer s.OnLoading(false)
+	if a.OnLoading != nil {
+		a.OnLoading(true)
+		defer a.OnLoading(false)
 	}
 	// A chunk of another version that is staged from here on would be loaded together
 	// with those of this one.
-	s.stagingMu.Lock()
-	defer s.stagingMu.Unlock()
+	a.stagingMu.Lock()
+	defer a.stagingMu.Unlock()
 	// An earlier order that is still on its way must not load what is staged again here.
-	if err := s.awaitOrderSettled(ctx); err != nil {
+	if err := a.awaitOrderSettled(ctx); err != nil {
 		return err
 	}
-	oldest, err := s.readBack(ctx, e, m)
+	oldest, err := a.readBack(ctx, e, m)
 	if err != nil {
 		return err
 	}
-	err = s.orderLoad(ctx, e, number)
-	s.logLateOrder(e, oldest)
+	err = a.orderLoad(ctx, e, number)
+	a.logLateOrder(e, oldest)
 	return err
 }
 
 // orderLoad orders the engine to load the staged chunks. If the engine does not answer
 // the order, orderLoad waits until it answers again, as awaitOrderSettled does.
-func (s *Adapter) orderLoad(ctx context.Context, e *KnownVersion, number uint64) error {
+func (a *Adapter) orderLoad(ctx context.Context, e *KnownVersion, number uint64) error {
 	orderCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	s.noOrderPending = false
-	err := s.Engine.OrderLoad(orderCtx, e.Model, e.Version, number-1)
+	a.noOrderPending = false
+	err := a.Engine.OrderLoad(orderCtx, e.Model, e.Version, number-1)
 	if err == nil {
-		s.noOrderPending = true
+		a.noOrderPending = true
 		return nil
 	}
-	return errors.CombineErrors(err, s.awaitOrderSettled(ctx))
+	return errors.CombineErrors(err, a.awaitOrderSettled(ctx))
 }
 
 // now is the time on a clock that also counts the time in which the machine was
 // suspended.
-func (s *Adapter) now() time.Duration {
-	if s.Uptime == nil {
+func (a *Adapter) now() time.Duration {
+	if a.Uptime == nil {
 		return uptime.Now()
 	}
-	return s.Uptime()
+	return a.Uptime()
 }
 
 // errReadBackTooSlow is returned when after each round some chunk was verified longer
@@ -93,14 +93,14 @@
 // verified first was verified. The process may be suspended, or the engine be slow,
 // between two chunks; a chunk that became corrupt meanwhile would be loaded. Chunks that
 // were verified too long ago are therefore verified again.
-func (s *Adapter) readBack(ctx context.Context, e *KnownVersion, m chunk.Manifest) (time.Duration, error) {
+func (a *Adapter) readBack(ctx context.Context, e *KnownVersion, m chunk.Manifest) (time.Duration, error) {
 	verifiedAt := make([]time.Duration, len(m.Chunks))
 	for range maxReadBackRounds {
-		oldest, err := s.verifyOutdated(ctx, e, m, verifiedAt)
+		oldest, err := a.verifyOutdated(ctx, e, m, verifiedAt)
 		if err != nil {
 			return 0, err
 		}
-		if s.now()-oldest <= maxReadBackAge {
+		if a.now()-oldest <= maxReadBackAge {
 			return oldest, nil
 		}
 	}
@@ -110,11 +110,11 @@
 // verifyOutdated verifies the chunks that have not been verified yet, or too long ago,
 // and returns the earliest time of verification of all chunks. verifiedAt holds the time
 // of each chunk, 0 if it has none.
-func (s *Adapter) verifyOutdated(ctx context.Context, e *KnownVersion, m chunk.Manifest, verifiedAt []time.Duration) (time.Duration, error) {
-	oldest := s.now()
+func (a *Adapter) verifyOutdated(ctx context.Context, e *KnownVersion, m chunk.Manifest, verifiedAt []time.Duration) (time.Duration, error) {
+	oldest := a.now()
 	for num, ref := range m.Chunks {
-		if verifiedAt[num] == 0 || s.now()-verifiedAt[num] > maxReadBackAge {
-			verified, err := s.ensureStaged(ctx, e, num, ref)
+		if verifiedAt[num] == 0 || a.now()-verifiedAt[num] > maxReadBackAge {
+			verified, err := a.ensureStaged(ctx, e, num, ref)
 			if err != nil {
 				return 0, err
 			}
@@ -129,12 +129,12 @@
 // been verified for longer than corruptionGrace. This happens if the process is
 // suspended after the last check of the chunks' ages, when the order can no longer be
 // stopped, or if the engine does not answer the order.
-func (s *Adapter) logLateOrder(e *KnownVersion, oldest time.Duration) {
-	age := s.now() - oldest
+func (a *Adapter) logLateOrder(e *KnownVersion, oldest time.Duration) {
+	age := a.now() - oldest
 	if age <= corruptionGrace {
 		return
 	}
-	s.Log.Record(trail.Decision{
+	a.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: "orderedLate", Subject: string(e.Digest), Version: e.Version,
 		AgeMS: age.Milliseconds(),
 	})
@@ -144,18 +144,18 @@
 // settleTimeout at most. If the engine does not answer by then, nothing is staged until
 // it does: the engine could still read the order, and load chunks that were staged since
 // for the next version.
-func (s *Adapter) awaitOrderSettled(ctx context.Context) error {
+func (a *Adapter) awaitOrderSettled(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
 	defer cancel()
 	for {
-		err := s.confirmNoOrderPending(ctx)
+		err := a.confirmNoOrderPending(ctx)
 		if err == nil {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return operr.Wrap("await unanswered order", "engine", err)
-		case <-s.Clock.After(enginePollInterval):
+		case <-a.Clock.After(enginePollInterval):
 		}
 	}
 }
@@ -164,23 +164,23 @@
 // any answer of the engine shows: the connection of an unanswered order is closed by
 // then, and the engine handles what it has received on it before it answers a later
 // request.
-func (s *Adapter) confirmNoOrderPending(ctx context.Context) error {
-	if s.noOrderPending {
+func (a *Adapter) confirmNoOrderPending(ctx context.Context) error {
+	if a.noOrderPending {
 		return nil
 	}
-	if _, err := s.Engine.Report(ctx); err != nil {
+	if _, err := a.Engine.Report(ctx); err != nil {
 		return err
 	}
-	s.noOrderPending = true
+	a.noOrderPending = true
 	return nil
 }
 
 // versionByDigest returns the version whose manifest has the digest d, nil if there is
 // none.
-func (s *Adapter) versionByDigest(d chunk.Digest) *KnownVersion {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, e := range s.versions {
+func (a *Adapter) versionByDigest(d chunk.Digest) *KnownVersion {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, e := range a.versions {
 		if e.Digest == d {
 			return e
 		}
@@ -191,25 +191,25 @@
 // ensureStaged verifies one chunk at the engine, and stages it again if it is missing or
 // corrupt. It returns a time at which, or after which, the engine had the chunk
 // uncorrupted.
-func (s *Adapter) ensureStaged(ctx context.Context, e *KnownVersion, num int, ref chunk.Ref) (time.Duration, error) {
-	verifiedAt := s.now()
-	staged, err := s.Engine.Get(ctx, e.Model, num)
+func (a *Adapter) ensureStaged(ctx context.Context, e *KnownVersion, num int, ref chunk.Ref) (time.Duration, error) {
+	verifiedAt := a.now()
+	staged, err := a.Engine.Get(ctx, e.Model, num)
 	if err == nil && chunk.DigestOf(staged) == ref.Digest {
 		return verifiedAt, nil
 	}
-	b, ok := s.cachedChunk(ref.Digest)
+	b, ok := a.cachedChunk(ref.Digest)
 	if !ok {
 		return 0, operr.Errorf("order load", "engine", "chunk %d is corrupt or missing at the engine and not in memory", num)
 	}
-	s.Log.Record(trail.Decision{
+	a.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: "stageAgain", Subject: string(ref.Digest), Choice: strconv.Itoa(num),
 		Reason: "corrupt or missing at the engine",
 	})
-	if err := s.Engine.Put(ctx, e.Model, num, b); err != nil {
+	if err := a.Engine.Put(ctx, e.Model, num, b); err != nil {
 		return 0, err
 	}
-	verifiedAt = s.now()
-	readBack, err := s.Engine.Get(ctx, e.Model, num)
+	verifiedAt = a.now()
+	readBack, err := a.Engine.Get(ctx, e.Model, num)
 	if err != nil {
 		return 0, err
 	}
--- a/io/version/adapt/manifest.go
+++ b/io/version/adapt/manifest.go
@@ -65,36 +65,36 @@
 }
 
 // SetWanted sets the wanted versions of a model.
-func (l *ManifestReader) SetWanted(model string, versions []uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.wantedModel == model && slices.Equal(l.wantedVersions, versions) {
+func (r *ManifestReader) SetWanted(model string, versions []uint64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.wantedModel == model && slices.Equal(r.wantedVersions, versions) {
 		return
 	}
-	l.wantedModel, l.wantedVersions = model, versions
-	if l.wantedChanged != nil {
-		close(l.wantedChanged)
+	r.wantedModel, r.wantedVersions = model, versions
+	if r.wantedChanged != nil {
+		close(r.wantedChanged)
 	}
-	l.wantedChanged = make(chan struct{})
+	r.wantedChanged = make(chan struct{})
 }
 
 // wanted returns the wanted versions and a channel that is closed when they change.
-func (l *ManifestReader) wanted() (string, []uint64, <-chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.wantedChanged == nil {
-		l.wantedChanged = make(chan struct{})
+func (r *ManifestReader) wanted() (string, []uint64, <-chan struct{}) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.wantedChanged == nil {
+		r.wantedChanged = make(chan struct{})
 	}
-	return l.wantedModel, l.wantedVersions, l.wantedChanged
+	return r.wantedModel, r.wantedVersions, r.wantedChanged
 }
 
 // Run reads the manifests of the wanted versions until ctx ends.
-func (l *ManifestReader) Run(ctx context.Context) error {
+func (r *ManifestReader) Run(ctx context.Context) error {
 	tries := map[uint64]tree.Attempts{}
 	for {
-		model, versions, changed := l.wanted()
+		model, versions, changed := r.wanted()
 		pause := recheckInterval
-		if failed := l.readMissing(ctx, model, versions, tries); failed > 0 {
+		if failed := r.readMissing(ctx, model, versions, tries); failed > 0 {
 			bound := min(minRetryDelay<<min(failed, 8), maxRetryDelay)
 			pause = bound/2 + rand.N(bound/2)
 		}
@@ -103,7 +103,7 @@
 			return nil
 		case <-changed:
 			clear(tries)
-		case <-l.Clock.After(pause):
+		case <-r.Clock.After(pause):
 		}
 	}
 }
@@ -111,15 +111,15 @@
 // readMissing tries once to read the manifest of each wanted version that is not known
 // or is doubtful, all at the same time. It returns the highest number of failed attempts
 // of any version, 0 if none failed.
-func (l *ManifestReader) readMissing(ctx context.Context, model string, versions []uint64, tries map[uint64]tree.Attempts) int {
+func (r *ManifestReader) readMissing(ctx context.Context, model string, versions []uint64, tries map[uint64]tree.Attempts) int {
 	after := make([]tree.Attempts, len(versions))
 	var wg sync.WaitGroup
 	for i, v := range versions {
-		if l.isKnown(model, v) {
+		if r.isKnown(model, v) {
 			continue
 		}
 		before := tries[v]
-		wg.Go(func() { after[i] = l.tryRead(ctx, model, v, before) })
+		wg.Go(func() { after[i] = r.tryRead(ctx, model, v, before) })
 	}
 	wg.Wait()
 	mostFailed := 0
@@ -131,26 +131,26 @@
 }
 
 // isKnown reports whether the manifest of a version is known and not doubtful.
-func (l *ManifestReader) isKnown(model string, version uint64) bool {
-	_, ok := l.Adapter.FindVersion(model, version)
-	return ok && !l.Adapter.ManifestsDoubtful()
+func (r *ManifestReader) isKnown(model string, version uint64) bool {
+	_, ok := r.Adapter.FindVersion(model, version)
+	return ok && !r.Adapter.ManifestsDoubtful()
 }
 
 // tryRead tries once to read a manifest. It returns the failed attempts including this
 // one, or none if it succeeded.
-func (l *ManifestReader) tryRead(ctx context.Context, model string, version uint64, tries tree.Attempts) tree.Attempts {
-	plan := tree.NewPlan(versionKey(model, version), l.Self.VM, l.Peers(), tries)
-	if l.Adapter.ManifestsDoubtful() {
+func (r *ManifestReader) tryRead(ctx context.Context, model string, version uint64, tries tree.Attempts) tree.Attempts {
+	plan := tree.NewPlan(versionKey(model, version), r.Self.VM, r.Peers(), tries)
+	if r.Adapter.ManifestsDoubtful() {
 		plan.OriginFirst, plan.AskOrigin = true, true
 	}
-	m, from, parentSilent, err := l.readAsPlanned(ctx, model, version, plan)
+	m, from, parentSilent, err := r.readAsPlanned(ctx, model, version, plan)
 	if err == nil {
-		err = l.addManifest(m, model, version, from)
+		err = r.addManifest(m, model, version, from)
 	}
 	if err == nil {
 		return tree.Attempts{}
 	}
-	l.logRead("manifestFailed", model, version, from, err.Error())
+	r.logRead("manifestFailed", model, version, from, err.Error())
 	tries.Failed++
 	if parentSilent {
 		tries.Silent++
@@ -160,19 +160,19 @@
 
 // addManifest adds a manifest to Adapter, wakes the peers' requests that wait for it
 // and calls OnManifest.
-func (l *ManifestReader) addManifest(m chunk.Manifest, model string, version uint64, from string) error {
-	e, err := l.Adapter.AddManifest(m, model, version)
+func (r *ManifestReader) addManifest(m chunk.Manifest, model string, version uint64, from string) error {
+	e, err := r.Adapter.AddManifest(m, model, version)
 	if err != nil {
 		return err
 	}
-	l.logRead("manifestRead", model, version, from, string(e.Digest))
-	l.mu.Lock()
-	if l.manifestAdded != nil {
-		close(l.manifestAdded)
-		l.manifestAdded = nil
+	r.logRead("manifestRead", model, version, from, string(e.Digest))
+	r.mu.Lock()
+	if r.manifestAdded != nil {
+		close(r.manifestAdded)
+		r.manifestAdded = nil
 	}
-	l.mu.Unlock()
-	l.OnManifest(e)
+	r.mu.Unlock()
+	r.OnManifest(e)
 	return nil
 }
 
@@ -182,26 +182,26 @@
 // readAsPlanned asks the origin and the peers that the plan names, in its order, for a
 // manifest. from names the one that answered, and the origin if none did. parentSilent
 // reports that the side above this one in the tree did not answer.
-func (l *ManifestReader) readAsPlanned(ctx context.Context, model string, version uint64, plan tree.Plan) (m chunk.Manifest, from string, parentSilent bool, err error) {
+func (r *ManifestReader) readAsPlanned(ctx context.Context, model string, version uint64, plan tree.Plan) (m chunk.Manifest, from string, parentSilent bool, err error) {
 	err = errPeerLacksManifest
 	if plan.OriginFirst {
-		if m, err = l.readOrigin(ctx, model, version); err == nil {
+		if m, err = r.readOrigin(ctx, model, version); err == nil {
 			return m, sourceOrigin, false, nil
 		}
 	}
 	for _, vm := range plan.Parent {
-		if m, err = l.readPeer(ctx, vm.Address, model, version, maxPeerWait); err == nil {
+		if m, err = r.readPeer(ctx, vm.Address, model, version, maxPeerWait); err == nil {
 			return m, vm.Name, false, nil
 		}
 		parentSilent = !errors.Is(err, errPeerLacksManifest)
 	}
 	for _, vm := range plan.Fallback {
-		if m, otherErr := l.readPeer(ctx, vm.Address, model, version, 0); otherErr == nil {
+		if m, otherErr := r.readPeer(ctx, vm.Address, model, version, 0); otherErr == nil {
 			return m, vm.Name, parentSilent, nil
 		}
 	}
 	if plan.AskOrigin && !plan.OriginFirst {
-		m, err = l.readOrigin(ctx, model, version)
+		m, err = r.readOrigin(ctx, model, version)
 	}
 	return m, sourceOrigin, parentSilent, err
 }
@@ -209,10 +209,10 @@
 // readOrigin reads a manifest from the origin until two answers agree. A corrupt
 // manifest would be passed on to a part of the region, and the sides with it could
 // exchange chunks with no others.
-func (l *ManifestReader) readOrigin(ctx context.Context, model string, version uint64) (chunk.Manifest, error) {
+func (r *ManifestReader) readOrigin(ctx context.Context, model string, version uint64) (chunk.Manifest, error) {
 	seen := map[chunk.Digest]bool{}
 	for range maxOriginReads {
-		m, err := l.Adapter.Origin.Manifest(ctx, model, version)
+		m, err := r.Adapter.Origin.Manifest(ctx, model, version)
 		if err != nil {
 			return chunk.Manifest{}, err
 		}
@@ -236,10 +236,10 @@
 
 // logRead writes the outcome of an attempt to the decision log. from is where the
 // manifest was read; after a failure it is always the origin.
-func (l *ManifestReader) logRead(action, model string, version uint64, from, reason string) {
-	l.Log.Record(trail.Decision{
+func (r *ManifestReader) logRead(action, model string, version uint64, from, reason string) {
+	r.Log.Record(trail.Decision{
 		Area: trail.AreaTransfer, Action: action, Subject: versionKey(model, version),
-		Choice: from, Reason: reason, Revision: l.Self.Revision.Load(),
+		Choice: from, Reason: reason, Revision: r.Self.Revision.Load(),
 	})
 }
 
@@ -292,7 +292,7 @@
 }
 
 // Handler answers the manifest requests of peers.
-func (l *ManifestReader) Handler() link.Handler {
+func (r *ManifestReader) Handler() link.Handler {
 	return link.Handler{Kinds: messageKinds(), Serve: func(ctx context.Context, c *link.Conn) {
 		if c.SetReadDeadline(time.Now().Add(answerTimeout)) != nil {
 			return
@@ -306,7 +306,7 @@
 			return
 		}
 		reply := &manifestReply{}
-		if e, found := l.awaitVersion(ctx, request); found {
+		if e, found := r.awaitVersion(ctx, request); found {
 			reply.Known, reply.Manifest = true, e.Manifest
 		}
 		// A peer that does not receive the answer counts this side as silent and tries
@@ -317,11 +317,11 @@
 
 // awaitVersion returns the version that a peer asks for, as soon as its manifest is
 // known. It returns false when the peer's wait is over.
-func (l *ManifestReader) awaitVersion(ctx context.Context, request *manifestRequest) (*KnownVersion, bool) {
-	timeout := l.Clock.After(request.Wait)
+func (r *ManifestReader) awaitVersion(ctx context.Context, request *manifestRequest) (*KnownVersion, bool) {
+	timeout := r.Clock.After(request.Wait)
 	for {
-		added := l.nextManifest()
-		if e, found := l.Adapter.FindVersion(request.Model, request.Version); found || request.Wait == 0 {
+		added := r.nextManifest()
+		if e, found := r.Adapter.FindVersion(request.Model, request.Version); found || request.Wait == 0 {
 			return e, found
 		}
 		select {
@@ -335,13 +335,13 @@
 }
 
 // nextManifest returns a channel that is closed when the next manifest is added.
-func (l *ManifestReader) nextManifest() <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.manifestAdded == nil {
-		l.manifestAdded = make(chan struct{})
+func (r *ManifestReader) nextManifest() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.manifestAdded == nil {
+		r.manifestAdded = make(chan struct{})
 	}
-	return l.manifestAdded
+	return r.manifestAdded
 }
 
 // errPeerLacksManifest is returned when a peer answers that it does not have the
@@ -349,10 +349,10 @@
 var errPeerLacksManifest = errors.New("the peer has not read the manifest")
 
 // readPeer asks a peer for a manifest; the peer may wait for it for as long as wait.
-func (l *ManifestReader) readPeer(ctx context.Context, addr netip.AddrPort, model string, version uint64, wait time.Duration) (chunk.Manifest, error) {
+func (r *ManifestReader) readPeer(ctx context.Context, addr netip.AddrPort, model string, version uint64, wait time.Duration) (chunk.Manifest, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	m, err := link.RoundTrip(ctx, l.Self, addr, link.PurposeManifests, messageKinds(), &manifestRequest{Model: model, Version: version, Wait: wait})
+	m, err := link.RoundTrip(ctx, r.Self, addr, link.PurposeManifests, messageKinds(), &manifestRequest{Model: model, Version: version, Wait: wait})
 	if err != nil {
 		return chunk.Manifest{}, err
 	}
--- a/io/version/adapt/state.go
+++ b/io/version/adapt/state.go
@@ -11,14 +11,14 @@
 
 // State returns what the engine serves and loads, in the form that io/version/order
 // needs.
-func (s *Adapter) State(ctx context.Context) (roll.Target, error) {
-	r, err := s.Engine.Report(ctx)
+func (a *Adapter) State(ctx context.Context) (roll.Target, error) {
+	r, err := a.Engine.Report(ctx)
 	if err != nil {
 		return roll.Target{}, err
 	}
 	t := roll.Target{Boot: bootOf(r.StartedAt), LastOrder: r.AcceptedOrders}
 	if r.ServedVersion > 0 {
-		t.Serving = s.digestOf(r.Model, r.ServedVersion)
+		t.Serving = a.digestOf(r.Model, r.ServedVersion)
 	}
 	if r.Loading {
 		t.Loading = unknownVersion
@@ -40,8 +40,8 @@
 
 // digestOf returns the manifest digest of a version. For a version whose manifest is not
 // known it returns a string that equals no digest.
-func (s *Adapter) digestOf(model string, version uint64) chunk.Digest {
-	if e, ok := s.FindVersion(model, version); ok {
+func (a *Adapter) digestOf(model string, version uint64) chunk.Digest {
+	if e, ok := a.FindVersion(model, version); ok {
 		return e.Digest
 	}
 	return chunk.Digest(model + "/" + strconv.FormatUint(version, 10))
--- a/io/version/adapt/versions.go
+++ b/io/version/adapt/versions.go
@@ -92,34 +92,34 @@
 
 // AddManifest adds the manifest of a version, or replaces it, and returns the version.
 // If there are too many versions the lowest is dropped.
-func (s *Adapter) AddManifest(m chunk.Manifest, model string, version uint64) (*KnownVersion, error) {
+func (a *Adapter) AddManifest(m chunk.Manifest, model string, version uint64) (*KnownVersion, error) {
 	raw, err := m.Encode()
 	if err != nil {
 		return nil, err
 	}
 	e := &KnownVersion{Model: model, Version: version, Digest: chunk.DigestOf(raw), Manifest: m, encoded: raw}
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.corruptChunks = 0
-	kept := s.versions[:0]
-	for _, old := range s.versions {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.corruptChunks = 0
+	kept := a.versions[:0]
+	for _, old := range a.versions {
 		if old.Model != model || old.Version != version {
 			kept = append(kept, old)
 		}
 	}
-	s.versions = append(kept, e)
-	slices.SortFunc(s.versions, func(a, b *KnownVersion) int { return cmp.Compare(a.Version, b.Version) })
-	if len(s.versions) > maxVersions {
-		s.versions = s.versions[1:]
+	a.versions = append(kept, e)
+	slices.SortFunc(a.versions, func(x, y *KnownVersion) int { return cmp.Compare(x.Version, y.Version) })
+	if len(a.versions) > maxVersions {
+		a.versions = a.versions[1:]
 	}
 	return e, nil
 }
 
 // FindVersion returns a version, if its manifest has been added.
-func (s *Adapter) FindVersion(model string, version uint64) (*KnownVersion, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, e := range s.versions {
+func (a *Adapter) FindVersion(model string, version uint64) (*KnownVersion, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, e := range a.versions {
 		if e.Model == model && e.Version == version {
 			return e, true
 		}
@@ -129,10 +129,10 @@
 
 // ManifestsDoubtful reports whether so many chunks from the origin did not match the manifests
 // that these may be corrupt and must be read again.
-func (s *Adapter) ManifestsDoubtful() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.corruptChunks >= maxCorruptChunks
+func (a *Adapter) ManifestsDoubtful() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.corruptChunks >= maxCorruptChunks
 }
 
 // position is the version and number under which an engine and an origin identify a
@@ -146,12 +146,12 @@
 
 // positionsOf returns the positions of a chunk in the latest version that contains it. A
 // version may have the same bytes at several numbers.
-func (s *Adapter) positionsOf(d chunk.Digest) []position {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for i := len(s.versions) - 1; i >= 0; i-- {
+func (a *Adapter) positionsOf(d chunk.Digest) []position {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i := len(a.versions) - 1; i >= 0; i-- {
 		var out []position
-		e := s.versions[i]
+		e := a.versions[i]
 		for num, ref := range e.Manifest.Chunks {
 			if ref.Digest == d {
 				out = append(out, position{model: e.Model, version: e.Version, num: num, size: ref.Size})
@@ -168,10 +168,10 @@
 var errUnknownChunk = errors.New("no known version has the chunk")
 
 // Manifest returns the added manifest with digest d and its encoded form.
-func (s *Adapter) Manifest(_ context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, e := range s.versions {
+func (a *Adapter) Manifest(_ context.Context, d chunk.Digest) (chunk.Manifest, []byte, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for _, e := range a.versions {
 		if e.Digest == d {
 			return e.Manifest, e.encoded, nil
 		}
@@ -180,22 +180,22 @@
 }
 
 // Chunk reads a chunk from the origin and verifies its digest.
-func (s *Adapter) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
-	positions := s.positionsOf(ref.Digest)
+func (a *Adapter) Chunk(ctx context.Context, ref chunk.Ref, progress func(n int)) ([]byte, error) {
+	positions := a.positionsOf(ref.Digest)
 	if len(positions) == 0 {
 		return nil, operr.Wrap("read chunk", "origin", errUnknownChunk)
 	}
 	ctx, cancel := context.WithTimeout(ctx, originTimeout)
 	defer cancel()
 	p := positions[0]
-	b, err := s.Origin.ReadChunk(ctx, p.model, p.version, p.num, ref.Size, progress)
+	b, err := a.Origin.ReadChunk(ctx, p.model, p.version, p.num, ref.Size, progress)
 	if err != nil {
 		return nil, operr.Wrap("read chunk", "origin", err)
 	}
 	if got := chunk.DigestOf(b); got != ref.Digest {
-		s.mu.Lock()
-		s.corruptChunks++
-		s.mu.Unlock()
+		a.mu.Lock()
+		a.corruptChunks++
+		a.mu.Unlock()
 		return nil, operr.Errorf("verify chunk", "origin", "digest %s, want %s", got, ref.Digest)
 	}
 	return b, nil
--- a/standin/platf/vms.go
+++ b/standin/platf/vms.go
@@ -52,52 +52,52 @@
 
 // Handler returns the handler of the list and of the control calls that add and
 // remove VMs and set the faults.
-func (l *VMList) Handler() http.Handler {
+func (v *VMList) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/v1/vms", l.handleList).Methods(http.MethodGet)
-	r.HandleFunc("/control/vms/{name}", l.handlePut).Methods(http.MethodPut)
-	r.HandleFunc("/control/vms/{name}", l.handleRemove).Methods(http.MethodDelete)
-	r.HandleFunc("/control/faults", l.setFaults).Methods(http.MethodPost)
+	r.HandleFunc("/v1/vms", v.handleList).Methods(http.MethodGet)
+	r.HandleFunc("/control/vms/{name}", v.handlePut).Methods(http.MethodPut)
+	r.HandleFunc("/control/vms/{name}", v.handleRemove).Methods(http.MethodDelete)
+	r.HandleFunc("/control/faults", v.setFaults).Methods(http.MethodPost)
 	return r
 }
 
-func (l *VMList) handleList(w http.ResponseWriter, _ *http.Request) {
-	if f, _ := l.faults.Get(); f.Down {
+func (v *VMList) handleList(w http.ResponseWriter, _ *http.Request) {
+	if f, _ := v.faults.Get(); f.Down {
 		serve.WriteProblem(w, http.StatusServiceUnavailable, "down")
 		return
 	}
-	serve.WriteJSON(w, http.StatusOK, l.applyDue())
+	serve.WriteJSON(w, http.StatusOK, v.applyDue())
 }
 
 // applyDue applies the changes that are due and returns the VMs that are shown,
 // sorted by name.
-func (l *VMList) applyDue() []fleet.VM {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.Clock.Now()
-	l.pending = slices.DeleteFunc(l.pending, func(c change) bool { return l.apply(c, now) })
-	out := slices.Collect(maps.Values(l.shown))
+func (v *VMList) applyDue() []fleet.VM {
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	now := v.Clock.Now()
+	v.pending = slices.DeleteFunc(v.pending, func(c change) bool { return v.apply(c, now) })
+	out := slices.Collect(maps.Values(v.shown))
 	slices.SortFunc(out, func(a, b fleet.VM) int { return cmp.Compare(a.Name, b.Name) })
 	return append([]fleet.VM{}, out...)
 }
 
 // apply carries out the change and returns true if it is due. A new VM beyond
 // maxVMs is dropped.
-func (l *VMList) apply(c change, now time.Time) bool {
+func (v *VMList) apply(c change, now time.Time) bool {
 	if c.due.After(now) {
 		return false
 	}
-	if l.shown == nil {
-		l.shown = map[string]fleet.VM{}
+	if v.shown == nil {
+		v.shown = map[string]fleet.VM{}
 	}
-	delete(l.shown, c.name)
-	if c.vm != nil && len(l.shown) < maxVMs {
-		l.shown[c.name] = *c.vm
+	delete(v.shown, c.name)
+	if c.vm != nil && len(v.shown) < maxVMs {
+		v.shown[c.name] = *c.vm
 	}
 	return true
 }
 
-func (l *VMList) handlePut(w http.ResponseWriter, r *http.Request) {
+func (v *VMList) handlePut(w http.ResponseWriter, r *http.Request) {
 	vm, err := serve.DecodeJSON[fleet.VM](w, r)
 	if err == nil {
 		vm.Name = mux.Vars(r)["name"]
@@ -107,35 +107,35 @@
 		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	l.schedule(w, change{name: vm.Name, vm: &vm})
+	v.schedule(w, change{name: vm.Name, vm: &vm})
 }
 
-func (l *VMList) handleRemove(w http.ResponseWriter, r *http.Request) {
-	l.schedule(w, change{name: mux.Vars(r)["name"]})
+func (v *VMList) handleRemove(w http.ResponseWriter, r *http.Request) {
+	v.schedule(w, change{name: mux.Vars(r)["name"]})
 }
 
 // schedule queues the change until the lag has passed and writes the response.
-func (l *VMList) schedule(w http.ResponseWriter, c change) {
-	faults, _ := l.faults.Get()
-	lag := cmp.Or(time.Duration(faults.Lag), l.Lag)
-	l.applyDue()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.pending) >= maxPending {
+func (v *VMList) schedule(w http.ResponseWriter, c change) {
+	faults, _ := v.faults.Get()
+	lag := cmp.Or(time.Duration(faults.Lag), v.Lag)
+	v.applyDue()
+	v.mu.Lock()
+	defer v.mu.Unlock()
+	if len(v.pending) >= maxPending {
 		serve.WriteProblem(w, http.StatusInsufficientStorage, "too many changes")
 		return
 	}
-	c.due = l.Clock.Now().Add(lag)
-	l.pending = append(l.pending, c)
+	c.due = v.Clock.Now().Add(lag)
+	v.pending = append(v.pending, c)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (l *VMList) setFaults(w http.ResponseWriter, r *http.Request) {
+func (v *VMList) setFaults(w http.ResponseWriter, r *http.Request) {
 	f, err := serve.DecodeJSON[ListFaults](w, r)
 	if err != nil {
 		serve.WriteProblem(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	l.faults.Set(f)
+	v.faults.Set(f)
 	w.WriteHeader(http.StatusNoContent)
 }
