--- a/io/process/admin/status.go
+++ b/io/process/admin/status.go
@@ -40,9 +40,9 @@
 // RefusedRevision is the highest revision that was received and rejected, and
 // RefusalReason the reason. ConflictRevision is the revision in force if another
 // document with the same revision was seen, else 0. ReadRevision is the highest revision
-// that this process has read from the platform itself. Reader says whether it currently reads the platform for its zone. Peers is
-// the number of connected peers. VMListVersion and VMs are the version and the length
-// of the VM list.
+// that this process has read from the platform itself. Reader says whether it currently
+// reads the platform for its zone. Peers is the number of connected peers. VMListVersion
+// and VMs are the version and the length of the VM list.
 type Config struct {
 	Environment      string `json:"environment"`
 	Stage            string `json:"stage"`
--- a/io/process/alert/registry.go
+++ b/io/process/alert/registry.go
@@ -65,8 +65,8 @@
 	return r.ledger.Blocked(r.Clock.Now(), k)
 }
 
-// RecordFailure records that an attempt of a request broke off at a target start, after its answer
-// had been going on for ran.
+// RecordFailure records that an attempt of a request broke off at a target start, after its
+// answer had been going on for ran.
 func (r *Registry) RecordFailure(k poison.Fingerprint, at poison.Incarnation, ran time.Duration) {
 	r.change(fromLocal, "", k, func(now time.Time) bool {
 		counts := r.ledger.RecordFailure(now, k, at, ran)
--- a/io/process/feed/upstream_test.go
+++ b/io/process/feed/upstream_test.go
@@ -13,7 +13,6 @@
 	"hawthornferry/io/conn/link"
 )
 
-// setEntryWaits sets the waits of an entry.
 func setEntryWaits(f *Feed) {
 	f.WatchWait = 800 * time.Millisecond
 	f.UpstreamWait = 500 * time.Millisecond
--- a/io/request/direct/metrics.go
+++ b/io/request/direct/metrics.go
@@ -111,7 +111,6 @@
 	m.count(counterKey{name: "broken_off_total", reason: string(c), status: noStatus})
 }
 
-// countAttempt counts an attempt by its outcome.
 func (m requestMetrics) countAttempt(o resend.Outcome) {
 	m.count(counterKey{name: "attempts_total", outcome: string(o), status: noStatus})
 }
--- a/io/request/front/onceattempt.go
+++ b/io/request/front/onceattempt.go
@@ -210,7 +210,6 @@
 	})
 }
 
-// settledResult returns the result of the settled attempt.
 func (t *onceAttempt) settledResult(ctx context.Context) onceResult {
 	res := result{outcome: t.state.Outcome}
 	if t.request.ticket != nil {
--- a/io/request/gate/repeat.go
+++ b/io/request/gate/repeat.go
@@ -22,7 +22,7 @@
 // maxRetryAfter limits the Retry-After of a target that is passed on to a caller.
 const maxRetryAfter = time.Minute
 
-// HandleCall handles one call.
+// HandleCall handles one call. A call with a ticket runs at most once.
 func (p *Proxy) HandleCall(s *sessn.Stream) {
 	p.answerPending()
 	defer p.answerSent()
--- a/io/request/gate/request.go
+++ b/io/request/gate/request.go
@@ -35,8 +35,8 @@
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// RemoveHopByHopHeaders removes the hop-by-hop headers from h, including those that the Connection
-// header lists.
+// RemoveHopByHopHeaders removes the hop-by-hop headers from h, including those that the
+// Connection header lists.
 func RemoveHopByHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for name := range strings.SplitSeq(list, ",") {
--- a/standin/weight/weight.go
+++ b/standin/weight/weight.go
@@ -44,7 +44,7 @@
 	Size  int64
 }
 
-// generate returns the chunk's bytes.
+// generate returns the chunk's bytes, which are the same each time.
 func (s chunkSource) generate() []byte {
 	var in [16]byte
 	binary.BigEndian.PutUint64(in[:8], s.Seed)
