--- a/io/process/proc/process.go
+++ b/io/process/proc/process.go
@@ -69,104 +69,104 @@
 }
 
 // Open creates the common components from the settings.
-func (h *Process) Open() error {
-	h.Clock = clockwork.NewRealClock()
-	h.started = h.Clock.Now()
-	h.draining = make(chan struct{})
+func (p *Process) Open() error {
+	p.Clock = clockwork.NewRealClock()
+	p.started = p.Clock.Now()
+	p.draining = make(chan struct{})
 	// With a soft limit, the garbage collector works harder before the process reaches
 	// the memory limit of the VM's slot, at which it would be killed.
-	debug.SetMemoryLimit(h.Settings.Limits.Memory)
-	h.openSelf()
+	debug.SetMemoryLimit(p.Settings.Limits.Memory)
+	p.openSelf()
 	var closer io.Closer
-	h.Metrics, h.metrics, closer = admin.NewMetrics()
-	h.closers = append(h.closers, closer)
-	h.Recorder = &trends.Recorder{Clock: h.Clock, Metrics: h.Metrics}
-	if err := h.openLogs(); err != nil {
+	p.Metrics, p.metrics, closer = admin.NewMetrics()
+	p.closers = append(p.closers, closer)
+	p.Recorder = &trends.Recorder{Clock: p.Clock, Metrics: p.Metrics}
+	if err := p.openLogs(); err != nil {
 		return err
 	}
-	h.openWatcher()
+	p.openWatcher()
 	return nil
 }
 
-func (h *Process) openSelf() {
-	p := h.Settings.Process
-	h.Self = &link.Self{Boot: uuid.NewString()}
-	h.Self.VM = fleet.VM{
-		Name:    p.Name,
-		Role:    p.Role,
-		Zone:    p.Zone,
-		Region:  p.Region,
-		Service: h.Settings.Target.Service,
-		Address: h.Settings.Listen.Peers,
+func (p *Process) openSelf() {
+	settings := p.Settings.Process
+	p.Self = &link.Self{Boot: uuid.NewString()}
+	p.Self.VM = fleet.VM{
+		Name:    settings.Name,
+		Role:    settings.Role,
+		Zone:    settings.Zone,
+		Region:  settings.Region,
+		Service: p.Settings.Target.Service,
+		Address: p.Settings.Listen.Peers,
 		State:   fleet.StateLive,
 	}
 }
 
-func (h *Process) openLogs() error {
-	logs := h.Settings.Log
-	logger, err := h.openLog(logs.Output)
+func (p *Process) openLogs() error {
+	logs := p.Settings.Log
+	logger, err := p.openLog(logs.Output)
 	if err != nil {
 		return err
 	}
-	h.Logger = logger
+	p.Logger = logger
 	decisions := logger
 	if logs.Decisions != "" && logs.Decisions != logs.Output {
-		decisions, err = h.openLog(logs.Decisions)
+		decisions, err = p.openLog(logs.Decisions)
 		if err != nil {
 			return err
 		}
 	}
-	h.Log = &jsonl.Log{Process: h.Self.VM.Name, Boot: h.Self.Boot, Clock: h.Clock, Logger: decisions}
+	p.Log = &jsonl.Log{Process: p.Self.VM.Name, Boot: p.Self.Boot, Clock: p.Clock, Logger: decisions}
 	return nil
 }
 
-func (h *Process) openLog(output string) (*logrus.Logger, error) {
+func (p *Process) openLog(output string) (*logrus.Logger, error) {
 	out, err := jsonl.OpenOutput(output)
 	if err != nil {
 		return nil, err
 	}
-	sink := &jsonl.Sink{Out: out, QueueLines: h.Settings.Log.Buffer, Metrics: h.Metrics}
-	h.closers = append(h.closers, out)
-	h.sinks = append(h.sinks, sink)
-	return jsonl.NewLogger(sink, h.Settings.Log.Level)
+	sink := &jsonl.Sink{Out: out, QueueLines: p.Settings.Log.Buffer, Metrics: p.Metrics}
+	p.closers = append(p.closers, out)
+	p.sinks = append(p.sinks, sink)
+	return jsonl.NewLogger(sink, p.Settings.Log.Level)
 }
 
-func (h *Process) openWatcher() {
-	h.Watcher = &watch.Watcher{
-		Self:          h.Self,
-		Clock:         h.Clock,
-		Log:           h.Log,
-		Metrics:       h.Metrics,
-		Environment:   h.Settings.Platform.Environment,
-		ConfigService: h.Settings.Platform.Config,
-		VMListService: h.Settings.Platform.VMList,
-		Seeds:         h.Settings.Peers.Seeds,
+func (p *Process) openWatcher() {
+	p.Watcher = &watch.Watcher{
+		Self:          p.Self,
+		Clock:         p.Clock,
+		Log:           p.Log,
+		Metrics:       p.Metrics,
+		Environment:   p.Settings.Platform.Environment,
+		ConfigService: p.Settings.Platform.Config,
+		VMListService: p.Settings.Platform.VMList,
+		Seeds:         p.Settings.Peers.Seeds,
 	}
 }
 
 // Run runs the process until ctx ends, then drains it within the grace period. It returns an
 // error if a component failed or work was still in flight when the grace period ended.
-func (h *Process) Run(ctx context.Context) error {
+func (p *Process) Run(ctx context.Context) error {
 	sinkCtx, stopSinks := context.WithCancel(context.Background())
 	var sinks errgroup.Group
-	for _, s := range h.sinks {
+	for _, s := range p.sinks {
 		sinks.Go(func() error { return s.Run(sinkCtx) })
 	}
-	h.Logger.WithField("vm", h.Self.VM.Name).WithField("boot", h.Self.Boot).Info("started")
-	err := h.runComponents(ctx)
-	h.Logger.WithField("vm", h.Self.VM.Name).WithError(err).Info("stopped")
+	p.Logger.WithField("vm", p.Self.VM.Name).WithField("boot", p.Self.Boot).Info("started")
+	err := p.runComponents(ctx)
+	p.Logger.WithField("vm", p.Self.VM.Name).WithError(err).Info("stopped")
 	stopSinks()
-	return errors.CombineErrors(err, errors.CombineErrors(sinks.Wait(), h.close()))
+	return errors.CombineErrors(err, errors.CombineErrors(sinks.Wait(), p.close()))
 }
 
 // runComponents runs the components until ctx ends or one fails. They keep running while the
 // process drains: calls in flight still need sessions, configuration and the administration
 // API.
-func (h *Process) runComponents(ctx context.Context) error {
+func (p *Process) runComponents(ctx context.Context) error {
 	runCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	g, runCtx := errgroup.WithContext(runCtx)
-	for _, c := range h.allComponents() {
+	for _, c := range p.allComponents() {
 		g.Go(func() error { return operr.Wrap("run "+c.Name, "", c.Run(runCtx)) })
 	}
 	select {
@@ -174,108 +174,108 @@
 		return g.Wait()
 	case <-ctx.Done():
 	}
-	close(h.draining)
-	err := h.drain()
+	close(p.draining)
+	err := p.drain()
 	stop()
 	return errors.CombineErrors(err, g.Wait())
 }
 
-func (h *Process) drain() error {
-	if h.Drain == nil {
+func (p *Process) drain() error {
+	if p.Drain == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), h.Settings.Limits.Grace)
+	ctx, cancel := context.WithTimeout(context.Background(), p.Settings.Limits.Grace)
 	defer cancel()
-	return operr.Wrap("drain within the grace period", "", h.Drain(ctx))
+	return operr.Wrap("drain within the grace period", "", p.Drain(ctx))
 }
 
-func (h *Process) allComponents() []Component {
-	handlers := map[link.Purpose]link.Handler{link.PurposeConfig: h.Watcher.Handler()}
-	for p, handler := range h.Handlers {
-		handlers[p] = handler
+func (p *Process) allComponents() []Component {
+	handlers := map[link.Purpose]link.Handler{link.PurposeConfig: p.Watcher.Handler()}
+	for purpose, handler := range p.Handlers {
+		handlers[purpose] = handler
 	}
-	peers := &link.Listener{Self: h.Self, Net: h.Peers, Handlers: handlers, OnReject: h.rejected}
-	api := &admin.Server{Listener: h.Admin, Status: h.status, Ready: h.ready, Metrics: h.metrics}
+	peers := &link.Listener{Self: p.Self, Net: p.Peers, Handlers: handlers, OnReject: p.rejected}
+	api := &admin.Server{Listener: p.Admin, Status: p.status, Ready: p.ready, Metrics: p.metrics}
 	components := []Component{
 		{Name: "peer listener", Run: peers.Run},
 		{Name: "administration API", Run: api.Run},
-		{Name: "configuration", Run: h.Watcher.Run},
-		{Name: "measures", Run: h.Recorder.Run},
+		{Name: "configuration", Run: p.Watcher.Run},
+		{Name: "measures", Run: p.Recorder.Run},
 	}
-	return append(components, h.Components...)
+	return append(components, p.Components...)
 }
 
-func (h *Process) rejected(err error) {
-	h.Metrics.Counter("peers_rejected_total").Inc(1)
-	h.Logger.WithError(err).Warn("peer rejected")
+func (p *Process) rejected(err error) {
+	p.Metrics.Counter("peers_rejected_total").Inc(1)
+	p.Logger.WithError(err).Warn("peer rejected")
 }
 
 // Draining reports whether the process is shutting down.
-func (h *Process) Draining() bool {
+func (p *Process) Draining() bool {
 	select {
-	case <-h.draining:
+	case <-p.draining:
 		return true
 	default:
 		return false
 	}
 }
 
-func (h *Process) ready() error {
-	if h.Draining() {
+func (p *Process) ready() error {
+	if p.Draining() {
 		return errors.New("draining")
 	}
-	if h.Watcher.Current().Document == nil {
+	if p.Watcher.Current().Document == nil {
 		return errors.New("no environment document yet")
 	}
-	if h.Ready == nil {
+	if p.Ready == nil {
 		return nil
 	}
-	return h.Ready()
+	return p.Ready()
 }
 
-func (h *Process) status() admin.Status {
-	s := admin.Status{Process: h.processStatus(), Config: h.configStatus(), Traffic: h.traffic()}
-	s.Drift = h.Recorder.Drift()
-	s.Tables = h.Recorder.Tables()
-	if h.AddStatus != nil {
-		h.AddStatus(&s)
+func (p *Process) status() admin.Status {
+	s := admin.Status{Process: p.processStatus(), Config: p.configStatus(), Traffic: p.traffic()}
+	s.Drift = p.Recorder.Drift()
+	s.Tables = p.Recorder.Tables()
+	if p.AddStatus != nil {
+		p.AddStatus(&s)
 	}
 	return s
 }
 
-func (h *Process) traffic() []admin.Traffic {
+func (p *Process) traffic() []admin.Traffic {
 	var out []admin.Traffic
-	for _, p := range link.Purposes() {
-		t := h.Self.Totals.ByPurpose(p)
-		out = append(out, admin.Traffic{Purpose: string(p), Received: t.Received(), Sent: t.Sent()})
+	for _, purpose := range link.Purposes() {
+		t := p.Self.Totals.ByPurpose(purpose)
+		out = append(out, admin.Traffic{Purpose: string(purpose), Received: t.Received(), Sent: t.Sent()})
 	}
 	return out
 }
 
-func (h *Process) processStatus() admin.Process {
-	vm := h.Self.VM
-	p := admin.Process{
+func (p *Process) processStatus() admin.Process {
+	vm := p.Self.VM
+	status := admin.Process{
 		Name:    vm.Name,
 		Role:    vm.Role,
 		Zone:    vm.Zone,
 		Region:  vm.Region,
-		Boot:    h.Self.Boot,
-		Version: h.Version,
-		Started: h.started,
+		Boot:    p.Self.Boot,
+		Version: p.Version,
+		Started: p.started,
 		Ready:   true,
 	}
-	if err := h.ready(); err != nil {
-		p.Ready = false
-		p.NotReadyReason = err.Error()
+	if err := p.ready(); err != nil {
+		status.Ready = false
+		status.NotReadyReason = err.Error()
 	}
-	return p
+	return status
 }
 
-func (h *Process) configStatus() admin.Config {
-	v := h.Watcher.Current()
-	st := h.Watcher.Stats()
+func (p *Process) configStatus() admin.Config {
+	v := p.Watcher.Current()
+	st := p.Watcher.Stats()
 	c := admin.Config{
-		Environment:      h.Settings.Platform.Environment,
+		Environment:      p.Settings.Platform.Environment,
 		Revision:         v.Revision(),
 		ReadRevision:     st.ReadRevision,
 		RefusedRevision:  st.RefusedRevision,
@@ -292,9 +292,9 @@
 	return c
 }
 
-func (h *Process) close() error {
+func (p *Process) close() error {
 	var err error
-	for _, c := range h.closers {
+	for _, c := range p.closers {
 		err = errors.CombineErrors(err, c.Close())
 	}
 	return err
--- a/io/process/trends/recorder.go
+++ b/io/process/trends/recorder.go
@@ -46,60 +46,60 @@
 }
 
 // AddLatency adds a duration to the latency measure called name.
-func (g *Recorder) AddLatency(name string, d time.Duration) {
-	if g == nil {
+func (r *Recorder) AddLatency(name string, d time.Duration) {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.tracker.AddLatency(g.Clock.Now(), name, d)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tracker.AddLatency(r.Clock.Now(), name, d)
 }
 
 // AddCount adds n to the counter called name.
-func (g *Recorder) AddCount(name string, n int) {
-	if g == nil {
+func (r *Recorder) AddCount(name string, n int) {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.tracker.AddCount(g.Clock.Now(), name, n)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tracker.AddCount(r.Clock.Now(), name, n)
 }
 
 // WatchTable adds a table whose size is read every publishInterval. Its Len must not use the
 // recorder.
-func (g *Recorder) WatchTable(t Table) {
-	if g == nil {
+func (r *Recorder) WatchTable(t Table) {
+	if r == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.tables = append(g.tables, t)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.tables = append(r.tables, t)
 }
 
 // Run reads sizes and updates metrics until ctx ends.
-func (g *Recorder) Run(ctx context.Context) error {
-	tick := g.Clock.NewTicker(publishInterval)
+func (r *Recorder) Run(ctx context.Context) error {
+	tick := r.Clock.NewTicker(publishInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.Chan():
-			g.publish()
+			r.publish()
 		}
 	}
 }
 
-func (g *Recorder) publish() {
-	rows := g.Tables()
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.Clock.Now()
-	for _, r := range rows {
-		g.tracker.AddSize(now, r.Name, r.Entries)
+func (r *Recorder) publish() {
+	rows := r.Tables()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.Clock.Now()
+	for _, row := range rows {
+		r.tracker.AddSize(now, row.Name, row.Entries)
 	}
-	for _, l := range g.tracker.Results(now) {
-		if s := g.scopeLocked(l); s != nil {
+	for _, l := range r.tracker.Results(now) {
+		if s := r.scopeLocked(l); s != nil {
 			s.Gauge("drift_value").Update(l.Value)
 			s.Gauge("drift_usual").Update(l.Median)
 			s.Gauge("drift_trend").Update(l.Trend)
@@ -107,30 +107,30 @@
 	}
 }
 
-func (g *Recorder) scopeLocked(l drift.Result) tally.Scope {
+func (r *Recorder) scopeLocked(l drift.Result) tally.Scope {
 	key := fmt.Sprint(l.Name, l.Window)
-	if s, ok := g.scopes[key]; ok {
+	if s, ok := r.scopes[key]; ok {
 		return s
 	}
-	if len(g.scopes) >= maxMetrics {
+	if len(r.scopes) >= maxMetrics {
 		return nil
 	}
-	if g.scopes == nil {
-		g.scopes = map[string]tally.Scope{}
+	if r.scopes == nil {
+		r.scopes = map[string]tally.Scope{}
 	}
-	g.scopes[key] = g.Metrics.Tagged(map[string]string{
+	r.scopes[key] = r.Metrics.Tagged(map[string]string{
 		"kind":    string(l.Name.Kind),
 		"measure": l.Name.Name,
 		"window":  l.Window.String(),
 	})
-	return g.scopes[key]
+	return r.scopes[key]
 }
 
 // Tables returns the watched tables with their current sizes.
-func (g *Recorder) Tables() []admin.Table {
-	g.mu.Lock()
-	tables := slices.Clone(g.tables)
-	g.mu.Unlock()
+func (r *Recorder) Tables() []admin.Table {
+	r.mu.Lock()
+	tables := slices.Clone(r.tables)
+	r.mu.Unlock()
 	out := make([]admin.Table, 0, len(tables))
 	for _, t := range tables {
 		out = append(out, admin.Table{Name: t.Name, Entries: t.Len(), Bound: t.Bound})
@@ -140,11 +140,11 @@
 }
 
 // Drift returns a row for each measure and time scale with enough windows to compare.
-func (g *Recorder) Drift() []admin.Drift {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+func (r *Recorder) Drift() []admin.Drift {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []admin.Drift
-	for _, l := range g.tracker.Results(g.Clock.Now()) {
+	for _, l := range r.tracker.Results(r.Clock.Now()) {
 		out = append(out, admin.Drift{
 			Name:     l.Name.Name,
 			Unit:     unit(l.Name.Kind),
--- a/io/request/front/body.go
+++ b/io/request/front/body.go
@@ -38,31 +38,31 @@
 // readBody reads a request's body within the limits on size and time. If that fails, it
 // writes the error response itself and returns false. The caller of readBody must call
 // release when the call has ended, to give back the body's share of the budget.
-func (f *Server) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), ok bool) {
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) (body []byte, release func(), ok bool) {
 	rc := http.NewResponseController(w)
-	_ = rc.SetReadDeadline(time.Now().Add(f.Limits.BodyTimeout))
-	budgeted := &budgetReader{Reader: http.MaxBytesReader(w, r.Body, int64(f.Limits.MaxBodyBytes)), budget: f.bodyBudget}
+	_ = rc.SetReadDeadline(time.Now().Add(s.Limits.BodyTimeout))
+	budgeted := &budgetReader{Reader: http.MaxBytesReader(w, r.Body, int64(s.Limits.MaxBodyBytes)), budget: s.bodyBudget}
 	body, err := io.ReadAll(budgeted)
 	if err != nil {
 		budgeted.release()
-		f.rejectBody(w, err)
+		s.rejectBody(w, err)
 		return nil, nil, false
 	}
 	_ = rc.SetReadDeadline(time.Time{})
 	return body, budgeted.release, true
 }
 
-func (f *Server) rejectBody(w http.ResponseWriter, err error) {
+func (s *Server) rejectBody(w http.ResponseWriter, err error) {
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		f.reject(w, http.StatusRequestEntityTooLarge, "the body is too large", 0)
+		s.reject(w, http.StatusRequestEntityTooLarge, "the body is too large", 0)
 	case errors.Is(err, errBodyBudget):
-		f.reject(w, http.StatusServiceUnavailable, errBodyBudget.Error(), retryAfter)
+		s.reject(w, http.StatusServiceUnavailable, errBodyBudget.Error(), retryAfter)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		w.Header().Set("Connection", "close")
-		f.reject(w, http.StatusRequestTimeout, "the body came too slowly", 0)
+		s.reject(w, http.StatusRequestTimeout, "the body came too slowly", 0)
 	default:
-		f.reject(w, http.StatusBadRequest, "the body could not be read", 0)
+		s.reject(w, http.StatusBadRequest, "the body could not be read", 0)
 	}
 }
--- a/io/request/front/choose.go
+++ b/io/request/front/choose.go
@@ -12,24 +12,24 @@
 
 // choose picks a target for rq, counts the call as in flight at that target and logs
 // the decision. The caller must release the returned member.
-func (f *Server) choose(rq *request) (*member, error) {
-	f.chooseMu.Lock()
-	candidates := f.pool.candidates(rq.routing.Service)
-	choice, err := f.Chooser.Choose(f.Clock.Now(), rq.routing, candidates)
+func (s *Server) choose(rq *request) (*member, error) {
+	s.chooseMu.Lock()
+	candidates := s.pool.candidates(rq.routing.Service)
+	choice, err := s.Chooser.Choose(s.Clock.Now(), rq.routing, candidates)
 	var m *member
 	if err == nil {
-		m = f.pool.acquire(choice.VM.Name)
+		m = s.pool.acquire(choice.VM.Name)
 	}
-	f.chooseMu.Unlock()
+	s.chooseMu.Unlock()
 	d := trail.Decision{
 		Area: trail.AreaRouting, Action: "choose", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Choice: choice.VM.Name, Reason: string(choice.Reason),
-		Excluded: choice.Excluded, Revision: f.Self.Revision.Load(),
+		Excluded: choice.Excluded, Revision: s.Self.Revision.Load(),
 	}
 	if err != nil {
 		d.Reason, d.Excluded = err.Error(), leftOf(err)
 	}
-	f.Log.Record(d)
+	s.Log.Record(d)
 	if err == nil && m == nil {
 		err = errNoTarget
 	}
--- a/io/request/front/front.go
+++ b/io/request/front/front.go
@@ -70,33 +70,33 @@
 	policy     *policy
 }
 
-func (f *Server) init() { f.setup.Do(f.initialize) }
+func (s *Server) init() { s.setup.Do(s.initialize) }
 
-func (f *Server) initialize() {
-	f.Limits = f.Limits.withDefaults()
-	f.policy = newPolicy(f.Clock, f.Self.VM)
-	if f.Chooser == nil {
-		f.Chooser = f.policy
+func (s *Server) initialize() {
+	s.Limits = s.Limits.withDefaults()
+	s.policy = newPolicy(s.Clock, s.Self.VM)
+	if s.Chooser == nil {
+		s.Chooser = s.policy
 	}
-	f.outcomes = newOutcomeTable(f.Metrics)
-	f.callSlots = make(chan struct{}, f.Limits.MaxInFlight)
-	f.bodyBudget = semaphore.NewWeighted(int64(f.Limits.MaxBodyBytesTotal))
-	f.pool = newPool(f)
-	f.watchTables()
-	f.server = &http.Server{
-		Handler:           f.newRouter(),
+	s.outcomes = newOutcomeTable(s.Metrics)
+	s.callSlots = make(chan struct{}, s.Limits.MaxInFlight)
+	s.bodyBudget = semaphore.NewWeighted(int64(s.Limits.MaxBodyBytesTotal))
+	s.pool = newPool(s)
+	s.watchTables()
+	s.server = &http.Server{
+		Handler:           s.newRouter(),
 		ConnState:         trackConnState,
-		ReadHeaderTimeout: f.Limits.HeaderTimeout,
-		IdleTimeout:       f.Limits.IdleTimeout,
-		MaxHeaderBytes:    f.Limits.MaxHeaderBytes,
+		ReadHeaderTimeout: s.Limits.HeaderTimeout,
+		IdleTimeout:       s.Limits.IdleTimeout,
+		MaxHeaderBytes:    s.Limits.MaxHeaderBytes,
 	}
 }
 
 // Run serves callers until ctx ends, and then closes their connections. Call Drain
 // first to let the requests in flight finish.
-func (f *Server) Run(ctx context.Context) error {
-	f.init()
-	nl, err := f.listener()
+func (s *Server) Run(ctx context.Context) error {
+	s.init()
+	nl, err := s.listener()
 	if err != nil {
 		return err
 	}
@@ -104,13 +104,13 @@
 	defer wg.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	wg.Go(func() { f.pool.run(ctx) })
-	wg.Go(func() { f.policy.run(ctx) })
-	stop := context.AfterFunc(ctx, func() { f.server.Close() })
+	wg.Go(func() { s.pool.run(ctx) })
+	wg.Go(func() { s.policy.run(ctx) })
+	stop := context.AfterFunc(ctx, func() { s.server.Close() })
 	defer stop()
-	f.running.Store(true)
-	defer f.running.Store(false)
-	err = f.server.Serve(callerListener{nl})
+	s.running.Store(true)
+	defer s.running.Store(false)
+	err = s.server.Serve(callerListener{nl})
 	if !errors.Is(err, http.ErrServerClosed) {
 		return operr.Wrap("serve callers", nl.Addr().String(), err)
 	}
@@ -119,12 +119,12 @@
 	return nil
 }
 
-func (f *Server) listener() (net.Listener, error) {
-	if f.Listener != nil {
-		return f.Listener, nil
+func (s *Server) listener() (net.Listener, error) {
+	if s.Listener != nil {
+		return s.Listener, nil
 	}
-	nl, err := net.Listen("tcp", f.ListenAddr.String())
-	return nl, operr.Wrap("listen for callers", f.ListenAddr.String(), err)
+	nl, err := net.Listen("tcp", s.ListenAddr.String())
+	return nl, operr.Wrap("listen for callers", s.ListenAddr.String(), err)
 }
 
 // Drain makes the entry report not ready, keeps serving for Limits.DrainNotice so that
@@ -134,32 +134,32 @@
 // Shutting down at once would close idle connections on which a request is just
 // arriving, and its caller would get no response. During the notice such requests are
 // served with a Connection: close header.
-func (f *Server) Drain(ctx context.Context) error {
-	f.init()
-	f.draining.Store(true)
-	notice := f.Clock.NewTimer(f.Limits.DrainNotice)
+func (s *Server) Drain(ctx context.Context) error {
+	s.init()
+	s.draining.Store(true)
+	notice := s.Clock.NewTimer(s.Limits.DrainNotice)
 	defer notice.Stop()
 	select {
 	case <-notice.Chan():
 	case <-ctx.Done():
 	}
-	return operr.Wrap("drain", "", f.server.Shutdown(ctx))
+	return operr.Wrap("drain", "", s.server.Shutdown(ctx))
 }
 
 // Ready reports whether the load balancer may send callers here: the entry is serving,
 // has a document and is not draining.
-func (f *Server) Ready() bool {
-	return f.running.Load() && !f.draining.Load() && f.Source.Current().Document != nil
+func (s *Server) Ready() bool {
+	return s.running.Load() && !s.draining.Load() && s.Source.Current().Document != nil
 }
 
 // Targets returns the targets that the entry has sessions with, sorted by name.
-func (f *Server) Targets() []TargetStatus {
-	f.init()
-	return f.pool.targets()
+func (s *Server) Targets() []TargetStatus {
+	s.init()
+	return s.pool.targets()
 }
 
 // Outcomes returns the number of calls for each customer, service and outcome.
-func (f *Server) Outcomes() []OutcomeCount {
-	f.init()
-	return f.outcomes.list()
+func (s *Server) Outcomes() []OutcomeCount {
+	s.init()
+	return s.outcomes.list()
 }
--- a/io/request/front/measure.go
+++ b/io/request/front/measure.go
@@ -9,23 +9,23 @@
 
 // addMeasures adds a finished request to the latencies and counts that Recorder watches
 // for slow degradation.
-func (f *Server) addMeasures(rq *request, res result) {
+func (s *Server) addMeasures(rq *request, res result) {
 	if rq.timeToFirstByte > 0 {
-		f.Recorder.AddLatency("firstByte "+rq.routing.Service, rq.timeToFirstByte)
+		s.Recorder.AddLatency("firstByte "+rq.routing.Service, rq.timeToFirstByte)
 	}
 	switch {
 	case res.outcome == calls.OutcomeUnknown:
-		f.Recorder.AddCount("unknown "+rq.routing.Service, 1)
+		s.Recorder.AddCount("unknown "+rq.routing.Service, 1)
 	case res.outcome == calls.OutcomeNotRun:
-		f.Recorder.AddCount("notRun "+rq.routing.Service, 1)
+		s.Recorder.AddCount("notRun "+rq.routing.Service, 1)
 	}
 }
 
 // watchTables registers the tables of the entry whose sizes Recorder watches.
-func (f *Server) watchTables() {
-	f.Recorder.WatchTable(trends.Table{Name: "prefixes", Bound: picker.DefaultMaxPrefixes, Len: f.policy.prefixCount})
-	f.Recorder.WatchTable(trends.Table{Name: "admission", Bound: admit.MaxRemembered + f.Limits.MaxInFlight, Len: f.policy.admissionCount})
-	f.Recorder.WatchTable(trends.Table{Name: "sessions", Len: f.pool.size})
+func (s *Server) watchTables() {
+	s.Recorder.WatchTable(trends.Table{Name: "prefixes", Bound: picker.DefaultMaxPrefixes, Len: s.policy.prefixCount})
+	s.Recorder.WatchTable(trends.Table{Name: "admission", Bound: admit.MaxRemembered + s.Limits.MaxInFlight, Len: s.policy.admissionCount})
+	s.Recorder.WatchTable(trends.Table{Name: "sessions", Len: s.pool.size})
 }
 
 // prefixCount is the number of prompt prefixes that the chooser remembers.
--- a/io/request/front/onceattempt.go
+++ b/io/request/front/onceattempt.go
@@ -31,12 +31,12 @@
 }
 
 // attemptOnce makes one attempt at one side. It returns when the outcome is settled.
-func (f *Server) attemptOnce(ctx context.Context, m *member, rq *request) onceResult {
-	t := &onceAttempt{front: f, member: m, request: rq, state: calls.NewAttempt(rq.binding)}
+func (s *Server) attemptOnce(ctx context.Context, m *member, rq *request) onceResult {
+	t := &onceAttempt{front: s, member: m, request: rq, state: calls.NewAttempt(rq.binding)}
 	if t.state.Bound && !t.waitConnected(ctx) {
 		return t.settledResult(ctx)
 	}
-	startMessage, err := f.startMessage(ctx, m, rq)
+	startMessage, err := s.startMessage(ctx, m, rq)
 	if err != nil {
 		t.handleUnsent(ctx)
 		return t.settledResult(ctx)
--- a/io/request/front/prefix_test.go
+++ b/io/request/front/prefix_test.go
@@ -46,6 +46,6 @@
 	}
 }
 
-func (f *Server) knownPrefixes() int {
-	return f.policy.prefixCount()
+func (s *Server) knownPrefixes() int {
+	return s.policy.prefixCount()
 }
--- a/io/request/front/repeat.go
+++ b/io/request/front/repeat.go
@@ -15,31 +15,31 @@
 
 // runRepeatable runs a call that may run more than once. A failed attempt is followed
 // by one on another target, within the limits of MaxAttempts and of the retry budget.
-func (f *Server) runRepeatable(ctx context.Context, w http.ResponseWriter, rq *request) {
-	rl := f.newRelay(w, rq)
+func (s *Server) runRepeatable(ctx context.Context, w http.ResponseWriter, rq *request) {
+	rl := s.newRelay(w, rq)
 	last := result{outcome: calls.OutcomeNotRun, status: http.StatusServiceUnavailable, retryAfter: retryAfter}
 	for n := 1; ; n++ {
-		m, err := f.choose(rq)
+		m, err := s.choose(rq)
 		if err != nil {
 			last.reason = valueOr(last.reason, err.Error())
 			break
 		}
-		err = f.attemptRepeatable(ctx, m, rq, rl)
-		f.pool.release(m)
+		err = s.attemptRepeatable(ctx, m, rq, rl)
+		s.pool.release(m)
 		if err == nil {
-			f.recordResult(rq, result{outcome: calls.OutcomeDone})
+			s.recordResult(rq, result{outcome: calls.OutcomeDone})
 			return
 		}
 		last = resultOfError(ctx, err, last)
-		if n >= f.Limits.MaxAttempts || !f.prepareRetry(ctx, rq, rl, m, err) {
+		if n >= s.Limits.MaxAttempts || !s.prepareRetry(ctx, rq, rl, m, err) {
 			break
 		}
 	}
-	f.failRepeatable(w, rq, rl, last)
+	s.failRepeatable(w, rq, rl, last)
 }
 
-func (f *Server) newRelay(w http.ResponseWriter, rq *request) relay {
-	out := newCallerWriter(w, f.Limits.WriteTimeout)
+func (s *Server) newRelay(w http.ResponseWriter, rq *request) relay {
+	out := newCallerWriter(w, s.Limits.WriteTimeout)
 	if rq.stream {
 		return newEventRelay(out)
 	}
@@ -48,11 +48,11 @@
 
 // prepareRetry decides whether a failed attempt is followed by another. If so, it
 // updates rq and rl for that.
-func (f *Server) prepareRetry(ctx context.Context, rq *request, rl relay, m *member, err error) bool {
+func (s *Server) prepareRetry(ctx context.Context, rq *request, rl relay, m *member, err error) bool {
 	if ctx.Err() != nil || errors.Is(err, errCallerWrite) || !rl.canRetry() {
 		return false
 	}
-	if !f.policy.allowRetry(rq.routing.Service) {
+	if !s.policy.allowRetry(rq.routing.Service) {
 		return false
 	}
 	rq.routing.FailedTargets = append(rq.routing.FailedTargets, m.client.VM.Name)
@@ -62,10 +62,10 @@
 	if tokens > 0 {
 		rq.header.Set(headerResumeFrom, strconv.Itoa(tokens))
 	}
-	f.Log.Record(trail.Decision{
+	s.Log.Record(trail.Decision{
 		Area: trail.AreaCall, Action: "retry", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Subject: m.client.VM.Name, Reason: err.Error(),
-		Revision: f.Self.Revision.Load(),
+		Revision: s.Self.Revision.Load(),
 	})
 	return true
 }
@@ -73,13 +73,13 @@
 // failRepeatable reports to the caller that it gets no complete answer. If a part of
 // the answer has been sent already, it aborts the connection: an orderly end would make
 // the part look complete.
-func (f *Server) failRepeatable(w http.ResponseWriter, rq *request, rl relay, res result) {
+func (s *Server) failRepeatable(w http.ResponseWriter, rq *request, rl relay, res result) {
 	if !rl.started() {
-		f.writeFailure(w, rq, res)
+		s.writeFailure(w, rq, res)
 		return
 	}
 	res.outcome = calls.OutcomeUnknown
-	f.recordResult(rq, res)
+	s.recordResult(rq, res)
 	panic(http.ErrAbortHandler)
 }
 
@@ -124,8 +124,8 @@
 
 // attemptRepeatable makes one attempt. It returns nil if the caller got the complete
 // answer.
-func (f *Server) attemptRepeatable(ctx context.Context, m *member, rq *request, rl relay) error {
-	startMessage, err := f.startMessage(ctx, m, rq)
+func (s *Server) attemptRepeatable(ctx context.Context, m *member, rq *request, rl relay) error {
+	startMessage, err := s.startMessage(ctx, m, rq)
 	if err != nil {
 		return err
 	}
@@ -145,18 +145,18 @@
 		switch msg := msg.(type) {
 		case *sessn.Head:
 			if err = rl.onHead(msg); err == nil {
-				f.logStreamHead(rq, m, rl, msg)
+				s.logStreamHead(rq, m, rl, msg)
 			}
 		case *sessn.Data:
-			rq.recordFirstByte(f.Clock.Now())
-			timer.onData(f.Clock.Now())
+			rq.recordFirstByte(s.Clock.Now())
+			timer.onData(s.Clock.Now())
 			err = rl.onData(msg.Data)
 		case *sessn.Refusal:
 			ended = true
 			return &refusalError{msg}
 		case *sessn.End:
 			ended = true
-			f.policy.reportTokenInterval(m.client.VM.Name, timer)
+			s.policy.reportTokenInterval(m.client.VM.Name, timer)
 			return rl.onEnd()
 		}
 		if err != nil {
@@ -166,14 +166,14 @@
 }
 
 // startMessage builds the message that starts the call at the member's side.
-func (f *Server) startMessage(ctx context.Context, m *member, rq *request) (*sessn.Start, error) {
+func (s *Server) startMessage(ctx context.Context, m *member, rq *request) (*sessn.Start, error) {
 	echo, ok := m.client.ClockReading()
 	if !ok {
 		return nil, sessn.ErrUnsent
 	}
 	left := rq.timeout
 	if d, ok := ctx.Deadline(); ok {
-		left = d.Sub(f.Clock.Now())
+		left = d.Sub(s.Clock.Now())
 	}
 	return &sessn.Start{
 		Request:       rq.routing.ID,
--- a/io/request/front/request.go
+++ b/io/request/front/request.go
@@ -54,12 +54,12 @@
 
 // newRequest returns the request for a call to the service, as described by its
 // headers.
-func (f *Server) newRequest(r *http.Request, s envdoc.Service) (*request, error) {
-	rq := &request{kind: s.Kind, method: r.Method, header: forwardedHeader(r.Header), timeout: s.Timeout}
+func (s *Server) newRequest(r *http.Request, service envdoc.Service) (*request, error) {
+	rq := &request{kind: service.Kind, method: r.Method, header: forwardedHeader(r.Header), timeout: service.Timeout}
 	rq.routing = picker.Request{
 		ID:       uuid.NewString(),
 		Customer: valueOr(r.Header.Get(headerCustomer), anonymousCustomer),
-		Service:  s.Name,
+		Service:  service.Name,
 		Priority: picker.PriorityInteractive,
 	}
 	if len(rq.routing.Customer) > maxNameLength {
@@ -71,7 +71,7 @@
 	if err := rq.parseDeadline(r.Header.Get(headerDeadlineMs)); err != nil {
 		return nil, err
 	}
-	rq.routing.Deadline = f.Clock.Now().Add(rq.timeout)
+	rq.routing.Deadline = s.Clock.Now().Add(rq.timeout)
 	return rq, nil
 }
 
@@ -193,24 +193,24 @@
 }
 
 // recordResult counts and logs the result of a request.
-func (f *Server) recordResult(rq *request, res result) {
-	f.outcomes.add(outcomeKey{customer: rq.routing.Customer, service: rq.routing.Service, outcome: res.outcome}, res)
-	f.addMeasures(rq, res)
+func (s *Server) recordResult(rq *request, res result) {
+	s.outcomes.add(outcomeKey{customer: rq.routing.Customer, service: rq.routing.Service, outcome: res.outcome}, res)
+	s.addMeasures(rq, res)
 	d := trail.Decision{
 		Area: trail.AreaCall, Action: "answer", Request: rq.routing.ID, Customer: rq.routing.Customer,
 		Service: rq.routing.Service, Outcome: string(res.outcome), Reason: res.reason,
-		Revision: f.Self.Revision.Load(),
+		Revision: s.Self.Revision.Load(),
 	}
 	if rq.ticket != nil {
 		d.Subject, d.Choice = string(rq.ticket.CallID), rq.ticket.Side
 	}
-	f.Log.Record(d)
+	s.Log.Record(d)
 }
 
 // writeFailure records a request that ends without the target's answer, and sends the
 // error response.
-func (f *Server) writeFailure(w http.ResponseWriter, rq *request, res result) {
-	f.recordResult(rq, res)
+func (s *Server) writeFailure(w http.ResponseWriter, rq *request, res result) {
+	s.recordResult(rq, res)
 	Problem{
 		Status: res.status, Detail: res.reason, Outcome: res.outcome, RequestID: rq.routing.ID,
 		Service: rq.routing.Service, Ticket: res.ticket, RetryAfter: res.retryAfter,
--- a/io/request/front/routes.go
+++ b/io/request/front/routes.go
@@ -21,14 +21,14 @@
 const servicePrefix = "/v1/services/"
 
 // newRouter returns the handler for all paths that callers may use.
-func (f *Server) newRouter() http.Handler {
+func (s *Server) newRouter() http.Handler {
 	r := mux.NewRouter().SkipClean(true).UseEncodedPath()
-	r.HandleFunc("/v1/chat/completions", f.limitInFlight(f.handleChat)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/tickets", f.limitInFlight(f.handleTicketIssue)).Methods(http.MethodPost)
-	r.HandleFunc("/v1/tickets/{id}", f.limitInFlight(f.handleTicketStatus)).Methods(http.MethodGet)
-	r.HandleFunc(servicePrefix+"{service}/{path:.*}", f.limitInFlight(f.handleService))
-	r.NotFoundHandler = http.HandlerFunc(f.handleNotFound)
-	r.MethodNotAllowedHandler = http.HandlerFunc(f.handleMethodNotAllowed)
+	r.HandleFunc("/v1/chat/completions", s.limitInFlight(s.handleChat)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/tickets", s.limitInFlight(s.handleTicketIssue)).Methods(http.MethodPost)
+	r.HandleFunc("/v1/tickets/{id}", s.limitInFlight(s.handleTicketStatus)).Methods(http.MethodGet)
+	r.HandleFunc(servicePrefix+"{service}/{path:.*}", s.limitInFlight(s.handleService))
+	r.NotFoundHandler = http.HandlerFunc(s.handleNotFound)
+	r.MethodNotAllowedHandler = http.HandlerFunc(s.handleMethodNotAllowed)
 	return r
 }
 
@@ -37,72 +37,72 @@
 
 // limitInFlight rejects requests while the entry has MaxInFlight calls. While the entry
 // drains, it tells callers to close their connections.
-func (f *Server) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
+func (s *Server) limitInFlight(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if f.draining.Load() {
+		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
 		}
 		select {
-		case f.callSlots <- struct{}{}:
+		case s.callSlots <- struct{}{}:
 		default:
-			f.reject(w, http.StatusServiceUnavailable, "too many calls in flight", retryAfter)
+			s.reject(w, http.StatusServiceUnavailable, "too many calls in flight", retryAfter)
 			return
 		}
-		defer func() { <-f.callSlots }()
+		defer func() { <-s.callSlots }()
 		next(w, r)
 	}
 }
 
 // reject sends the error response to a request that was rejected before it became a
 // call.
-func (f *Server) reject(w http.ResponseWriter, status int, detail string, after time.Duration) {
-	f.Metrics.Counter("rejected").Inc(1)
+func (s *Server) reject(w http.ResponseWriter, status int, detail string, after time.Duration) {
+	s.Metrics.Counter("rejected").Inc(1)
 	Problem{
 		Status: status, Detail: detail, Outcome: calls.OutcomeNotRun,
 		RequestID: uuid.NewString(), RetryAfter: after,
 	}.write(w)
 }
 
-func (f *Server) handleNotFound(w http.ResponseWriter, _ *http.Request) {
-	f.reject(w, http.StatusNotFound, "no such path", 0)
+func (s *Server) handleNotFound(w http.ResponseWriter, _ *http.Request) {
+	s.reject(w, http.StatusNotFound, "no such path", 0)
 }
 
-func (f *Server) handleMethodNotAllowed(w http.ResponseWriter, _ *http.Request) {
-	f.reject(w, http.StatusMethodNotAllowed, "method is not allowed here", 0)
+func (s *Server) handleMethodNotAllowed(w http.ResponseWriter, _ *http.Request) {
+	s.reject(w, http.StatusMethodNotAllowed, "method is not allowed here", 0)
 }
 
 // lookupService returns the named service of the given kind from the current document.
 // If there is none, it sends the error response and returns false.
-func (f *Server) lookupService(w http.ResponseWriter, name string, kind envdoc.ServiceKind) (envdoc.Service, bool) {
-	d := f.Source.Current().Document
+func (s *Server) lookupService(w http.ResponseWriter, name string, kind envdoc.ServiceKind) (envdoc.Service, bool) {
+	d := s.Source.Current().Document
 	if d == nil {
-		f.reject(w, http.StatusServiceUnavailable, "no document is in force yet", retryAfter)
+		s.reject(w, http.StatusServiceUnavailable, "no document is in force yet", retryAfter)
 		return envdoc.Service{}, false
 	}
-	s, ok := d.ServiceByName(name)
-	if !ok || s.Kind != kind {
-		f.reject(w, http.StatusNotFound, "no such service", 0)
+	service, ok := d.ServiceByName(name)
+	if !ok || service.Kind != kind {
+		s.reject(w, http.StatusNotFound, "no such service", 0)
 		return envdoc.Service{}, false
 	}
-	return s, true
+	return service, true
 }
 
 // newRequestByName is newRequestFor for the named service. If there is no such service
 // of the given kind, it sends the error response and returns false.
-func (f *Server) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.ServiceKind) (*request, bool) {
-	s, ok := f.lookupService(w, name, kind)
+func (s *Server) newRequestByName(w http.ResponseWriter, r *http.Request, name string, kind envdoc.ServiceKind) (*request, bool) {
+	service, ok := s.lookupService(w, name, kind)
 	if !ok {
 		return nil, false
 	}
-	return f.newRequestFor(w, r, s)
+	return s.newRequestFor(w, r, service)
 }
 
-// newRequestFor returns the request for a call to s. If a header is invalid, it sends
+// newRequestFor returns the request for a call to service. If a header is invalid, it sends
 // the error response and returns false.
-func (f *Server) newRequestFor(w http.ResponseWriter, r *http.Request, s envdoc.Service) (*request, bool) {
-	rq, err := f.newRequest(r, s)
+func (s *Server) newRequestFor(w http.ResponseWriter, r *http.Request, service envdoc.Service) (*request, bool) {
+	rq, err := s.newRequest(r, service)
 	if err != nil {
-		f.reject(w, http.StatusBadRequest, err.Error(), 0)
+		s.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return nil, false
 	}
 	return rq, true
@@ -118,57 +118,57 @@
 const chatPath = "/v1/chat/completions"
 
 // handleChat serves a chat completion. The model names the service.
-func (f *Server) handleChat(w http.ResponseWriter, r *http.Request) {
-	body, release, ok := f.readBody(w, r)
+func (s *Server) handleChat(w http.ResponseWriter, r *http.Request) {
+	body, release, ok := s.readBody(w, r)
 	if !ok {
 		return
 	}
 	defer release()
 	var q chatRequest
 	if err := json.Unmarshal(body, &q); err != nil {
-		f.reject(w, http.StatusBadRequest, "the body is not a chat completion", 0)
+		s.reject(w, http.StatusBadRequest, "the body is not a chat completion", 0)
 		return
 	}
-	rq, ok := f.newRequestByName(w, r, q.Model, envdoc.KindEngine)
+	rq, ok := s.newRequestByName(w, r, q.Model, envdoc.KindEngine)
 	if !ok {
 		return
 	}
 	rq.path, rq.body, rq.stream = chatPath, body, q.Stream
 	rq.routing.PrefixHashes = prefixHashes(q.Messages)
-	f.admitAndRun(w, r, rq, f.runRepeatable)
+	s.admitAndRun(w, r, rq, s.runRepeatable)
 }
 
 // handleService passes a call to a plain service through.
-func (f *Server) handleService(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleService(w http.ResponseWriter, r *http.Request) {
 	name := mux.Vars(r)["service"]
-	s, ok := f.lookupService(w, name, envdoc.KindPlain)
+	service, ok := s.lookupService(w, name, envdoc.KindPlain)
 	if !ok {
 		return
 	}
 	path, err := servicePath(r, name)
 	if err != nil {
-		f.reject(w, http.StatusBadRequest, err.Error(), 0)
+		s.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	body, release, ok := f.readBody(w, r)
+	body, release, ok := s.readBody(w, r)
 	if !ok {
 		return
 	}
 	defer release()
-	rq, ok := f.newRequestFor(w, r, s)
+	rq, ok := s.newRequestFor(w, r, service)
 	if !ok {
 		return
 	}
 	rq.path, rq.body = path, body
-	if isRepeatable(s, r.Method, path) {
-		f.admitAndRun(w, r, rq, f.runRepeatable)
+	if isRepeatable(service, r.Method, path) {
+		s.admitAndRun(w, r, rq, s.runRepeatable)
 		return
 	}
 	if err := rq.parseBinding(r.Header); err != nil {
-		f.reject(w, http.StatusBadRequest, err.Error(), 0)
+		s.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	f.admitAndRun(w, r, rq, f.runOnce)
+	s.admitAndRun(w, r, rq, s.runOnce)
 }
 
 // servicePath returns the path and query to send to the target.
@@ -186,43 +186,43 @@
 }
 
 // admitAndRun waits for admission and then calls run, both within the call's deadline.
-func (f *Server) admitAndRun(w http.ResponseWriter, r *http.Request, rq *request, run func(context.Context, http.ResponseWriter, *request)) {
+func (s *Server) admitAndRun(w http.ResponseWriter, r *http.Request, rq *request, run func(context.Context, http.ResponseWriter, *request)) {
 	w.Header().Set(headerRequestID, rq.routing.ID)
-	ctx, cancel := clockwork.WithTimeout(r.Context(), f.Clock, rq.timeout)
+	ctx, cancel := clockwork.WithTimeout(r.Context(), s.Clock, rq.timeout)
 	defer cancel()
-	v, ok := f.policy.admit(ctx, rq.routing)
+	v, ok := s.policy.admit(ctx, rq.routing)
 	if !ok {
-		f.writeFailure(w, rq, withoutUnsafeRetry(interruptedResult(ctx, rq.unsentOutcome())))
+		s.writeFailure(w, rq, withoutUnsafeRetry(interruptedResult(ctx, rq.unsentOutcome())))
 		return
 	}
-	f.logAdmission(rq, v)
+	s.logAdmission(rq, v)
 	if v.Decision == admit.Refused {
-		f.refuseAdmission(ctx, w, rq, v)
+		s.refuseAdmission(ctx, w, rq, v)
 		return
 	}
-	rq.admittedAt = f.Clock.Now()
-	defer func() { f.policy.callEnded(rq.routing.ID, rq.timeToFirstByte) }()
+	rq.admittedAt = s.Clock.Now()
+	defer func() { s.policy.callEnded(rq.routing.ID, rq.timeToFirstByte) }()
 	run(ctx, w, rq)
 }
 
 // refuseAdmission reports to a caller that admission refused its call. A bound call may
 // have run already, so its side is queried first.
-func (f *Server) refuseAdmission(ctx context.Context, w http.ResponseWriter, rq *request, v admit.Verdict) {
+func (s *Server) refuseAdmission(ctx context.Context, w http.ResponseWriter, rq *request, v admit.Verdict) {
 	res := result{
 		outcome: calls.OutcomeNotRun, reason: string(v.Reason),
 		status: http.StatusTooManyRequests, retryAfter: v.RetryAfter, refusedAtAdmission: true,
 	}
 	if rq.ticket == nil && rq.idempotencyKey == "" {
-		f.writeFailure(w, rq, res)
+		s.writeFailure(w, rq, res)
 		return
 	}
 	rq.refusedAtAdmission = &res
-	f.runOnce(ctx, w, rq)
+	s.runOnce(ctx, w, rq)
 }
 
-func (f *Server) logAdmission(rq *request, v admit.Verdict) {
-	f.Log.Record(trail.Decision{
+func (s *Server) logAdmission(rq *request, v admit.Verdict) {
+	s.Log.Record(trail.Decision{
 		Area: trail.AreaAdmission, Action: string(v.Decision), Request: rq.routing.ID, Customer: rq.routing.Customer,
-		Service: rq.routing.Service, Reason: string(v.Reason), Revision: f.Self.Revision.Load(),
+		Service: rq.routing.Service, Reason: string(v.Reason), Revision: s.Self.Revision.Load(),
 	})
 }
--- a/io/request/front/ticket.go
+++ b/io/request/front/ticket.go
@@ -45,34 +45,34 @@
 
 // handleTicketIssue chooses a side for a call and returns a ticket that names it. The
 // call itself is sent later, through any entry.
-func (f *Server) handleTicketIssue(w http.ResponseWriter, r *http.Request) {
-	body, release, ok := f.readBody(w, r)
+func (s *Server) handleTicketIssue(w http.ResponseWriter, r *http.Request) {
+	body, release, ok := s.readBody(w, r)
 	if !ok {
 		return
 	}
 	defer release()
 	var q TicketRequest
 	if err := json.Unmarshal(body, &q); err != nil {
-		f.reject(w, http.StatusBadRequest, "the body is not a ticket request", 0)
+		s.reject(w, http.StatusBadRequest, "the body is not a ticket request", 0)
 		return
 	}
-	rq, ok := f.newRequestByName(w, r, q.Service, envdoc.KindPlain)
+	rq, ok := s.newRequestByName(w, r, q.Service, envdoc.KindPlain)
 	if !ok {
 		return
 	}
-	m, err := f.choose(rq)
+	m, err := s.choose(rq)
 	if err != nil {
-		f.reject(w, http.StatusServiceUnavailable, err.Error(), retryAfter)
+		s.reject(w, http.StatusServiceUnavailable, err.Error(), retryAfter)
 		return
 	}
-	defer f.pool.release(m)
-	f.writeTicket(w, m, rq.routing.Service)
+	defer s.pool.release(m)
+	s.writeTicket(w, m, rq.routing.Service)
 }
 
-func (f *Server) writeTicket(w http.ResponseWriter, m *member, service string) {
+func (s *Server) writeTicket(w http.ResponseWriter, m *member, service string) {
 	issued, ok := m.client.ClockReading()
 	if !ok {
-		f.reject(w, http.StatusServiceUnavailable, errNoTarget.Error(), retryAfter)
+		s.reject(w, http.StatusServiceUnavailable, errNoTarget.Error(), retryAfter)
 		return
 	}
 	t := calls.Ticket{
@@ -84,7 +84,7 @@
 	}
 	text, err := t.Encode()
 	if err != nil {
-		f.reject(w, http.StatusInternalServerError, "the ticket could not be written", retryAfter)
+		s.reject(w, http.StatusInternalServerError, "the ticket could not be written", retryAfter)
 		return
 	}
 	writeJSON(w, http.StatusCreated, TicketResponse{Ticket: text, Service: service})
@@ -98,26 +98,26 @@
 
 // handleTicketStatus reports the state of a ticket's call. Unlike the query of an
 // attempt whose connection failed, it doesn't mark the call as never to run.
-func (f *Server) handleTicketStatus(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleTicketStatus(w http.ResponseWriter, r *http.Request) {
 	t, err := calls.DecodeTicket(mux.Vars(r)["id"])
 	if err != nil {
-		f.reject(w, http.StatusBadRequest, err.Error(), 0)
+		s.reject(w, http.StatusBadRequest, err.Error(), 0)
 		return
 	}
-	rq := &request{binding: calls.BindTicket, ticket: &t, timeout: f.Limits.QueryTimeout}
+	rq := &request{binding: calls.BindTicket, ticket: &t, timeout: s.Limits.QueryTimeout}
 	rq.routing = picker.Request{ID: uuid.NewString(), Service: t.Service}
-	ctx, cancel := context.WithTimeout(r.Context(), f.Limits.QueryTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), s.Limits.QueryTimeout)
 	defer cancel()
-	writeJSON(w, http.StatusOK, f.ticketStatus(ctx, rq))
+	writeJSON(w, http.StatusOK, s.ticketStatus(ctx, rq))
 }
 
-func (f *Server) ticketStatus(ctx context.Context, rq *request) TicketStatus {
-	m := f.pool.acquire(rq.ticket.Side)
+func (s *Server) ticketStatus(ctx context.Context, rq *request) TicketStatus {
+	m := s.pool.acquire(rq.ticket.Side)
 	if m == nil {
 		return statusOf(calls.StateGone)
 	}
-	defer f.pool.release(m)
-	t := &onceAttempt{front: f, member: m, request: rq, state: calls.NewAttempt(rq.binding)}
+	defer s.pool.release(m)
+	t := &onceAttempt{front: s, member: m, request: rq, state: calls.NewAttempt(rq.binding)}
 	if !t.waitConnected(ctx) {
 		return statusOf(calls.StateGone)
 	}
--- a/io/version/order/controller.go
+++ b/io/version/order/controller.go
@@ -73,144 +73,144 @@
 	loggedServing  chunk.Digest
 }
 
-func (o *Controller) init() {
-	o.initOnce.Do(func() { o.targetChanged = make(chan struct{}, 1) })
+func (c *Controller) init() {
+	c.initOnce.Do(func() { c.targetChanged = make(chan struct{}, 1) })
 }
 
 // Recheck has Run take a step at once, since the target may have changed by itself.
-func (o *Controller) Recheck() {
-	o.init()
+func (c *Controller) Recheck() {
+	c.init()
 	select {
-	case o.targetChanged <- struct{}{}:
+	case c.targetChanged <- struct{}{}:
 	default:
 	}
 }
 
 // Run takes a step at intervals and at each Recheck until ctx ends. While the target
 // serves the wanted version it also does so at each change of the view.
-func (o *Controller) Run(ctx context.Context) error {
-	o.init()
+func (c *Controller) Run(ctx context.Context) error {
+	c.init()
 	for {
-		changed := o.Source.Changed()
-		o.step(ctx)
-		if !o.idle() {
+		changed := c.Source.Changed()
+		c.step(ctx)
+		if !c.idle() {
 			changed = nil
 		}
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
-		case <-o.targetChanged:
-		case <-o.Clock.After(o.stepDelay()):
+		case <-c.targetChanged:
+		case <-c.Clock.After(c.stepDelay()):
 		}
 	}
 }
 
 // idle reports whether the target served the wanted version at the last step.
-func (o *Controller) idle() bool {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.lastReason == roll.ReasonAlreadyServed
+func (c *Controller) idle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastReason == roll.ReasonAlreadyServed
 }
 
 // stepDelay is how long Run waits for the next step.
-func (o *Controller) stepDelay() time.Duration {
-	if o.idle() {
+func (c *Controller) stepDelay() time.Duration {
+	if c.idle() {
 		return idleInterval
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.machine.StepDelay(o.Clock.Now(), stepInterval)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.machine.StepDelay(c.Clock.Now(), stepInterval)
 }
 
 // LastState returns what the engine last reported, and whether it answered the last time.
-func (o *Controller) LastState() (roll.Target, bool) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.facts.Target, o.facts.TargetKnown
+func (c *Controller) LastState() (roll.Target, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.facts.Target, c.facts.TargetKnown
 }
 
 // step reads the facts, has the machine decide on them and carries out the decision.
-func (o *Controller) step(ctx context.Context) {
-	f, ok := o.readFacts(ctx)
+func (c *Controller) step(ctx context.Context) {
+	f, ok := c.readFacts(ctx)
 	if !ok {
 		return
 	}
-	o.mu.Lock()
-	o.facts = f
-	a := o.machine.Step(o.Clock.Now(), f)
-	o.mu.Unlock()
-	o.logFacts(f)
-	o.logAction(f, a)
+	c.mu.Lock()
+	c.facts = f
+	a := c.machine.Step(c.Clock.Now(), f)
+	c.mu.Unlock()
+	c.logFacts(f)
+	c.logAction(f, a)
 	if a.Kind == roll.ActionAsk {
-		a, f = o.askPeers(ctx, f)
-		o.logAction(f, a)
+		a, f = c.askPeers(ctx, f)
+		c.logAction(f, a)
 	}
 	if a.Kind == roll.ActionOrder {
-		o.orderLoad(ctx, f, a)
+		c.orderLoad(ctx, f, a)
 	}
 }
 
 // readFacts reads everything that a decision depends on. It returns false if there is no
 // document yet or it does not contain the service of this VM.
-func (o *Controller) readFacts(ctx context.Context) (roll.Facts, bool) {
-	want, ok := roll.WantOf(o.Source.Current(), o.Self.VM)
+func (c *Controller) readFacts(ctx context.Context) (roll.Facts, bool) {
+	want, ok := roll.WantOf(c.Source.Current(), c.Self.VM)
 	if !ok {
 		return roll.Facts{}, false
 	}
-	f := roll.Facts{Want: want, Draining: o.Draining()}
+	f := roll.Facts{Want: want, Draining: c.Draining()}
 	if want.Manifest == "" {
 		return f, true
 	}
-	if o.Deadline != nil {
-		f.Deadline = o.Deadline()
+	if c.Deadline != nil {
+		f.Deadline = c.Deadline()
 	}
-	_, f.WeightsVerified = o.VerifiedManifest(want.Manifest)
-	t, err := o.Engine.State(ctx)
+	_, f.WeightsVerified = c.VerifiedManifest(want.Manifest)
+	t, err := c.Engine.State(ctx)
 	if err == nil {
 		f.Target = t
 		f.TargetKnown = true
 	}
-	f.ReadAt = o.Uptime()
+	f.ReadAt = c.Uptime()
 	return f, true
 }
 
 // askPeers asks the other replicas of the zone for their status and has the machine
 // decide on the replies. The facts are read again after the replies, since the process
 // may have been suspended meanwhile.
-func (o *Controller) askPeers(ctx context.Context, f roll.Facts) (roll.Action, roll.Facts) {
+func (c *Controller) askPeers(ctx context.Context, f roll.Facts) (roll.Action, roll.Facts) {
 	askCtx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	answers := o.requestStatuses(askCtx, f.Want.Service.Name, f.Want.Peers)
-	updated, ok := o.readFacts(ctx)
+	answers := c.requestStatuses(askCtx, f.Want.Service.Name, f.Want.Peers)
+	updated, ok := c.readFacts(ctx)
 	if !ok {
 		updated = f
 		updated.TargetKnown = false
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	o.facts = updated
-	return o.machine.AnswersReceived(o.Clock.Now(), updated, answers), updated
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.facts = updated
+	return c.machine.AnswersReceived(c.Clock.Now(), updated, answers), updated
 }
 
 // orderLoad orders the engine to load, unless the weights are no longer verified.
-func (o *Controller) orderLoad(ctx context.Context, f roll.Facts, a roll.Action) {
-	m, ok := o.VerifiedManifest(a.Manifest)
+func (c *Controller) orderLoad(ctx context.Context, f roll.Facts, a roll.Action) {
+	m, ok := c.VerifiedManifest(a.Manifest)
 	if !ok {
-		o.loadFailed(f, "weights are no longer verified")
+		c.loadFailed(f, "weights are no longer verified")
 		return
 	}
-	if err := o.Engine.Load(ctx, a.Number, a.Manifest, m); err != nil {
-		o.loadFailed(f, err.Error())
+	if err := c.Engine.Load(ctx, a.Number, a.Manifest, m); err != nil {
+		c.loadFailed(f, err.Error())
 	}
 }
 
 // loadFailed tells the machine that an order failed, and logs it.
-func (o *Controller) loadFailed(f roll.Facts, reason string) {
-	o.mu.Lock()
-	o.machine.LoadFailed(o.Clock.Now(), f)
-	o.mu.Unlock()
-	o.Log.Record(trail.Decision{
+func (c *Controller) loadFailed(f roll.Facts, reason string) {
+	c.mu.Lock()
+	c.machine.LoadFailed(c.Clock.Now(), f)
+	c.mu.Unlock()
+	c.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   "loadFailed",
 		Service:  f.Want.Service.Name,
@@ -221,58 +221,58 @@
 }
 
 // replicaStatus returns this replica's status, for the other replicas.
-func (o *Controller) replicaStatus() roll.Status {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	s := o.machine.Status(o.Clock.Now(), o.facts)
-	s.Name = o.Self.VM.Name
+func (c *Controller) replicaStatus() roll.Status {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	s := c.machine.Status(c.Clock.Now(), c.facts)
+	s.Name = c.Self.VM.Name
 	return s
 }
 
 // logFacts logs when the wanted weights become verified and when the target serves
 // another version. The audit of the decision log checks the orders against both.
-func (o *Controller) logFacts(f roll.Facts) {
-	if f.WeightsVerified && o.loggedVerified != f.Want.Manifest {
-		o.logFact("verified", f.Want.Manifest, f)
+func (c *Controller) logFacts(f roll.Facts) {
+	if f.WeightsVerified && c.loggedVerified != f.Want.Manifest {
+		c.logFact("verified", f.Want.Manifest, f)
 	}
-	o.loggedVerified = ""
+	c.loggedVerified = ""
 	if f.WeightsVerified {
-		o.loggedVerified = f.Want.Manifest
+		c.loggedVerified = f.Want.Manifest
 	}
-	if f.TargetKnown && f.Target.Serving != o.loggedServing {
-		o.loggedServing = f.Target.Serving
-		o.logFact("serves", f.Target.Serving, f)
+	if f.TargetKnown && f.Target.Serving != c.loggedServing {
+		c.loggedServing = f.Target.Serving
+		c.logFact("serves", f.Target.Serving, f)
 	}
 }
 
 // logFact writes one such record to the decision log.
-func (o *Controller) logFact(action string, d chunk.Digest, f roll.Facts) {
-	o.Log.Record(trail.Decision{
+func (c *Controller) logFact(action string, d chunk.Digest, f roll.Facts) {
+	c.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   action,
 		Service:  f.Want.Service.Name,
 		Subject:  string(d),
-		Choice:   o.Self.VM.Name,
+		Choice:   c.Self.VM.Name,
 		Revision: f.Want.Revision,
 	})
 }
 
 // logAction logs an action, unless it is none for the same reason as the last time: a
 // side that waits decides that five times a second.
-func (o *Controller) logAction(f roll.Facts, a roll.Action) {
-	o.mu.Lock()
-	same := a.Kind == roll.ActionNone && a.Reason == o.lastReason
-	o.lastReason = a.Reason
-	o.mu.Unlock()
+func (c *Controller) logAction(f roll.Facts, a roll.Action) {
+	c.mu.Lock()
+	same := a.Kind == roll.ActionNone && a.Reason == c.lastReason
+	c.lastReason = a.Reason
+	c.mu.Unlock()
 	if same {
 		return
 	}
-	o.Log.Record(trail.Decision{
+	c.Log.Record(trail.Decision{
 		Area:     trail.AreaPlacement,
 		Action:   string(a.Kind),
 		Service:  f.Want.Service.Name,
 		Subject:  string(f.Want.Manifest),
-		Choice:   o.Self.VM.Name,
+		Choice:   c.Self.VM.Name,
 		Reason:   string(a.Reason),
 		Revision: f.Want.Revision,
 	})
--- a/io/version/order/peers.go
+++ b/io/version/order/peers.go
@@ -62,26 +62,26 @@
 }
 
 // Handler answers the status requests of other replicas.
-func (o *Controller) Handler() link.Handler {
-	return link.Handler{Kinds: messageKinds(), Serve: o.serveStatus}
+func (c *Controller) Handler() link.Handler {
+	return link.Handler{Kinds: messageKinds(), Serve: c.serveStatus}
 }
 
-func (o *Controller) serveStatus(_ context.Context, c *link.Conn) {
-	m, err := c.Receive()
+func (c *Controller) serveStatus(_ context.Context, conn *link.Conn) {
+	m, err := conn.Receive()
 	if err != nil {
 		return
 	}
 	if _, ok := m.(*statusRequest); !ok {
 		return
 	}
-	s := o.replicaStatus()
+	s := c.replicaStatus()
 	// A peer that gets no reply counts this replica as not serving, which is safe: the
 	// peer then loads only if the floor holds without this replica.
-	_ = c.Send(&replicaStatus{Status: s})
+	_ = conn.Send(&replicaStatus{Status: s})
 }
 
 // requestStatuses asks all peers and returns the replies that arrived before ctx ended.
-func (o *Controller) requestStatuses(ctx context.Context, service string, peers []fleet.VM) []roll.Status {
+func (c *Controller) requestStatuses(ctx context.Context, service string, peers []fleet.VM) []roll.Status {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var answers []roll.Status
@@ -90,7 +90,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			s, err := o.requestStatus(ctx, service, peer)
+			s, err := c.requestStatus(ctx, service, peer)
 			if err != nil {
 				return
 			}
@@ -104,8 +104,8 @@
 }
 
 // requestStatus asks one peer for its status.
-func (o *Controller) requestStatus(ctx context.Context, service string, peer fleet.VM) (roll.Status, error) {
-	m, err := link.RoundTrip(ctx, o.Self, peer.Address, link.PurposeOrders, messageKinds(), &statusRequest{Service: service})
+func (c *Controller) requestStatus(ctx context.Context, service string, peer fleet.VM) (roll.Status, error) {
+	m, err := link.RoundTrip(ctx, c.Self, peer.Address, link.PurposeOrders, messageKinds(), &statusRequest{Service: service})
 	if err != nil {
 		return roll.Status{}, err
 	}
