--- a/core/process/gossip/start_test.go
+++ b/core/process/gossip/start_test.go
@@ -12,7 +12,8 @@
 // Guards against every process of a new fleet taking itself for the only one
 // and downloading the weights itself. The VM list lags behind the start of the
 // fleet and is empty at first. If that is accepted as the first version, each
-// process leaves the next read to readers that do not exist.
+// process, not being in the list, leaves the next read to readers that do not
+// exist, and the list stays empty for 10 s.
 func TestEmptyListAtStartIsReadAgain(t *testing.T) {
 	var o Observer
 	_, changed, err := o.Observe(State{}, nil)
