--- a/core/request/calls/owner.go
+++ b/core/request/calls/owner.go
@@ -23,7 +23,7 @@
 }
 
 // ErrNoOwner is returned when the owner of a key can't be determined at present.
-var ErrNoOwner = errors.New("the owner of the key is unknown at present")
+var ErrNoOwner = errors.New("the owner of the key can not be told now")
 
 // Owner returns the only side that may run the call with the given ID, and the
 // members from which it was computed.
