--- a/core/request/picker/choose.go
+++ b/core/request/picker/choose.go
@@ -103,7 +103,7 @@
 
 // Error names the service and the number of excluded candidates.
 func (e *NoTargetError) Error() string {
-	return fmt.Sprintf("no target of service %s: all %d candidates are excluded", e.Service, len(e.Excluded))
+	return fmt.Sprintf("no target of service %s: %d candidates left out", e.Service, len(e.Excluded))
 }
 
 // Choose returns the target for r among the candidates, which are the targets of the
