--- a/core/request/poison/note.go
+++ b/core/request/poison/note.go
@@ -29,14 +29,14 @@
 // Check returns an error for the first invalid field.
 func (n *Note) Check() error {
 	if len(n.Failures) == 0 || len(n.Failures) > maxFailures {
-		return errors.Newf("note: %d failures (strikes), want 1 to %d", len(n.Failures), maxFailures)
+		return errors.Newf("note: %d strikes: want 1 to %d", len(n.Failures), maxFailures)
 	}
 	if n.SuccessAge < 0 {
-		return errors.Newf("note: successAge (clearedAgo) is %s, want 0 or more", n.SuccessAge)
+		return errors.Newf("note: cleared %s ago: want none below 0", n.SuccessAge)
 	}
 	for _, s := range n.Failures {
 		if s.Incarnation.Target == "" || s.Age < 0 {
-			return errors.Newf("note: failure (strike) at target %q %s ago: want a target name and an age of 0 or more", s.Incarnation.Target, s.Age)
+			return errors.Newf("note: strike at %q %s ago: want a target and no time below 0", s.Incarnation.Target, s.Age)
 		}
 	}
 	return nil
