--- a/core/version/chunk/manifest.go
+++ b/core/version/chunk/manifest.go
@@ -95,7 +95,7 @@
 		return errors.Newf("manifest: %d chunks, want 1 to %d", len(m.Chunks), MaxChunks)
 	}
 	if err := m.ContentDigest.Check(); err != nil {
-		return errors.Wrap(err, "manifest: content digest (whole)")
+		return errors.Wrap(err, "manifest: whole")
 	}
 	var sum int64
 	for i, c := range m.Chunks {
