--- a/core/process/verlog/report.go
+++ b/core/process/verlog/report.go
@@ -40,7 +40,7 @@
 // Check returns an error for the first field that is out of range.
 func (r *VersionReport) Check() error {
 	if r.Model == "" || r.Version == 0 {
-		return errors.Newf("factsTell: report of version %d of model %q: want a model and a version above 0", r.Version, r.Model)
+		return errors.Newf("factsTell: version %d of model %q: want a model and a version above 0", r.Version, r.Model)
 	}
 	if r.Age < 0 {
 		return errors.Newf("factsTell: age %s of version %d of %q is below 0", r.Age, r.Version, r.Model)
