--- a/io/process/feed/announcement_test.go
+++ b/io/process/feed/announcement_test.go
@@ -16,9 +16,9 @@
 
 // These tests guard against serving requests on an old version past its time
 // limit. A process that is disconnected while a version is announced reads the
-// version from the store once it is back. It used to count the limit from then,
-// corrected only if one of two peers that were asked once replied first, while
-// engines that load late still served the old version.
+// version from the store once it is back. It must not count the limit from then,
+// whether or not one of the two peers that it asks replies first: engines that
+// load late still serve the old version.
 
 // announcedBy returns the newest version that f considers announced by the time
 // at.
--- a/io/process/feed/upstream_test.go
+++ b/io/process/feed/upstream_test.go
@@ -115,9 +115,9 @@
 }
 
 // Two peers reply to queries that were sent at the same time. The reply with
-// the highest revision must win, whichever arrives first: it used to be dropped
-// if the other one had a younger confirmation or was one change behind, and
-// callers were routed by a replaced configuration.
+// the highest revision must win, whichever arrives first. If it is dropped because
+// the other one has a younger confirmation or is one change behind, callers are
+// routed by a replaced configuration.
 func TestNewestReplyWins(t *testing.T) {
 	one := []Item{{Key: "config", Value: []byte("1"), Revision: 1}}
 	two := []Item{{Key: "config", Value: []byte("2"), Revision: 2}}
--- a/io/process/loads/listen_test.go
+++ b/io/process/loads/listen_test.go
@@ -154,9 +154,8 @@
 	return received
 }
 
-// Guards against sides whose reports overload the links and processors of a large fleet:
-// each side used to report to each entry twenty times a second, however many entries
-// there were.
+// Guards against sides whose reports overload the links and processors of a large fleet,
+// as twenty reports a second to each entry do, however many entries there are.
 func TestReportRateDoesNotGrowWithEntries(t *testing.T) {
 	const span = 2 * time.Second
 	most := int(span/delayPerEntry) * 5 / 4
